--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -122,6 +122,99 @@
     escaped
 }
 
+/// A request as it goes over HTTP.
+#[derive(Clone, Debug, PartialEq)]
+pub struct HttpRequest {
+    pub method: Method,
+    pub path: String,
+    pub body: Vec<u8>,
+}
+
+impl HttpRequest {
+    fn get(path: impl Into<String>) -> Self {
+        HttpRequest {
+            method: Method::GET,
+            path: path.into(),
+            body: Vec::new(),
+        }
+    }
+
+    fn post(path: impl Into<String>, body: Vec<u8>) -> Self {
+        HttpRequest {
+            method: Method::POST,
+            path: path.into(),
+            body,
+        }
+    }
+}
+
+/// A request to the state service in its wire form.
+pub fn state_request(request: &StateRequest) -> HttpRequest {
+    match request {
+        StateRequest::List {
+            prefix,
+            after,
+            limit,
+        } => {
+            let after = after
+                .as_deref()
+                .map(|key| format!("&after={}", escape(key)))
+                .unwrap_or_default();
+            HttpRequest::get(format!("/kv?starts={prefix}{after}&limit={limit}"))
+        }
+        StateRequest::Get { key } => HttpRequest::get(format!("/kv/{key}")),
+        StateRequest::Txn(txn) => HttpRequest::post("/txn", protocol::encode(txn)),
+        StateRequest::Grant { life_ms } => {
+            let body = protocol::encode(&LeaseRequest { life_ms: *life_ms });
+            HttpRequest::post("/holds", body)
+        }
+        StateRequest::Touch { lease } => {
+            HttpRequest::post(format!("/holds/{lease}/touch"), EMPTY_MAP.to_vec())
+        }
+        StateRequest::Release { lease } => HttpRequest {
+            method: Method::DELETE,
+            path: format!("/holds/{lease}"),
+            body: Vec::new(),
+        },
+        StateRequest::Changes {
+            prefix,
+            after,
+            hold_ms,
+        } => HttpRequest::get(format!(
+            "/changes?starts={prefix}&after={after}&hold_ms={hold_ms}"
+        )),
+    }
+}
+
+/// A request to the cloud in its wire form.
+pub fn cloud_request(request: &CloudRequest) -> HttpRequest {
+    match request {
+        CloudRequest::Types => HttpRequest::get("/machine_types"),
+        CloudRequest::Rent(rent) => HttpRequest::post("/machines", protocol::encode(rent)),
+        CloudRequest::Delete(names) => {
+            let names = MachineNames {
+                machines: names.clone(),
+            };
+            HttpRequest::post("/machines/delete", protocol::encode(&names))
+        }
+        CloudRequest::List { after } => {
+            let after = after
+                .as_deref()
+                .map(|name| format!("after={}&", escape(name)))
+                .unwrap_or_default();
+            HttpRequest::get(format!("/machines?{after}limit=500"))
+        }
+    }
+}
+
+/// Orders to a worker in their wire form; without any, a request for its report.
+pub fn worker_request(orders: Option<&DirectOrders>) -> HttpRequest {
+    match orders {
+        Some(orders) => HttpRequest::post("/commands", protocol::encode(orders)),
+        None => HttpRequest::get("/status"),
+    }
+}
+
 /// Speaks to the state service.
 pub struct StateClient {
     http: Http,
@@ -143,49 +236,7 @@
         request: &StateRequest,
         timeout: Duration,
     ) -> Result<StateReply, StateError> {
-        let (method, path, body) = match request {
-            StateRequest::List {
-                prefix,
-                after,
-                limit,
-            } => {
-                let after = after
-                    .as_deref()
-                    .map(|key| format!("&after={}", escape(key)));
-                (
-                    Method::GET,
-                    format!(
-                        "/kv?starts={prefix}{}&limit={limit}",
-                        after.unwrap_or_default()
-                    ),
-                    Vec::new(),
-                )
-            }
-            StateRequest::Get { key } => (Method::GET, format!("/kv/{key}"), Vec::new()),
-            StateRequest::Txn(txn) => (Method::POST, "/txn".into(), protocol::encode(txn)),
-            StateRequest::Grant { life_ms } => (
-                Method::POST,
-                "/holds".into(),
-                protocol::encode(&LeaseRequest { life_ms: *life_ms }),
-            ),
-            StateRequest::Touch { lease } => (
-                Method::POST,
-                format!("/holds/{lease}/touch"),
-                EMPTY_MAP.to_vec(),
-            ),
-            StateRequest::Release { lease } => {
-                (Method::DELETE, format!("/holds/{lease}"), Vec::new())
-            }
-            StateRequest::Changes {
-                prefix,
-                after,
-                hold_ms,
-            } => (
-                Method::GET,
-                format!("/changes?starts={prefix}&after={after}&hold_ms={hold_ms}"),
-                Vec::new(),
-            ),
-        };
+        let HttpRequest { method, path, body } = state_request(request);
         let pool = match request {
             StateRequest::Changes { hold_ms, .. } if *hold_ms > 0 => &self.watch,
             _ => &self.http,
@@ -245,27 +296,7 @@
         request: &CloudRequest,
         timeout: Duration,
     ) -> Result<CloudReply, CloudError> {
-        let (method, path, body) = match request {
-            CloudRequest::Types => (Method::GET, "/machine_types".into(), Vec::new()),
-            CloudRequest::Rent(rent) => (Method::POST, "/machines".into(), protocol::encode(rent)),
-            CloudRequest::Delete(names) => (
-                Method::POST,
-                "/machines/delete".into(),
-                protocol::encode(&MachineNames {
-                    machines: names.clone(),
-                }),
-            ),
-            CloudRequest::List { after } => {
-                let after = after
-                    .as_deref()
-                    .map(|name| format!("after={}&", escape(name)));
-                (
-                    Method::GET,
-                    format!("/machines?{}limit=500", after.unwrap_or_default()),
-                    Vec::new(),
-                )
-            }
-        };
+        let HttpRequest { method, path, body } = cloud_request(request);
         let (status, body) = self
             .http
             .call(method, &self.addr, &path, body, true, timeout)
@@ -320,17 +351,14 @@
         orders: Option<&DirectOrders>,
         timeout: Duration,
     ) -> Option<WorkerReply> {
-        let (method, path, body) = match orders {
-            Some(orders) => (Method::POST, "/commands", protocol::encode(orders)),
-            None => (Method::GET, "/status", Vec::new()),
-        };
+        let HttpRequest { method, path, body } = worker_request(orders);
         // Never closed.
         let place = self.places.acquire().await.ok()?;
         let keep = self.lately.borrow_mut().count() <= self.kept;
         if !keep {
             self.metrics.shed(Shed::Workers);
         }
-        let answer = self.http.call(method, addr, path, body, keep, timeout);
+        let answer = self.http.call(method, addr, &path, body, keep, timeout);
         let answer = answer.await;
         drop(place);
         let (status, body) = answer?;
--- a/src/transport/mesh.rs
+++ b/src/transport/mesh.rs
@@ -10,14 +10,14 @@
 
 use crate::{
     coordination::{
-        Answer, Ask, CellAnswer, CellStatement, Class, Command, Counts, JobProgress, News,
-        Progress, Renewal, Revocation, SilentMachine, TurnTold, Word,
+        Answer, Ask, CellAnswer, CellStatement, Command, News, Progress, Revocation, Word,
     },
-    protocol::{self, ids::JobId, job::Submission},
+    protocol::{ids::JobId, job::Submission},
     transport::server::Door,
 };
 
 pub mod cells;
+pub mod messages;
 
 pub mod proto {
     tonic::include_proto!("dalelb.mesh.v1");
@@ -30,102 +30,6 @@
     request::Ask as Asked,
 };
 
-fn heard(message: proto::Progress) -> Progress {
-    let jobs = message.jobs.into_iter().map(|job| JobProgress {
-        job: JobId(job.job),
-        done: job.done,
-        running: job.running,
-    });
-    Progress {
-        term: message.term,
-        leader: message.leader,
-        jobs: jobs.collect(),
-        turns: message.turns.into_iter().map(heard_turn).collect(),
-    }
-}
-
-fn heard_turn(turn: proto::Turn) -> TurnTold {
-    let class = Class {
-        team: turn.team,
-        class: turn.class,
-    };
-    (JobId(turn.job), class, turn.in_ms)
-}
-
-fn turn_message((job, class, in_ms): &TurnTold) -> proto::Turn {
-    proto::Turn {
-        job: job.0,
-        team: class.team.clone(),
-        class: class.class.clone(),
-        in_ms: *in_ms,
-    }
-}
-
-fn heard_news(message: Told) -> News {
-    let of = |demand: &proto::Demand| Class {
-        team: demand.team.clone(),
-        class: demand.class.clone(),
-    };
-    let counts = |demand: &proto::Demand| Counts {
-        came: demand.came,
-        accepted: demand.accepted,
-        in_time: demand.in_time,
-        sent_away: demand.sent_away,
-        no_turn: demand.no_turn,
-        given_up: demand.given_up,
-    };
-    let demands = message.demands.iter();
-    News {
-        label: message.label,
-        seq: message.table,
-        takes: message.takes,
-        late: message.late,
-        demands: demands.clone().map(|each| (of(each), each.rate)).collect(),
-        counts: demands.map(|each| (of(each), counts(each))).collect(),
-        turns: message.turns.into_iter().map(heard_turn).collect(),
-    }
-}
-
-fn news_message(news: &News) -> Told {
-    let demands = news.counts.iter().map(|(class, counts)| {
-        let mut asked = news.demands.iter();
-        let rate = asked.find_map(|(other, rate)| (other == class).then_some(*rate));
-        proto::Demand {
-            team: class.team.clone(),
-            class: class.class.clone(),
-            rate: rate.unwrap_or(0.0),
-            came: counts.came,
-            accepted: counts.accepted,
-            in_time: counts.in_time,
-            sent_away: counts.sent_away,
-            no_turn: counts.no_turn,
-            given_up: counts.given_up,
-        }
-    });
-    Told {
-        label: news.label.clone(),
-        table: news.seq,
-        takes: news.takes,
-        late: news.late,
-        demands: demands.collect(),
-        turns: news.turns.iter().map(turn_message).collect(),
-    }
-}
-
-fn message(progress: &Progress) -> proto::Progress {
-    let jobs = progress.jobs.iter().map(|job| proto::JobProgress {
-        job: job.job.0,
-        done: job.done,
-        running: job.running,
-    });
-    proto::Progress {
-        term: progress.term,
-        leader: progress.leader.clone(),
-        jobs: jobs.collect(),
-        turns: progress.turns.iter().map(turn_message).collect(),
-    }
-}
-
 /// Another cell's statement on its way to the owner.
 pub type Statements = mpsc::UnboundedSender<(CellStatement, oneshot::Sender<Option<CellAnswer>>)>;
 
@@ -143,24 +47,23 @@
 #[tonic::async_trait]
 impl Mesh for Service {
     async fn tell(&self, request: Request<proto::Progress>) -> Result<Response<Told>, Status> {
-        let _ = self
-            .owner
-            .send(Command::Progress(heard(request.into_inner())));
-        Ok(Response::new(news_message(&self.news.borrow())))
+        let progress = request.into_inner().into();
+        let _ = self.owner.send(Command::Progress(progress));
+        Ok(Response::new(Told::from(&*self.news.borrow())))
     }
 
     async fn exchange(
         &self,
         request: Request<proto::CellStatement>,
     ) -> Result<Response<proto::CellAnswer>, Status> {
-        let statement = cells::statement_heard(request.into_inner());
+        let statement = request.into_inner().into();
         let (send, receive) = oneshot::channel();
         let gone = || Status::unavailable("the owner is gone");
         self.statements
             .send((statement, send))
             .map_err(|_| gone())?;
         match receive.await.map_err(|_| gone())? {
-            Some(answer) => Ok(Response::new(cells::answer_message(answer))),
+            Some(answer) => Ok(Response::new(answer.into())),
             None => Err(Status::unavailable(
                 "this node does not answer for its cell",
             )),
@@ -196,38 +99,14 @@
         &self,
         request: Request<proto::Revocation>,
     ) -> Result<Response<Renewals>, Status> {
-        let message = request.into_inner();
-        let revocation = Revocation {
-            term: message.term,
-            machines: message
-                .machines
-                .into_iter()
-                .map(|machine| SilentMachine {
-                    name: machine.name,
-                    session: machine.session,
-                    inquiry: machine.inquiry,
-                })
-                .collect(),
-            asked_ms: message.asked_ms,
-        };
+        let revocation = request.into_inner().into();
         let (send, receive) = oneshot::channel();
         let gone = || Status::unavailable("the owner is gone");
         self.questions
             .send((revocation, send))
             .map_err(|_| gone())?;
         let word = receive.await.map_err(|_| gone())?;
-        Ok(Response::new(Renewals {
-            hears: word.hears as u32,
-            renewals: word
-                .renewals
-                .into_iter()
-                .map(|renewal| proto::Renewal {
-                    machine: renewal.machine,
-                    age_ms: renewal.age_ms,
-                    inquiry: renewal.inquiry,
-                })
-                .collect(),
-        }))
+        Ok(Response::new(word.into()))
     }
 }
 
@@ -278,8 +157,8 @@
     /// matter.
     pub async fn tell(&self, addr: SocketAddrV4, progress: &Progress) -> Option<News> {
         let mut client = self.channels.get(&addr).cloned()?;
-        match client.tell(message(progress)).await {
-            Ok(told) => Some(heard_news(told.into_inner())),
+        match client.tell(proto::Progress::from(progress)).await {
+            Ok(told) => Some(told.into_inner().into()),
             Err(status) => {
                 tracing::trace!(%addr, code = ?status.code(), "member not told");
                 None
@@ -290,13 +169,7 @@
     /// Has a member answer a user's request. `None`: no answer.
     pub async fn relay(&self, addr: SocketAddrV4, ask: Ask) -> Option<Answer> {
         let mut client = self.channels.get(&addr).cloned()?;
-        let asked = match ask {
-            Ask::Submit(submission) => Asked::Submit(protocol::encode(&*submission)),
-            Ask::Poll(job) => Asked::Poll(job.0),
-            Ask::Cancel(job) => Asked::Cancel(job.0),
-            Ask::CheckIn(_) | Ask::Ready | Ask::Relayed(_) => return None,
-        };
-        let message = proto::Request { ask: Some(asked) };
+        let message = messages::relayed_request(&ask)?;
         let reply = client.relay(message).await.ok()?.into_inner();
         Some(Answer {
             status: reply.status.try_into().ok()?,
@@ -308,28 +181,8 @@
     /// Asks a member about silent machines. `None`: no answer.
     pub async fn revoke(&self, addr: SocketAddrV4, revocation: Revocation) -> Option<Word> {
         let mut client = self.channels.get(&addr).cloned()?;
-        let message = proto::Revocation {
-            term: revocation.term,
-            machines: revocation
-                .machines
-                .into_iter()
-                .map(|machine| proto::SilentMachine {
-                    name: machine.name,
-                    session: machine.session,
-                    inquiry: machine.inquiry,
-                })
-                .collect(),
-            asked_ms: revocation.asked_ms,
-        };
+        let message = proto::Revocation::from(revocation);
         let reply = client.revoke(message).await.ok()?.into_inner();
-        let renewals = reply.renewals.into_iter().map(|renewal| Renewal {
-            machine: renewal.machine,
-            age_ms: renewal.age_ms,
-            inquiry: renewal.inquiry,
-        });
-        Some(Word {
-            renewals: renewals.collect(),
-            hears: reply.hears as usize,
-        })
+        Some(reply.into())
     }
 }
--- a/src/transport/mesh/cells.rs
+++ b/src/transport/mesh/cells.rs
@@ -34,79 +34,87 @@
     }
 }
 
-fn statement_message(statement: CellStatement) -> proto::CellStatement {
-    let teams = statement.teams.into_iter();
-    let teams = teams.map(|(team, position)| proto::TeamPosition {
-        team,
-        version: position.version,
-        granted: quota_message(position.account.granted),
-        returned: quota_message(position.account.returned),
-        used: quota_message(position.used),
-        wanted: quota_message(position.wanted),
-        least: quota_message(position.least),
-        grain: quota_message(position.grain),
-    });
-    proto::CellStatement {
-        from: statement.from,
-        cells: statement.cells,
-        teams: teams.collect(),
-    }
-}
-
-pub(super) fn statement_heard(message: proto::CellStatement) -> CellStatement {
-    let teams = message.teams.into_iter().map(|position| {
-        let heard = Position {
+impl From<CellStatement> for proto::CellStatement {
+    fn from(statement: CellStatement) -> Self {
+        let teams = statement.teams.into_iter();
+        let teams = teams.map(|(team, position)| proto::TeamPosition {
+            team,
             version: position.version,
-            account: Account {
-                granted: quota_heard(position.granted),
-                returned: quota_heard(position.returned),
-            },
-            used: quota_heard(position.used),
-            wanted: quota_heard(position.wanted),
-            least: quota_heard(position.least),
-            grain: quota_heard(position.grain),
-        };
-        (position.team, heard)
-    });
-    CellStatement {
-        from: message.from,
-        cells: message.cells,
-        teams: teams.collect(),
+            granted: quota_message(position.account.granted),
+            returned: quota_message(position.account.returned),
+            used: quota_message(position.used),
+            wanted: quota_message(position.wanted),
+            least: quota_message(position.least),
+            grain: quota_message(position.grain),
+        });
+        proto::CellStatement {
+            from: statement.from,
+            cells: statement.cells,
+            teams: teams.collect(),
+        }
     }
 }
 
-pub(super) fn answer_message(answer: CellAnswer) -> proto::CellAnswer {
-    let teams = answer.teams.into_iter();
-    let teams = teams.map(|(team, grant)| proto::TeamGrant {
-        team,
-        version: grant.version,
-        guarantee: quota_message(grant.guarantee),
-        granted: quota_message(grant.granted),
-        target: quota_message(grant.target),
-        lowered: grant.lowered,
-    });
-    proto::CellAnswer {
-        from: answer.from,
-        cells: answer.cells,
-        teams: teams.collect(),
+impl From<proto::CellStatement> for CellStatement {
+    fn from(message: proto::CellStatement) -> Self {
+        let teams = message.teams.into_iter().map(|position| {
+            let heard = Position {
+                version: position.version,
+                account: Account {
+                    granted: quota_heard(position.granted),
+                    returned: quota_heard(position.returned),
+                },
+                used: quota_heard(position.used),
+                wanted: quota_heard(position.wanted),
+                least: quota_heard(position.least),
+                grain: quota_heard(position.grain),
+            };
+            (position.team, heard)
+        });
+        CellStatement {
+            from: message.from,
+            cells: message.cells,
+            teams: teams.collect(),
+        }
     }
 }
 
-fn answer_heard(message: proto::CellAnswer) -> CellAnswer {
-    let teams = message.teams.into_iter().map(|grant| {
-        let heard = Grant {
+impl From<CellAnswer> for proto::CellAnswer {
+    fn from(answer: CellAnswer) -> Self {
+        let teams = answer.teams.into_iter();
+        let teams = teams.map(|(team, grant)| proto::TeamGrant {
+            team,
             version: grant.version,
-            guarantee: quota_heard(grant.guarantee),
-            granted: quota_heard(grant.granted),
-            target: quota_heard(grant.target),
+            guarantee: quota_message(grant.guarantee),
+            granted: quota_message(grant.granted),
+            target: quota_message(grant.target),
             lowered: grant.lowered,
-        };
-        (grant.team, heard)
-    });
-    CellAnswer {
-        from: message.from,
-        cells: message.cells,
-        teams: teams.collect(),
+        });
+        proto::CellAnswer {
+            from: answer.from,
+            cells: answer.cells,
+            teams: teams.collect(),
+        }
+    }
+}
+
+impl From<proto::CellAnswer> for CellAnswer {
+    fn from(message: proto::CellAnswer) -> Self {
+        let teams = message.teams.into_iter().map(|grant| {
+            let heard = Grant {
+                version: grant.version,
+                guarantee: quota_heard(grant.guarantee),
+                granted: quota_heard(grant.granted),
+                target: quota_heard(grant.target),
+                lowered: grant.lowered,
+            };
+            (grant.team, heard)
+        });
+        CellAnswer {
+            from: message.from,
+            cells: message.cells,
+            teams: teams.collect(),
+        }
     }
 }
 
@@ -149,8 +157,8 @@
     pub async fn exchange(&self, cell: &str, statement: CellStatement) -> Option<CellAnswer> {
         let peer = self.cells.get(cell)?;
         let mut client = peer.nodes.get(peer.at.get())?.clone();
-        match client.exchange(statement_message(statement)).await {
-            Ok(answer) => Some(answer_heard(answer.into_inner())),
+        match client.exchange(proto::CellStatement::from(statement)).await {
+            Ok(answer) => Some(answer.into_inner().into()),
             Err(status) => {
                 tracing::debug!(cell, code = ?status.code(), "a cell did not answer");
                 peer.at.set((peer.at.get() + 1) % peer.nodes.len());
--- a/src/transport/mesh/cells/tests.rs
+++ b/src/transport/mesh/cells/tests.rs
@@ -37,8 +37,10 @@
             cells: cells.clone(),
             teams: vec![(team.clone(), position)],
         };
-        prop_assert_eq!(statement_heard(statement_message(statement.clone())), statement);
+        let message = proto::CellStatement::from(statement.clone());
+        prop_assert_eq!(CellStatement::from(message), statement);
         let answer = CellAnswer { from, cells, teams: vec![(team, grant)] };
-        prop_assert_eq!(answer_heard(answer_message(answer.clone())), answer);
+        let message = proto::CellAnswer::from(answer.clone());
+        prop_assert_eq!(CellAnswer::from(message), answer);
     }
 }
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -1,9 +1,13 @@
 //! Several cells that share teams' quotas: one controller each, with a state service, machines and links between them
 //! that are slow, cut or mended. At every start the team's use over all cells is held to its limit.
 
+#[path = "wire/mod.rs"]
+mod wire;
+
 use std::{
     cell::RefCell,
     collections::{BTreeMap, HashMap},
+    io::Write as _,
     rc::Rc,
     sync::{Arc, Mutex},
 };
@@ -29,6 +33,7 @@
     store::{Limits, Store},
 };
 use serde_json::json;
+use wire::{Channel, Sent, Trace};
 
 /// One way between two cells.
 const LINK: u64 = 150;
@@ -119,6 +124,37 @@
     quota_writes: u64,
     /// Messages between cells that were delivered.
     messages: Rc<RefCell<u64>>,
+    /// Over all that the cells sent, as it is on the wire.
+    sent: Trace,
+    /// What cells said to each other, while it is kept.
+    kept: Option<Vec<Sent>>,
+}
+
+/// With `CELL_DIGESTS=FILE`: what a test's cells sent has to have one of the digests there; with `WRITE_GOLDEN` as well
+/// it is added to them.
+impl Drop for World {
+    fn drop(&mut self) {
+        let Ok(file) = std::env::var("CELL_DIGESTS") else {
+            return;
+        };
+        if std::thread::panicking() {
+            return;
+        }
+        let digest = format!("{:016x}\n", self.sent.digest());
+        if std::env::var_os("WRITE_GOLDEN").is_some() {
+            let mut options = std::fs::OpenOptions::new();
+            let mut file = options
+                .create(true)
+                .append(true)
+                .open(file)
+                .expect("a file");
+            file.write_all(digest.as_bytes())
+                .expect("the file can be written");
+        } else {
+            let known = std::fs::read_to_string(&file).expect("the file can be read");
+            assert!(known.contains(&digest), "another digest than in {file}");
+        }
+    }
 }
 
 fn of_quotas(request: &StateRequest) -> bool {
@@ -178,6 +214,8 @@
             loses: false,
             quota_writes: 0,
             messages: Rc::default(),
+            sent: Trace::default(),
+            kept: None,
         };
         for cell in 0..cells {
             world.add_cell(config(cell, cells, &world.teams));
@@ -354,6 +392,15 @@
     }
 
     fn effect(&mut self, cell: usize, effect: Effect) {
+        let message = Sent::of(&effect);
+        let life = self.cells[cell].life;
+        self.sent.add(self.now, cell, life, &message);
+        let between = [Channel::CellStatement, Channel::CellAnswer];
+        if let Some(kept) = &mut self.kept
+            && between.contains(&message.channel)
+        {
+            kept.push(message);
+        }
         match effect {
             Effect::State { tag, request, .. } => {
                 let since = self.now;
@@ -583,8 +630,44 @@
     assert_eq!(world.used(), 24.0);
 }
 
+/// What cells store and say to each other while a limit changes, as files for `tests/golden.rs`.
+fn write_golden() {
+    let mut world = World::new(3, 24.0);
+    world.kept = Some(Vec::new());
+    world.run(5000);
+    world.submit(0, 1, 40);
+    world.submit(1, 2, 40);
+    world.configure(&[team(60.0)]);
+    world.limit(60.0);
+    world.run(10_000);
+    let mut records = String::new();
+    for cell in &world.cells {
+        let keys = cell.store.keys.iter();
+        for (key, (value, version, _)) in keys.filter(|(key, _)| key.starts_with("quota/")) {
+            let row = json!({"key": key, "value": value, "version": version});
+            records += &format!("{row}\n");
+        }
+    }
+    let kept = world.kept.take().expect("it was kept");
+    let mut messages = String::new();
+    for channel in [Channel::CellStatement, Channel::CellAnswer] {
+        let all = kept.iter().filter(|sent| sent.channel == channel);
+        let bodies = all.filter(|sent| !sent.body.is_empty()).step_by(7).take(6);
+        for sent in bodies {
+            let hex: String = sent.body.iter().map(|byte| format!("{byte:02x}")).collect();
+            messages += &format!("{}\t{}\t{hex}\n", channel.name(), sent.head);
+        }
+    }
+    let golden = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden");
+    std::fs::write(format!("{golden}/quota.jsonl"), records).expect("quota.jsonl");
+    std::fs::write(format!("{golden}/cell-messages.tsv"), messages).expect("cell-messages.tsv");
+}
+
 #[test]
 fn limits_change_within_six_seconds_up_and_down() {
+    if std::env::var_os("WRITE_GOLDEN").is_some() {
+        write_golden();
+    }
     let mut world = World::new(3, 24.0);
     world.run(5000);
     for cell in 0..3 {
--- /dev/null
+++ b/tests/golden.rs
@@ -0,0 +1,253 @@
+//! Formats as the version before the code was reworded wrote them, from files that it wrote (`tests/golden`, by
+//! `tests/histories/golden.rs` and `tests/cells.rs`): this version reads them and writes the same bytes.
+
+use std::{collections::BTreeSet, path::PathBuf};
+
+use dalelb::{
+    bookkeeping::{
+        quota::{HoldRecord, HomeRecord},
+        store,
+    },
+    config::Config,
+    coordination::{
+        CellAnswer, CellStatement, News, Progress, Revocation, Word, admission::Table,
+        quota::MembersRecord,
+    },
+    protocol::{
+        self,
+        cloud::{MachineNames, MachineTypes, RentRequest},
+        job::{JobView, Submission},
+        state::{LeaseRequest, Txn},
+        worker::{DirectOrders, Orders, Redirect, Report},
+    },
+    transport::mesh::proto,
+};
+use prost::Message;
+use serde::{Serialize, de::DeserializeOwned};
+use serde_json::Value;
+
+fn read(name: &str) -> String {
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden");
+    std::fs::read_to_string(path.join(name)).unwrap_or_else(|error| panic!("{name}: {error}"))
+}
+
+fn again<T: Serialize + DeserializeOwned>(value: &Value) -> Value {
+    let record: T = serde_json::from_value(value.clone()).expect("a record");
+    store::to_value(&record)
+}
+
+/// A stored value, read as what its key says that it is and written again.
+fn rewritten(key: &str, value: &Value) -> (&'static str, Value) {
+    if store::parse_job_key(key).is_some() {
+        return ("job", again::<store::JobRecord>(value));
+    }
+    if store::parse_part_key(key).is_some() {
+        return ("part", again::<String>(value));
+    }
+    if store::parse_deputy_key(key).is_some() {
+        return ("deputy", again::<store::DeputyRecord>(value));
+    }
+    if store::parse_slot_key(key).is_some() {
+        return ("log", again::<store::LogRecord>(value));
+    }
+    if store::parse_page_key(key).is_some() {
+        return ("page", again::<store::ChunkRecord>(value));
+    }
+    if store::is_images_key(key) {
+        return ("images", again::<store::ImagesRecord>(value));
+    }
+    if store::parse_quota_home_key(key).is_some() {
+        return ("home", again::<HomeRecord>(value));
+    }
+    if store::parse_quota_hold_key(key).is_some() {
+        return ("hold", again::<HoldRecord>(value));
+    }
+    match key {
+        store::LEADER => ("leader", again::<store::LeaderRecord>(value)),
+        store::TERM => ("term", again::<store::TermRecord>(value)),
+        store::TABLE => ("table", again::<Table>(value)),
+        store::QUOTA_CELLS => ("cells", again::<MembersRecord>(value)),
+        _ if key.starts_with(store::TYPES) => ("types", again::<MachineTypes>(value)),
+        _ => panic!("{key} is no key of ours"),
+    }
+}
+
+#[test]
+fn stored_records_are_read_and_written_again_to_the_byte() {
+    let mut kinds = BTreeSet::new();
+    let mut statuses = BTreeSet::new();
+    for name in ["store.jsonl", "pages.jsonl", "quota.jsonl"] {
+        for line in read(name).lines() {
+            let row: Value = serde_json::from_str(line).expect("a row");
+            let key = row["key"].as_str().expect("a key");
+            let (kind, value) = rewritten(key, &row["value"]);
+            assert_eq!(value.to_string(), row["value"].to_string(), "{key}");
+            kinds.insert(kind);
+            if kind == "job" {
+                statuses.insert(value["status"].as_str().expect("a status").to_owned());
+            }
+        }
+    }
+    let all = [
+        "cells", "deputy", "hold", "home", "images", "job", "leader", "log", "page", "part",
+        "table", "term", "types",
+    ];
+    assert_eq!(kinds, BTreeSet::from(all));
+    let all = ["cancelled", "done", "live", "split"].map(str::to_owned);
+    assert_eq!(statuses, BTreeSet::from(all));
+}
+
+fn bytes(hex: &str) -> Vec<u8> {
+    let digits = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex digits");
+    (0..hex.len()).step_by(2).map(digits).collect()
+}
+
+fn packed<T: Serialize + DeserializeOwned>(body: &[u8]) -> Vec<u8> {
+    let message: T = protocol::decode(body).expect("a message");
+    protocol::encode(&message)
+}
+
+/// A mesh message to this version's own type and back.
+fn mesh<M, T>(body: &[u8]) -> Vec<u8>
+where
+    M: Message + Default,
+    T: From<M>,
+    for<'a> M: From<&'a T>,
+{
+    let message = M::decode(body).expect("a message");
+    M::from(&T::from(message)).encode_to_vec()
+}
+
+fn owned_mesh<M, T>(body: &[u8]) -> Vec<u8>
+where
+    M: Message + Default + From<T>,
+    T: From<M>,
+{
+    let message = M::decode(body).expect("a message");
+    M::from(T::from(message)).encode_to_vec()
+}
+
+/// A message, read as what was sent to where, and written again.
+fn resent(channel: &str, head: &str, body: &[u8]) -> Vec<u8> {
+    let words: Vec<&str> = head.split(' ').collect();
+    match (channel, words.get(1).copied().unwrap_or_default()) {
+        ("report", _) => packed::<Report>(body),
+        ("submission", _) => {
+            let submission = Submission::from_body(body).expect("a submission");
+            protocol::encode(&submission)
+        }
+        ("user", "421") => packed::<Redirect>(body),
+        ("user", "200" | "201") if protocol::decode::<Orders>(body).is_ok() => {
+            packed::<Orders>(body)
+        }
+        ("user", "200" | "201") => packed::<JobView>(body),
+        ("user", _) => packed::<Value>(body),
+        ("state", "/txn") => packed::<Txn>(body),
+        ("state", "/holds") => packed::<LeaseRequest>(body),
+        ("state", path) => {
+            assert!(path.ends_with("/touch"), "{path}");
+            packed::<Value>(body)
+        }
+        ("cloud", "/machines") => packed::<RentRequest>(body),
+        ("cloud", "/machines/delete") => packed::<MachineNames>(body),
+        ("worker", "/commands") => packed::<DirectOrders>(body),
+        ("mesh-progress", _) => mesh::<proto::Progress, Progress>(body),
+        ("mesh-told", _) => mesh::<proto::Told, News>(body),
+        ("mesh-revocation", _) => owned_mesh::<proto::Revocation, Revocation>(body),
+        ("mesh-renewals", _) => owned_mesh::<proto::Renewals, Word>(body),
+        ("mesh-relay", _) => proto::Request::decode(body)
+            .expect("a request")
+            .encode_to_vec(),
+        ("cell-statement", _) => owned_mesh::<proto::CellStatement, CellStatement>(body),
+        ("cell-answer", _) => owned_mesh::<proto::CellAnswer, CellAnswer>(body),
+        other => panic!("{other:?} is not known"),
+    }
+}
+
+#[test]
+fn messages_are_read_and_written_again_to_the_byte() {
+    let mut channels = BTreeSet::new();
+    let mut paths = BTreeSet::new();
+    let text = read("messages.tsv") + &read("cell-messages.tsv");
+    for line in text.lines() {
+        let fields: Vec<&str> = line.split('\t').collect();
+        let [channel, head, hex] = fields[..] else {
+            panic!("{line} has other fields");
+        };
+        let body = bytes(hex);
+        assert_eq!(resent(channel, head, &body), body, "{line}");
+        channels.insert(channel);
+        if ["state", "cloud", "worker"].contains(&channel) {
+            paths.insert(head.split(' ').nth(1).expect("a path"));
+        }
+    }
+    let all = [
+        "cell-answer",
+        "cell-statement",
+        "cloud",
+        "mesh-progress",
+        "mesh-relay",
+        "mesh-renewals",
+        "mesh-revocation",
+        "mesh-told",
+        "report",
+        "state",
+        "submission",
+        "user",
+        "worker",
+    ];
+    assert_eq!(channels, BTreeSet::from(all));
+    for path in ["/txn", "/holds", "/machines", "/commands"] {
+        assert!(paths.contains(path), "no message to {path}: {paths:?}");
+    }
+}
+
+/// The mesh's service, methods and field numbers: versions side by side know each other by them.
+#[test]
+fn the_mesh_keeps_its_names_and_numbers() {
+    let now = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/proto/mesh.proto"));
+    let lines = |text: &str| -> Vec<String> {
+        let lines = text.lines().map(str::trim);
+        let lines = lines.filter(|line| !line.is_empty() && !line.starts_with("//"));
+        lines.map(str::to_owned).collect()
+    };
+    assert_eq!(lines(&now.expect("mesh.proto")), lines(&read("mesh.proto")));
+}
+
+#[test]
+fn settings_with_every_field_are_read() {
+    let config: Config = serde_json::from_str(&read("settings.json")).expect("settings");
+    assert_eq!(config.problems(), Vec::<String>::new());
+    assert_eq!((&config.label[..], &config.zone[..]), ("n0", "zone-a"));
+    assert_eq!(config.listen.to_string(), "10.0.0.1:8080");
+    assert_eq!(config.mesh_addr.to_string(), "10.0.0.1:8081");
+    let member = &config.members[0];
+    assert_eq!((&member.label[..], &member.zone[..]), ("n1", "zone-b"));
+    assert_eq!(member.address.to_string(), "10.0.0.2:8081");
+    assert_eq!(config.services.cloud.to_string(), "10.2.0.2:8443");
+    assert_eq!(config.services.state.to_string(), "10.2.0.1:2379");
+    let settings = &config.settings;
+    assert_eq!(settings.zones, ["zone-a", "zone-b"]);
+    let team = &settings.teams[0];
+    let amounts = (team.cpus, team.cpus_max, team.gpus, team.gpus_max);
+    assert_eq!((&team.name[..], amounts), ("red", (1.0, 2.0, 3.0, 4.0)));
+    let objective = &settings.objectives[0];
+    assert_eq!(objective.kind, "deadline");
+    assert_eq!(objective.class.as_deref(), Some("batch"));
+    let numbers = (objective.within_s, objective.times, objective.share);
+    assert_eq!(numbers, (Some(8.0), Some(1.5), Some(0.9)));
+    let workers = &settings.workers;
+    let times = (workers.report_s, workers.lease_s, workers.cancel_s);
+    assert_eq!(times, (2.5, 14.0, 34.0));
+    let state = &settings.state;
+    let limits = (state.rps, state.write_rps, state.value_kb, state.txn_ops);
+    assert_eq!(limits, (150.0, 60.0, 16.0, 48));
+    let next = state.next.expect("limits to come");
+    let limits = (next.rps, next.write_rps, next.value_kb, next.txn_ops);
+    assert_eq!(limits, (Some(100.0), Some(50.0), Some(2.0), Some(4)));
+    let cloud = (settings.cloud.rps, settings.cloud.list_lag_s);
+    assert_eq!(cloud, (3.0, 6.0));
+    let limits = (settings.limits.sockets, settings.limits.mem_mb);
+    assert_eq!(limits, (1500, 104.0));
+    assert_eq!(settings.clock_error_ms, 100.0);
+}
--- /dev/null
+++ b/tests/histories/golden.rs
@@ -0,0 +1,183 @@
+//! What the version before the code was reworded stored and sent, kept under `tests/golden`: this version takes it over.
+//!
+//! `WRITE_GOLDEN=1` writes the files anew. They are of use only as an earlier version wrote them.
+
+use std::path::PathBuf;
+
+use dalelb::metrics::Metrics;
+
+use super::{wire::Channel, *};
+
+/// A history in which small values make the log long, and how many seconds of it are played.
+const SEED: u64 = 8;
+const SECONDS: u64 = 100;
+/// Messages of each kind that are kept.
+const KEPT: usize = 4;
+/// How long the nodes have to take the store over, in milliseconds.
+const TAKEOVER: u64 = 3000;
+
+fn file(name: &str) -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name)
+}
+
+fn writes_golden() -> bool {
+    std::env::var_os("WRITE_GOLDEN").is_some()
+}
+
+/// A line a key, with its value, its version and the lease that it hangs on.
+fn dump(store: &Store, prefix: &str) -> String {
+    let rows = store.keys.iter().filter(|(key, _)| key.starts_with(prefix));
+    let lines = rows.map(|(key, (value, version, lease))| {
+        json!({"key": key, "value": value, "version": version, "lease": lease}).to_string()
+    });
+    lines.collect::<Vec<String>>().join("\n") + "\n"
+}
+
+/// What is sent, by where it goes and what it asks for.
+fn kind(sent: &Sent) -> String {
+    let mut words = sent.head.split([' ', '?']);
+    let verb = words.next().unwrap_or_default();
+    let path = words.next().unwrap_or_default();
+    let path: String = path.chars().filter(|c| !c.is_ascii_digit()).collect();
+    match sent.channel {
+        Channel::State => {
+            let first = sent.body.windows(4).find(|part| *part == b"set\xa8");
+            format!("state {verb} {path} {}", first.is_some())
+        }
+        Channel::Cloud | Channel::Worker => format!("{} {verb} {path}", sent.channel.name()),
+        Channel::User => format!("user {path} {}", sent.body.len() % 3),
+        other => other.name().to_owned(),
+    }
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// Some messages of each kind, a line each: the channel, what is sent beside the body, the body.
+fn messages(kept: &[Sent]) -> String {
+    let mut count: BTreeMap<String, usize> = BTreeMap::new();
+    let mut lines = BTreeSet::new();
+    for sent in kept.iter().filter(|sent| !sent.body.is_empty()) {
+        let seen = count.entry(kind(sent)).or_default();
+        *seen += 1;
+        if *seen <= KEPT {
+            let (channel, head) = (sent.channel.name(), &sent.head);
+            lines.insert(format!("{channel}\t{head}\t{}\n", hex(&sent.body)));
+        }
+    }
+    lines.into_iter().collect()
+}
+
+/// Writes the files: a whole store in the middle of a history, snapshots of a large job, messages, and reports.
+fn write_files() {
+    let mut world = World::new(SEED);
+    world.kept = Some(Vec::new());
+    let mut number = 0;
+    for second in 0..SECONDS {
+        troubled_second(&mut world, second, &mut number);
+    }
+    let store = dump(&world.store, "");
+    std::fs::write(file("store.jsonl"), store).expect("store.jsonl");
+    let reports = (0..world.workers.len()).map(|at| {
+        let body = protocol::encode(&world.report(at));
+        format!("report\t-\t{}\n", hex(&body))
+    });
+    let reports: String = reports.collect();
+    let submissions = world.jobs.values().take(KEPT).map(|(spec, _)| {
+        let body = protocol::encode(spec);
+        format!("submission\t-\t{}\n", hex(&body))
+    });
+    let submissions: String = submissions.collect();
+    let sent = messages(world.kept.as_deref().unwrap_or_default());
+    let all = [sent, reports, submissions].concat();
+    std::fs::write(file("messages.tsv"), all).expect("messages.tsv");
+    // Of a job with more tasks than are told again.
+    let mut world = small_fleet(SEED);
+    world.run_until(12_000);
+    let spec = Submission {
+        cpus: 0.01,
+        ram_gb: 0.01,
+        ..world.long_array(200, 12_000)
+    };
+    world.submit(spec);
+    // Of a submission that is too long for one value.
+    let mut types: Vec<String> = (0..150)
+        .map(|number| format!("kind-{number:020}"))
+        .collect();
+    types.push("c16".into());
+    let spec = Submission {
+        types: Some(types),
+        ..world.long_array(199, 2)
+    };
+    world.submit(spec);
+    let mut pages = String::new();
+    for step in 1..400 {
+        // Each of them makes the log longer.
+        let mut spec = world.long_array(200 + step, 1);
+        spec.estimate_s = 2.0;
+        spec.cpus = 0.1;
+        world.submit(spec);
+        world.run_until(13_000 + step * 300);
+        pages = dump(&world.store, "books/task/");
+        if pages.lines().count() > 5 {
+            break;
+        }
+    }
+    let pages: Vec<&str> = pages.lines().take(5).collect();
+    let split = ["shared/part/", "shared/job/j-000199"].map(|prefix| dump(&world.store, prefix));
+    let pages = pages.join("\n") + "\n" + &split.concat();
+    std::fs::write(file("pages.jsonl"), pages).expect("pages.jsonl");
+    std::fs::write(file("takeover.txt"), taken_over()).expect("takeover.txt");
+}
+
+/// Has nodes take the store over after all processes before them have ended, with no word from any worker: what the
+/// new leader makes of it, as it shows on `/metrics`, and what it tells the others.
+fn taken_over() -> String {
+    let mut world = World::new(SEED);
+    world.faults = false;
+    for worker in &mut world.workers {
+        worker.cut_until = FOR_GOOD;
+    }
+    let stored = std::fs::read_to_string(file("store.jsonl")).expect("store.jsonl");
+    for line in stored.lines() {
+        let row: Value = serde_json::from_str(line).expect("a row");
+        // What hung on their leases went with those.
+        if row["lease"].is_null() {
+            let version = row["version"].as_u64().expect("a version");
+            let key = row["key"].as_str().expect("a key").to_owned();
+            let entry = (row["value"].clone(), version, None);
+            world.store.keys.insert(key, entry);
+            world.store.revision = world.store.revision.max(version);
+        }
+    }
+    world.kept = Some(Vec::new());
+    world.run_until(TAKEOVER);
+    let leader = world.leader.expect("a node leads");
+    let metrics = Metrics::default();
+    let node = world.nodes[leader].as_mut().expect("it runs");
+    metrics.record(node.status(), 0);
+    let text = metrics.text();
+    let mut lines: Vec<&str> = text.lines().collect();
+    lines.sort_unstable();
+    let told = world.kept.iter().flatten();
+    let told = told.filter(|sent| sent.channel == Channel::MeshProgress);
+    let told = told.last().expect("the leader tells how far jobs are");
+    format!("{}\n{}\n", lines.join("\n"), hex(&told.body))
+}
+
+#[test]
+fn a_store_of_the_version_before_is_taken_over_with_the_same_state() {
+    if writes_golden() {
+        write_files();
+    }
+    let expected = std::fs::read_to_string(file("takeover.txt")).expect("takeover.txt");
+    let found = taken_over();
+    for (expected, found) in expected.lines().zip(found.lines()) {
+        assert_eq!(expected, found);
+    }
+    assert_eq!(expected, found);
+    assert!(expected.contains("dalelb_machines{state=\"up\"}"));
+}
--- a/tests/histories/main.rs
+++ b/tests/histories/main.rs
@@ -2,7 +2,10 @@
 //! cloud and of the workers, and a network that delays, loses, holds back and reorders. The rules of
 //! the protocol are checked at every start and after every answer.
 
+mod golden;
 mod meetings;
+#[path = "../wire/mod.rs"]
+mod wire;
 
 use std::{
     cmp::Reverse,
@@ -25,6 +28,7 @@
 use dalelb_standin::store::{Limits, Store};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use serde_json::{Value, json};
+use wire::{Sent, Trace};
 
 const NODES: usize = 3;
 const LIMIT: f64 = 24.0;
@@ -350,8 +354,12 @@
     /// Of each team, replica seconds that were asked for, and those of them in which it was up.
     replicas: [(u64, u64); 2],
     flood: HashSet<JobId>,
-    /// Over all that the nodes sent, in order.
+    /// Over all that the nodes decided, in order, with what they keep to themselves.
     trace: DefaultHasher,
+    /// Over all that the nodes sent, in order, as it is on the wire.
+    sent: Trace,
+    /// Messages as they were sent, while they are kept.
+    kept: Option<Vec<Sent>>,
     /// Chance that a command to a worker is late, though within its sender's patience.
     late_orders: f64,
     faults: bool,
@@ -437,6 +445,8 @@
             replicas: [(0, 0); 2],
             flood: HashSet::new(),
             trace: DefaultHasher::new(),
+            sent: Trace::default(),
+            kept: None,
             late_orders: [0.0, 0.1, 0.4][(seed / 3) as usize % 3],
             faults: true,
             leader: None,
@@ -675,6 +685,11 @@
     fn perform(&mut self, index: usize, life: u64, effect: Effect) {
         let sent = self.now - self.born[index];
         format!("{effect:?}").hash(&mut self.trace);
+        let message = Sent::of(&effect);
+        self.sent.add(self.now, index, life, &message);
+        if let Some(kept) = &mut self.kept {
+            kept.push(message);
+        }
         match effect {
             Effect::State {
                 tag,
@@ -2136,55 +2151,70 @@
 /// the troubles that `World` counts.
 type Seen = [usize; 17];
 
-/// Plays a history; what happened, and what all that was sent hashes to.
-fn play(seed: u64) -> (Seen, u64) {
-    let mut world = World::new(seed);
-    let mut number = 0;
-    for second in 0..180 {
-        world.run_until((second + 1) * 1000);
-        if second % 4 == 0 {
-            number += 1;
-            let spec = world.some_stage(number);
+/// One second of a history in which things fail: jobs are submitted, asked for and cancelled. `number` is that of
+/// the last job.
+fn troubled_second(world: &mut World, second: u64, number: &mut u64) {
+    world.run_until((second + 1) * 1000);
+    if second % 4 == 0 {
+        *number += 1;
+        let spec = world.some_stage(*number);
+        world.submit(spec);
+    }
+    if world.floods(second) {
+        for _ in 0..world.rng.random_range(20..60) {
+            *number += 1;
+            let spec = world.small_task(*number);
             world.submit(spec);
         }
-        if world.floods(second) {
-            for _ in 0..world.rng.random_range(20..60) {
-                number += 1;
-                let spec = world.small_task(number);
-                world.submit(spec);
-            }
-        }
-        // Many while the state service refuses the leader alone, and soon everybody.
-        let cancelled = if world.outage_at.is_some() {
-            0.1
-        } else {
-            0.008
-        };
-        let ids: Vec<JobId> = world.jobs.keys().copied().collect();
-        for id in ids {
-            // Those of a flood ask now and then, and come back when they were told to.
-            if world.flood.contains(&id) && !world.comes_back(id) {
-                continue;
-            }
-            if world.rng.random_bool(0.2) {
-                world.ask(id, Ask::Poll(id));
-            }
-            let (spec, told) = &world.jobs[&id];
-            let retry = (!told.accepted).then(|| Box::new(spec.clone()));
-            if let Some(spec) = retry {
-                world.ask(id, Ask::Submit(spec));
-            } else if world.rng.random_bool(cancelled) {
-                world.ask(id, Ask::Cancel(id));
-            }
+    }
+    // Many while the state service refuses the leader alone, and soon everybody.
+    let cancelled = if world.outage_at.is_some() {
+        0.1
+    } else {
+        0.008
+    };
+    let ids: Vec<JobId> = world.jobs.keys().copied().collect();
+    for id in ids {
+        // Those of a flood ask now and then, and come back when they were told to.
+        if world.flood.contains(&id) && !world.comes_back(id) {
+            continue;
         }
-        world.count_replicas();
-        if seed % 5 == 1 && second == 40 {
-            world.refuse_all();
+        if world.rng.random_bool(0.2) {
+            world.ask(id, Ask::Poll(id));
         }
-        if second > 10 && world.rng.random_bool(0.12) {
-            world.fault();
+        let (spec, told) = &world.jobs[&id];
+        let retry = (!told.accepted).then(|| Box::new(spec.clone()));
+        if let Some(spec) = retry {
+            world.ask(id, Ask::Submit(spec));
+        } else if world.rng.random_bool(cancelled) {
+            world.ask(id, Ask::Cancel(id));
         }
     }
+    world.count_replicas();
+    if world.seed % 5 == 1 && second == 40 {
+        world.refuse_all();
+    }
+    if second > 10 && world.rng.random_bool(0.12) {
+        world.fault();
+    }
+}
+
+/// What a history comes to.
+struct Played {
+    seen: Seen,
+    /// Of all that was decided, comparable within one version of the code.
+    trace: u64,
+    /// Of all that was sent, comparable between versions.
+    sent: u64,
+}
+
+/// Plays a history.
+fn play(seed: u64) -> Played {
+    let mut world = World::new(seed);
+    let mut number = 0;
+    for second in 0..180 {
+        troubled_second(&mut world, second, &mut number);
+    }
     // Once nothing fails any more, every array completes, given room.
     world.faults = false;
     world.frozen.fill(0);
@@ -2260,7 +2290,11 @@
         world.muted,
         world.held_up,
     ];
-    (seen, world.trace.finish())
+    Played {
+        seen,
+        trace: world.trace.finish(),
+        sent: world.sent.digest(),
+    }
 }
 
 /// `LOG_LEVEL` shows what the nodes say, to explain a broken rule.
@@ -2273,6 +2307,27 @@
         .try_init();
 }
 
+/// With `HISTORY_DIGESTS=FILE`: writes what each seed's nodes sent, as a digest, or compares it with the file when it
+/// is there already. A change of the code that is to change no behaviour changes none of them.
+fn compare_digests(digests: &BTreeMap<u64, u64>) {
+    let Ok(file) = std::env::var("HISTORY_DIGESTS") else {
+        return;
+    };
+    let lines = |(seed, digest): (&u64, &u64)| format!("{seed} {digest:016x}\n");
+    let found: Vec<String> = digests.iter().map(lines).collect();
+    match std::fs::read_to_string(&file) {
+        Ok(expected) => {
+            let differ = |line: &&String| !expected.contains(line.as_str());
+            let differ: Vec<&String> = found.iter().filter(differ).collect();
+            assert!(
+                differ.is_empty(),
+                "other digests than in {file}: {differ:?}"
+            );
+        }
+        Err(_) => std::fs::write(&file, found.concat()).expect("the file can be written"),
+    }
+}
+
 #[test]
 fn no_rule_breaks_whatever_fails() {
     logging();
@@ -2282,6 +2337,7 @@
     let seeds: Vec<u64> = (first..number("HISTORIES").unwrap_or(64)).collect();
     let at_once = std::thread::available_parallelism().map_or(1, |n| n.get());
     let (mut seen, mut broken) = ([0; 17], Vec::new());
+    let mut digests = BTreeMap::new();
     for seeds in seeds.chunks(at_once) {
         std::thread::scope(|scope| {
             // A panic tells its thread's name, so the seed.
@@ -2290,19 +2346,23 @@
                 .map(|seed| {
                     std::thread::Builder::new()
                         .name(format!("seed {seed}"))
-                        .spawn_scoped(scope, || play(*seed).0)
+                        .spawn_scoped(scope, || play(*seed))
                         .expect("a thread")
                 })
                 .collect();
             for (seed, played) in seeds.iter().zip(played) {
                 match played.join() {
-                    Ok(counts) => (0..17).for_each(|each| seen[each] += counts[each]),
+                    Ok(played) => {
+                        (0..17).for_each(|each| seen[each] += played.seen[each]);
+                        digests.insert(*seed, played.sent);
+                    }
                     Err(_) => broken.push(*seed),
                 }
             }
         });
     }
     assert!(broken.is_empty(), "broken with seeds {broken:?}");
+    compare_digests(&digests);
     let [
         relayed,
         frozen,
@@ -2346,7 +2406,9 @@
 #[test]
 fn the_same_history_plays_the_same() {
     for seed in [3, 15] {
-        assert_eq!(play(seed).1, play(seed).1, "seed {seed}");
+        let (first, second) = (play(seed), play(seed));
+        assert_eq!(first.trace, second.trace, "seed {seed}");
+        assert_eq!(first.sent, second.sent, "seed {seed}");
     }
 }
 
