--- a/crates/ways/src/main.rs
+++ b/crates/admission-simulation/src/main.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use dalelb::coordination::admission::table::{self, Class, Demand, Following, SETTLED};
+use dalelb::coordination::admission::quotas::{self, Class, Demand, Following, SETTLED};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 const NODES: usize = 3;
@@ -181,7 +181,7 @@
 struct Tabled {
     following: Vec<Following>,
     synced: [u64; NODES],
-    stored: Option<table::Table>,
+    stored: Option<quotas::Table>,
     stored_at: u64,
     demand: [[f64; CLASSES]; NODES],
     tokens: [[f64; CLASSES]; NODES],
@@ -227,8 +227,8 @@
             })
             .collect();
         let seq = self.stored.as_ref().map_or(1, |table| table.seq + 1);
-        let floor = table::floor(takes);
-        let table = table::split(&demands, floor, (seq, 1), 20);
+        let floor = quotas::floor(takes);
+        let table = quotas::split(&demands, floor, (seq, 1), 20);
         let table = table.after(self.stored.as_ref(), takes, floor);
         if self
             .stored
@@ -254,7 +254,7 @@
         let mut all = Vec::new();
         for (node, knocks) in knocks.iter().enumerate() {
             let label = format!("n{node}");
-            let shares = (takes, table::floor(takes));
+            let shares = (takes, quotas::floor(takes));
             let parts = self.following[node].parts(&label, shares, Some(self.synced[node]), now);
             if !cut[node] {
                 if let Some(table) = &self.stored {
--- a/crates/standin/src/state_service.rs
+++ b/crates/emulators/src/state_service.rs
@@ -9,8 +9,8 @@
 
 use bytes::Bytes;
 use dalelb::{
-    bookkeeping::store as schema,
     protocol::{self, state::*},
+    storage as schema,
 };
 use http::Response;
 use serde::{Deserialize, Serialize};
--- a/crates/scale/src/drill.rs
+++ b/crates/load-test/src/drill.rs
@@ -189,7 +189,7 @@
         while !self.over.load(Ordering::Relaxed) {
             clock.tick().await;
             if let Err(error) = self.change(&drill) {
-                eprintln!("dalelb-scale: {error}");
+                eprintln!("dalelb-load-test: {error}");
             }
         }
     }
--- a/crates/scale/src/experiment.rs
+++ b/crates/load-test/src/experiment.rs
@@ -276,7 +276,7 @@
 
 /// A directory for settings and logs, new for each run of the tool.
 pub fn work_directory(parent: &Path) -> Result<PathBuf, RunError> {
-    let directory = parent.join(format!("dalelb-scale-{}", std::process::id()));
+    let directory = parent.join(format!("dalelb-load-test-{}", std::process::id()));
     std::fs::create_dir_all(&directory).map_err(|source| RunError::Write {
         path: directory.display().to_string(),
         source,
--- a/crates/scale/src/main.rs
+++ b/crates/load-test/src/main.rs
@@ -47,7 +47,7 @@
 /// Exit codes: 0 done; 2 bad arguments or files; 3 an experiment failed; 4 a rule was broken; 5 the page is
 /// outdated; 130 interrupted. What was measured until then is kept in every case.
 #[derive(Parser)]
-#[command(name = "dalelb-scale", version, about, long_about)]
+#[command(name = "dalelb-load-test", version, about, long_about)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -131,7 +131,7 @@
 
 /// One clear line, and the code.
 fn fail(error: &dyn std::fmt::Display, code: u8) -> ExitCode {
-    eprintln!("dalelb-scale: {error}");
+    eprintln!("dalelb-load-test: {error}");
     ExitCode::from(code)
 }
 
--- a/crates/scale/src/measure.rs
+++ b/crates/load-test/src/measure.rs
@@ -7,7 +7,7 @@
     ids::{JobId, TaskId},
     worker::{Report, TaskReport, TaskState},
 };
-use dalelb_standin::state_service::Counters;
+use dalelb_emulators::state_service::Counters;
 use serde::{Deserialize, Serialize};
 
 use crate::{
--- a/crates/scale/src/region.rs
+++ b/crates/load-test/src/region.rs
@@ -7,9 +7,11 @@
     time::Duration,
 };
 
-use dalelb::bookkeeping::store::{self, JobRecord};
-use dalelb::protocol::ids::JobId;
-use dalelb_standin::{
+use dalelb::{
+    protocol::ids::JobId,
+    storage::{self, JobRecord},
+};
+use dalelb_emulators::{
     cloud::{Cloud, machine_type},
     fleet::{Fleet, FleetSettings},
     link::{Link, Traffic},
@@ -434,9 +436,9 @@
     let ended = JobRecord::Done {
         at_ms: Some(1_700_000_000_000),
     };
-    let ended = store::to_value(&ended);
+    let ended = storage::to_value(&ended);
     let ids = (0..experiment.finished_jobs as u64).map(|number| JobId(FINISHED_IDS + number));
-    state.preload(ids.map(|id| (store::job_key(id), ended.clone())));
+    state.preload(ids.map(|id| (storage::job_key(id), ended.clone())));
     Ok(state)
 }
 
--- a/crates/scale/src/rules.rs
+++ b/crates/load-test/src/rules.rs
@@ -8,7 +8,7 @@
 };
 
 use dalelb::protocol::ids::{JobId, TaskId};
-use dalelb_standin::machine::{TaskEvent, TaskSpec, Tasks};
+use dalelb_emulators::machine::{TaskEvent, TaskSpec, Tasks};
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
--- a/crates/scale/src/users.rs
+++ b/crates/load-test/src/users.rs
@@ -10,7 +10,7 @@
 };
 
 use dalelb::protocol::{self, ids::JobId, job::*};
-use dalelb_standin::{
+use dalelb_emulators::{
     link::{Link, Traffic},
     machine::TaskSpec,
 };
--- a/crates/scale/tests/common/mod.rs
+++ b/crates/load-test/tests/common/mod.rs
@@ -17,5 +17,5 @@
         .status()
         .expect("cargo runs");
     assert!(built.success());
-    Path::new(env!("CARGO_BIN_EXE_dalelb-scale")).with_file_name("dalelb")
+    Path::new(env!("CARGO_BIN_EXE_dalelb-load-test")).with_file_name("dalelb")
 }
--- a/crates/scale/tests/drill.rs
+++ b/crates/load-test/tests/drill.rs
@@ -44,7 +44,7 @@
     };
     let (settings, result) = (name("toml"), name("json"));
     fs::write(&settings, SETTINGS).expect("a settings file");
-    let output = Command::new(env!("CARGO_BIN_EXE_dalelb-scale"))
+    let output = Command::new(env!("CARGO_BIN_EXE_dalelb-load-test"))
         .arg("run")
         .arg("--settings")
         .arg(&settings)
--- a/crates/scale/tests/ends.rs
+++ b/crates/load-test/tests/ends.rs
@@ -33,7 +33,7 @@
     }
 
     fn start(&self, controller: &Path) -> Child {
-        Command::new(env!("CARGO_BIN_EXE_dalelb-scale"))
+        Command::new(env!("CARGO_BIN_EXE_dalelb-load-test"))
             .arg("run")
             .arg("--settings")
             .arg(&self.settings)
@@ -60,7 +60,7 @@
 
 /// Whether a controller with settings of that run is there.
 fn controllers_of(run: u32) -> bool {
-    let mark = format!("dalelb-scale-{run}/");
+    let mark = format!("dalelb-load-test-{run}/");
     let processes = fs::read_dir("/proc").expect("processes");
     let commands = processes
         .flatten()
--- a/crates/scale/tests/page.rs
+++ b/crates/load-test/tests/page.rs
@@ -11,7 +11,7 @@
 }
 
 fn scale(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_dalelb-scale"))
+    Command::new(env!("CARGO_BIN_EXE_dalelb-load-test"))
         .args(arguments)
         .current_dir(root())
         .output()
@@ -21,9 +21,10 @@
 /// The command that the page names.
 fn page_command() -> Vec<String> {
     let page = fs::read_to_string(root().join("docs/CAPACITY.md")).expect("the page");
-    let line = page
-        .lines()
-        .find_map(|line| line.trim().strip_prefix("cargo run -p dalelb-scale -- "));
+    let line = page.lines().find_map(|line| {
+        line.trim()
+            .strip_prefix("cargo run -p dalelb-load-test -- ")
+    });
     let line = line.expect("the page names its command");
     line.split_whitespace().map(str::to_owned).collect()
 }
@@ -59,7 +60,7 @@
 
 #[test]
 fn a_mistake_is_told_on_one_line_with_code_2() {
-    let path = std::env::temp_dir().join(format!("dalelb-scale-{}.toml", std::process::id()));
+    let path = std::env::temp_dir().join(format!("dalelb-load-test-{}.toml", std::process::id()));
     for (text, named) in [
         ("[base]\nworkers = 0\n", "workers"),
         ("[base]\nwrokers = 1\n", "wrokers"),
--- a/crates/served/src/log/tests.rs
+++ b/crates/service-report/src/log/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 const LOG: &str = r#"
-  10.0 n1 INFO dalelb::coordination::users: accepted job=j-000001 kind=Array class="thumbs" team="lab" tasks=4 cpus=0.5 gpus=0.0 estimate_s=10.0 awaits=[] due_s=9.0
-  11.0 n1 INFO dalelb::coordination::users: accepted job=j-000002 kind=Array class="thumbs" team="lab" tasks=4 cpus=0.5 gpus=0.0 estimate_s=10.0 awaits=[j-000001, j-000003]
-  12.0 n2 INFO dalelb::coordination::users: accepted job=j-000003 kind=Service class="front" team="web" tasks=2 cpus=4.0 gpus=0.0 estimate_s=0.0 awaits=[]
+  10.0 n1 INFO dalelb::coordination::user_requests: accepted job=j-000001 kind=Array class="thumbs" team="lab" tasks=4 cpus=0.5 gpus=0.0 estimate_s=10.0 awaits=[] due_s=9.0
+  11.0 n1 INFO dalelb::coordination::user_requests: accepted job=j-000002 kind=Array class="thumbs" team="lab" tasks=4 cpus=0.5 gpus=0.0 estimate_s=10.0 awaits=[j-000001, j-000003]
+  12.0 n2 INFO dalelb::coordination::user_requests: accepted job=j-000003 kind=Service class="front" team="web" tasks=2 cpus=4.0 gpus=0.0 estimate_s=0.0 awaits=[]
   13.0 n1 INFO dalelb::coordination::admission: served team="lab" class="thumbs" came=3 sent_away=2 given_up=0 started=5 done=4 gave_way=1
-  14.0 n1 INFO dalelb::coordination::notes: done job=j-000001
+  14.0 n1 INFO dalelb::coordination::leader_log: done job=j-000001
   20.0 n2 INFO dalelb::coordination::admission: served team="lab" class="thumbs" came=3 sent_away=2 given_up=2 started=1 done=0 gave_way=0
   21.0 n2 INFO dalelb::coordination::admission: served team="web" class="front" came=1 sent_away=0 given_up=0 started=1 done=0 gave_way=0
 2026-12-01T00:00:00Z INFO dalelb::daemon: starting
--- a/src/bookkeeping/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -2,12 +2,13 @@
 
 use std::collections::HashMap;
 
-use super::{
-    Millis,
-    books::{Amounts, Books, Job, JobIx, MachineIx, MachineState, Phase, QueueKey, TypeIx, ZoneIx},
-    millis,
+use crate::{
+    cluster::{
+        Amounts, Books, Job, JobIx, MachineIx, MachineState, Phase, QueueKey, TypeIx, ZoneIx,
+    },
+    protocol::job::Kind,
+    time::{Millis, millis},
 };
-use crate::protocol::job::Kind;
 
 /// What can be rented: a type in a zone, spot or not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
--- a/src/bookkeeping/blame.rs
+++ b/src/cluster/fault_attribution.rs
@@ -2,9 +2,9 @@
 //! submitted with a mistake fails on every machine. What tells them apart is who else fails where, and
 //! who gets anywhere elsewhere.
 
-use super::{
-    Millis,
-    books::{Books, Job, JobIx, MachineIx, MachineState, Phase, TaskStatus},
+use crate::{
+    cluster::{Books, Job, JobIx, MachineIx, MachineState, Phase, TaskStatus},
+    time::Millis,
 };
 
 /// Machines on which a job must have failed, none of which failed another job that is not at fault
--- a/src/bookkeeping/blame/tests.rs
+++ b/src/cluster/fault_attribution/tests.rs
@@ -3,13 +3,11 @@
 
 use super::*;
 use crate::{
-    bookkeeping::{
-        books::TypeIx,
-        scheduler::{self, Whose},
-        store::images_records,
-    },
+    cluster::TypeIx,
     config::Settings,
     protocol::{cloud::MachineType, ids::JobId, job::Submission},
+    scheduling::{self, Whose},
+    storage::images_records,
 };
 
 fn fleet(machines: usize) -> Books {
@@ -59,7 +57,7 @@
         if step % 4 == 0 {
             submit(&mut books, step / 4, 20);
         }
-        scheduler::round(&mut books, now);
+        scheduling::round(&mut books, now);
         for on in (0..30).map(MachineIx) {
             for at in (0..books.machine(on).attempts.len()).rev() {
                 let attempt = &books.machine(on).attempts[at];
@@ -90,9 +88,9 @@
     let machines = (0..30).filter(|at| books.machines[*at].draining);
     let machines = machines.collect();
     // Nobody gives way for them, and a successor is told.
-    assert!(scheduler::preempt(&books, 200_000, Whose::All).is_empty());
+    assert!(scheduling::preempt(&books, 200_000, Whose::All).is_empty());
     for machine in &mut books.machines {
-        machine.images.push((super::super::books::ImageIx(0), 0.1));
+        machine.images.push((crate::cluster::ImageIx(0), 0.1));
     }
     let told: Vec<JobId> = images_records(&books, 16_000)
         .into_iter()
--- a/src/bookkeeping/books.rs
+++ b/src/cluster/mod.rs
@@ -4,10 +4,13 @@
 //! machine's room) until it is *known* to be gone: a newer report denies it and no start of it can
 //! still be on its way, or the machine's lease has surely run out, or the cloud deleted the machine.
 
+pub mod fault_attribution;
+pub mod straggler;
+
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-use super::{Millis, dues::Dues, millis, pace::Mean, store::PageNumber};
 use crate::{
+    cluster::straggler::Mean,
     config::{Objective, Settings},
     protocol::{
         cloud::MachineType,
@@ -15,6 +18,9 @@
         job::{Kind, Priority, Submission},
         worker::Cause,
     },
+    scheduling::fair_share::Dues,
+    storage::PageNumber,
+    time::{Millis, millis},
 };
 
 macro_rules! index {
@@ -588,7 +594,7 @@
             machines: Vec::new(),
             machine_index: HashMap::new(),
             remembered: HashMap::new(),
-            chunk_len: super::store::chunk_len(settings.state.value_kb),
+            chunk_len: crate::storage::chunk_len(settings.state.value_kb),
             unlogged: BTreeSet::new(),
             logging: BTreeSet::new(),
             attention: BTreeSet::new(),
--- a/src/coordination/admission/door.rs
+++ b/src/coordination/admission/controller.rs
@@ -9,8 +9,11 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use super::table::{Class, Parts};
-use crate::{bookkeeping::Millis, protocol::ids::JobId};
+use crate::{
+    coordination::admission::quotas::{Class, Parts},
+    protocol::ids::JobId,
+    time::Millis,
+};
 
 /// Users try again for this long, by the protocol, and wait for as long as they are told at the most.
 const TRIES: Millis = 60_000;
--- a/src/coordination/admission/mod.rs
+++ b/src/coordination/admission/mod.rs
@@ -4,26 +4,30 @@
 //! `table` is the agreement, `door` what one node does by it, `order` what gives way first. Here they meet the
 //! node: submissions ask at the door, nodes tell the leader what comes to them, and it stores the next table.
 
-mod door;
-pub mod order;
-pub mod table;
+mod controller;
+pub mod load_shedding;
+pub mod quotas;
 
 use std::collections::BTreeMap;
 
-pub use door::Counts;
-use door::{Door, Knock};
-use order::Rank;
-pub use table::{Class, Table};
-use table::{Demand, Following, Parts, SETTLED};
+pub use controller::Counts;
+use controller::{Door, Knock};
+use load_shedding::Rank;
+pub use quotas::{Class, Table};
+use quotas::{Demand, Following, Parts, SETTLED};
 
-use super::{Answer, AskId, Effect, Node, StateTag, writes::TXN_TIMEOUT};
+use super::{Answer, AskId, Effect, Node, StateTag};
 use crate::{
-    bookkeeping::{Millis, books::Books, dues::Standing, store},
+    cluster::Books,
+    coordination::write_outcome::TXN_TIMEOUT,
     protocol::{
         ids::JobId,
         job::Submission,
         state::{Condition, StateError, StateReply, StateRequest, Urgency, Write},
     },
+    scheduling::fair_share::Standing,
+    storage,
+    time::Millis,
 };
 
 const LOOK: Millis = 250;
@@ -165,14 +169,14 @@
     fn takes(&self, leads: bool) -> f64 {
         let state = &self.config.settings.state;
         let nodes = self.config.members.len() as f64 + 1.0;
-        let shares = super::shares::of(nodes, leads);
+        let shares = crate::coordination::rate_limit_shares::of(nodes, leads);
         let part = if leads { LEADERS_PART } else { FOLLOWERS_PART };
         part * (shares.writes * state.write_rps).min(shares.requests * state.rps)
     }
 
     pub(super) fn parts(&self) -> Parts {
         let least = self.takes(false).min(self.takes(true));
-        let (equal, floor) = (least, table::floor(least));
+        let (equal, floor) = (least, quotas::floor(least));
         let following = &self.admission.following;
         following.parts(&self.config.label, (equal, floor), self.sync.ok, self.now)
     }
@@ -371,7 +375,7 @@
             None => (None, 0),
         };
         let equal = self.takes(false).min(self.takes(true));
-        let floor = table::floor(equal);
+        let floor = quotas::floor(equal);
         let demands = self.demands(floor);
         let names: usize = demands
             .values()
@@ -383,7 +387,7 @@
         let bytes = self.config.settings.state.value_bytes();
         let most = bytes.saturating_sub(TABLE_SPARE + 72 * demands.len()) / each;
         let seq = known.map_or(0, |table| table.seq) + 1;
-        let table = table::split(&demands, floor, (seq, leading.term), most);
+        let table = quotas::split(&demands, floor, (seq, leading.term), most);
         let table = table.after(known, equal, floor);
         if known.is_some_and(|known| !table.differs(known, WORTH)) {
             return;
@@ -398,12 +402,12 @@
         let Some(leading) = &self.leading else { return };
         let mut txn = crate::protocol::state::Txn::only_if(leading.condition());
         txn.conditions.push(Condition {
-            key: store::TABLE.into(),
+            key: storage::TABLE.into(),
             version,
         });
         txn.writes.push(Write::Put {
-            key: store::TABLE.into(),
-            value: store::to_value(table),
+            key: storage::TABLE.into(),
+            value: storage::to_value(table),
             lease: None,
         });
         self.admission.storing = true;
--- a/src/coordination/admission/table.rs
+++ b/src/coordination/admission/quotas.rs
@@ -11,7 +11,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::bookkeeping::Millis;
+use crate::time::Millis;
 
 /// How old a table has to be before what it adds is taken, in milliseconds. Tables are stored further apart.
 pub const SETTLED: Millis = 5000;
--- a/src/coordination/admission/tests.rs
+++ b/src/coordination/admission/tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 use crate::{
-    bookkeeping::store::JobRecord,
-    coordination::{Ask, Command, Now, directory},
+    coordination::{Ask, Command, Now, registry},
     protocol::{job::Kind, state::Changes},
+    storage::JobRecord,
 };
 
 /// A node that has synced, of three.
@@ -23,7 +23,7 @@
     }));
     let mut node = Node::new(config.expect("valid settings"));
     node.directory.load_for_test();
-    node.loading = directory::Loading::Done;
+    node.loading = registry::Loading::Done;
     let kind = json!({"sku": "c16", "cpus": 16.0, "ram_gb": 64.0, "hourly": 1.0,
         "ready_s": 10.0, "pull_gb_per_s": 1.0, "local_gb": 50.0, "yards": ["a"]});
     node.types = vec![serde_json::from_value(kind).expect("a machine type")];
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -4,16 +4,16 @@
 
 use super::{Answer, AskId, Effect, Leading, Node, Revocation, SilentMachine, Word, WorkerTag};
 use crate::{
-    bookkeeping::{
-        Millis, blame,
-        books::{Attempt, Books, MachineIx, MachineState, Phase, TaskStatus, TypeIx},
-        millis, pace,
+    cluster::{
+        Attempt, Books, MachineIx, MachineState, Phase, TaskStatus, TypeIx, fault_attribution,
+        straggler,
     },
     protocol::{
         ids::TaskId,
         job::Kind,
         worker::{Cause, DirectOrders, Order, Orders, Report, TaskReport, TaskState, WorkerReply},
     },
+    time::{Millis, millis},
 };
 
 /// A member's word about a machine that is silent.
@@ -581,7 +581,7 @@
         if attempt.phase == Phase::Running
             && attempt
                 .running_since
-                .is_some_and(|since| since + blame::RAN <= now)
+                .is_some_and(|since| since + fault_attribution::RAN <= now)
             && !books.job(index).failed_on.is_empty()
         {
             books.got_somewhere(index);
@@ -649,7 +649,7 @@
             books.got_somewhere(job);
             if let Some(ran) = ran {
                 let (job, machine) = (&mut books.jobs[job.at()], &mut books.machines[on.at()]);
-                if pace::completed(&mut job.pace, &mut machine.pace, ran as f64 / 1000.0) {
+                if straggler::completed(&mut job.pace, &mut machine.pace, ran as f64 / 1000.0) {
                     books.replace(on, SLOW_PART, "is slow");
                 }
             }
@@ -671,7 +671,7 @@
 fn react(
     books: &mut Books,
     on: MachineIx,
-    index: crate::bookkeeping::books::JobIx,
+    index: crate::cluster::JobIx,
     cause: Cause,
     now: Millis,
 ) {
@@ -697,7 +697,7 @@
         let ran_s = now.saturating_sub(since) as f64 / 1000.0;
         Some((&books.job(attempt.job).pace, ran_s))
     });
-    pace::drags(running)
+    straggler::drags(running)
 }
 
 /// Attempts that are to stop and whose start was never sent need no orders.
--- a/src/coordination/fleet/tests.rs
+++ b/src/coordination/fleet/tests.rs
@@ -1,9 +1,7 @@
 use super::*;
 use crate::{
-    bookkeeping::{books::JobIx, store::JobNote},
-    config::Settings,
-    coordination::takeover::over,
-    protocol::ids::JobId,
+    cluster::JobIx, config::Settings, coordination::takeover::over, protocol::ids::JobId,
+    storage::JobNote,
 };
 use serde_json::json;
 
--- a/src/coordination/pipelines.rs
+++ b/src/coordination/job_graph.rs
@@ -3,23 +3,20 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use super::{
-    Node, StateTag,
-    directory::{Directory, LiveJob},
-    writes::{Fate, TXN_TIMEOUT},
-};
 use crate::{
-    bookkeeping::{
-        Millis,
-        books::{Books, ESTIMATE_MARGIN, Pull},
-        millis,
-        store::JobRecord,
+    cluster::{Books, ESTIMATE_MARGIN, Pull},
+    coordination::{
+        Node, StateTag,
+        registry::{Directory, LiveJob},
+        write_outcome::{Fate, TXN_TIMEOUT},
     },
     protocol::{
         ids::JobId,
         job::Submission,
         state::{StateError, StateReply, StateRequest, Txn, Urgency},
     },
+    storage::JobRecord,
+    time::{Millis, millis},
 };
 
 /// Least time between two batches of ends.
--- a/src/coordination/pipelines/tests.rs
+++ b/src/coordination/job_graph/tests.rs
@@ -63,7 +63,7 @@
     for (id, over) in [(5, vec![2]), (4, vec![2, 3])] {
         directory.put_job(JobId(id), JobRecord::Cancelled, 9);
         let over = over.into_iter().map(JobId).collect();
-        super::pull(&directory, &mut pulls, &mut books, over, 0);
+        crate::coordination::job_graph::pull(&directory, &mut pulls, &mut books, over, 0);
     }
     let low = Some(Pull {
         priority: Priority::Low,
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -7,29 +7,26 @@
 use std::collections::HashMap;
 
 use super::{
-    Effect, JobProgress, Node, Progress, StateTag,
-    directory::Entry,
-    fleet::Ack,
-    notes::Notes,
-    pipelines::Ends,
-    quota::Quotas,
-    reach::Reach,
-    renting::Renting,
-    takeover::Found,
-    writes::{Fate, TXN_TIMEOUT},
+    Effect, JobProgress, Node, Progress, StateTag, fleet::Ack, quota::Quotas, takeover::Found,
 };
 use crate::{
-    bookkeeping::{
-        Millis,
-        books::{Books, MachineState, Pull},
-        scheduler::{self, Whose},
-        store::{self, LeaderRecord, TermRecord},
+    cluster::{Books, MachineState, Pull},
+    coordination::{
+        job_graph::Ends,
+        leader_log::Notes,
+        provisioning::Renting,
+        reachability::Reach,
+        registry::Entry,
+        write_outcome::{Fate, TXN_TIMEOUT},
     },
     protocol::{
         ids::JobId,
         job::Kind,
         state::{Condition, StateError, StateReply, StateRequest, Txn, Urgency, Write},
     },
+    scheduling::{self, Whose},
+    storage::{self, LeaderRecord, TermRecord},
+    time::Millis,
 };
 
 /// The life of the leader's lease: how long a dead leader is waited for.
@@ -137,7 +134,7 @@
 
     pub(super) fn condition(&self) -> Condition {
         Condition {
-            key: store::LEADER.into(),
+            key: storage::LEADER.into(),
             version: self.version,
         }
     }
@@ -267,18 +264,18 @@
         let txn = Txn {
             conditions: vec![
                 Condition {
-                    key: store::LEADER.into(),
+                    key: storage::LEADER.into(),
                     version: 0,
                 },
                 Condition {
-                    key: store::TERM.into(),
+                    key: storage::TERM.into(),
                     version: self.directory.term_version,
                 },
             ],
             writes: vec![
                 Write::Put {
-                    key: store::LEADER.into(),
-                    value: store::to_value(&LeaderRecord {
+                    key: storage::LEADER.into(),
+                    value: storage::to_value(&LeaderRecord {
                         node: self.config.label.clone(),
                         lease,
                         term,
@@ -286,8 +283,8 @@
                     lease: Some(lease),
                 },
                 Write::Put {
-                    key: store::TERM.into(),
-                    value: store::to_value(&TermRecord { term }),
+                    key: storage::TERM.into(),
+                    value: storage::to_value(&TermRecord { term }),
                     lease: None,
                 },
             ],
@@ -306,7 +303,7 @@
             Err(StateError::NoAnswer) => self.state(
                 StateTag::AcquireCheck { lease },
                 StateRequest::Get {
-                    key: store::LEADER.into(),
+                    key: storage::LEADER.into(),
                 },
                 Urgency::Vital,
                 TXN_TIMEOUT,
@@ -521,7 +518,7 @@
         if leading.scheduled_at + due <= now {
             leading.scheduled_at = now;
             books.changed = false;
-            let placed = scheduler::round(books, now);
+            let placed = scheduling::round(books, now);
             if placed > 0 {
                 tracing::debug!(placed, "round");
             }
@@ -538,7 +535,7 @@
         if let Some((whose, _)) = due {
             // A check for more jobs is one for fewer, too.
             checked[..=whose as usize].fill(now);
-            for victim in scheduler::preempt(books, now, whose) {
+            for victim in scheduling::preempt(books, now, whose) {
                 let attempt = &books.machines[victim.machine.at()].attempts[victim.at];
                 let job = books.job(attempt.job);
                 let grace = if job.checkpoint_s > 0.0 {
@@ -599,8 +596,8 @@
         let raised = TermRecord {
             term: leading.term + 1,
         };
-        let raised = store::to_value(&raised);
-        txn.put(store::TERM.into(), leading.term_version, raised);
+        let raised = storage::to_value(&raised);
+        txn.put(storage::TERM.into(), leading.term_version, raised);
         self.state(
             StateTag::Fence { lease },
             StateRequest::Txn(txn),
@@ -630,7 +627,7 @@
             Fate::Doubtful => self.state(
                 StateTag::FenceCheck { lease },
                 StateRequest::Get {
-                    key: store::TERM.into(),
+                    key: storage::TERM.into(),
                 },
                 Urgency::Vital,
                 TXN_TIMEOUT,
@@ -685,7 +682,7 @@
         leading.types_written = self.now;
         let condition = leading.condition();
         let bytes = self.config.settings.state.value_bytes();
-        for (key, value) in store::types_records(&self.types, bytes) {
+        for (key, value) in storage::types_records(&self.types, bytes) {
             // One of this leader's that is applied late must not follow a newer one.
             let known = self.directory.types_versions.get(&key);
             let mut txn = Txn::only_if(condition.clone());
--- a/src/coordination/leader/tests.rs
+++ b/src/coordination/leader/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::coordination::{
     Command, Now, Renewal, Word,
-    directory::{self, Change},
+    registry::{self, Change},
 };
 
 fn node(older: bool) -> Node {
@@ -18,7 +18,7 @@
     }));
     let mut node = Node::new(config.expect("valid settings"));
     node.directory.load_for_test();
-    node.loading = directory::Loading::Done;
+    node.loading = registry::Loading::Done;
     if older {
         node.directory.deputies.insert("n1".into(), 3);
     }
--- a/src/coordination/notes.rs
+++ b/src/coordination/leader_log.rs
@@ -9,20 +9,18 @@
 
 use std::collections::{BTreeSet, HashSet, VecDeque};
 
-use super::{
-    Leading, Node, StateTag,
-    writes::{Fate, TXN_TIMEOUT},
-};
 use crate::{
-    bookkeeping::{
-        Millis,
-        books::{Books, JobIx, Phase},
-        store::{self, JobRecord, LogRecord, PageNumber},
+    cluster::{Books, JobIx, Phase},
+    coordination::{
+        Leading, Node, StateTag,
+        write_outcome::{Fate, TXN_TIMEOUT},
     },
     protocol::{
         ids::JobId,
         state::{Condition, StateError, StateReply, StateRequest, Txn, Urgency, Write},
     },
+    storage::{self, JobRecord, LogRecord, PageNumber},
+    time::Millis,
 };
 
 const RETRY: Millis = 150;
@@ -33,7 +31,7 @@
 /// The part of the leader's writes that the log may take.
 const LOG_PART: f64 = 0.4;
 /// Entries from which on the oldest are replaced.
-const LONG: usize = store::SLOTS as usize / 2;
+const LONG: usize = storage::SLOTS as usize / 2;
 const LONG_BYTES: usize = 256 * 1024;
 /// Entries from which on that is worth writes of its own.
 const PRESSED: usize = LONG * 3 / 2;
@@ -99,9 +97,9 @@
 impl Doubt {
     fn key(self) -> String {
         match self {
-            Doubt::Slot(slot) => store::slot_key(slot),
-            Doubt::Page(job, page) => store::page_key(job, page),
-            Doubt::Images(part) => store::images_key(part),
+            Doubt::Slot(slot) => storage::slot_key(slot),
+            Doubt::Page(job, page) => storage::page_key(job, page),
+            Doubt::Images(part) => storage::images_key(part),
         }
     }
 }
@@ -133,7 +131,7 @@
 impl Default for Notes {
     fn default() -> Self {
         Notes {
-            slots: vec![Slot::Free(0); store::SLOTS as usize],
+            slots: vec![Slot::Free(0); storage::SLOTS as usize],
             cursor: 0,
             next_seq: 1,
             first: 1,
@@ -188,7 +186,7 @@
                 seq: record.seq,
                 slot: *slot,
                 version: *version,
-                bytes: store::json_len(record),
+                bytes: storage::json_len(record),
                 names,
             });
             notes.cursor = slot + 1;
@@ -204,8 +202,8 @@
 
     /// The next slot that can be written: its number and the version of its key.
     fn next_slot(&mut self) -> Option<(u32, u64)> {
-        for _ in 0..store::SLOTS {
-            let slot = self.cursor % store::SLOTS;
+        for _ in 0..storage::SLOTS {
+            let slot = self.cursor % storage::SLOTS;
             self.cursor = slot + 1;
             if let Slot::Free(version) = self.slots[slot as usize] {
                 return Some((slot, version));
@@ -389,7 +387,7 @@
             let seq = notes.next_seq;
             notes.next_seq += 1;
             let mut rest = tasks[at..].iter().copied().peekable();
-            let record = store::log_record(books, &mut rest, (seq, notes.first), room);
+            let record = storage::log_record(books, &mut rest, (seq, notes.first), room);
             let told = record
                 .jobs
                 .iter()
@@ -403,10 +401,10 @@
             books.logging.extend(told);
             let named = |&(job, task): &(JobIx, u32)| (job, books.job(job).id, task);
             let names = told.iter().map(named).collect();
-            let value = store::to_value(&record);
+            let value = storage::to_value(&record);
             let size = value.to_string().len();
             bytes += size + 256;
-            txn.put(store::slot_key(slot), version, value);
+            txn.put(storage::slot_key(slot), version, value);
             // Not free until the answer says so.
             notes.slots[slot as usize] = Slot::Taken;
             entries.push(LiveEntry {
@@ -614,13 +612,13 @@
             if stands.in_flight {
                 continue;
             }
-            let value = store::to_value(&store::chunk_record(books, job, chunk));
+            let value = storage::to_value(&storage::chunk_record(books, job, chunk));
             bytes += value.to_string().len() + 256;
             if bytes > TXN_BYTES && !txn.writes.is_empty() {
                 break;
             }
             let page = PageNumber::new(books.chunk_len, chunk);
-            txn.put(store::page_key(id, page), stands.version, value);
+            txn.put(storage::page_key(id, page), stands.version, value);
             books.jobs[job.at()].chunks[chunk as usize].in_flight = true;
             paging.pages.push((job, id, chunk));
         }
@@ -679,7 +677,7 @@
         let (lease, condition) = (leading.lease, leading.condition());
         let Some(books) = &leading.books else { return };
         let mut writes = Vec::new();
-        for (part, record) in store::images_records(books, bytes).iter().enumerate() {
+        for (part, record) in storage::images_records(books, bytes).iter().enumerate() {
             let images = &mut leading.notes.images;
             if images.len() == part {
                 images.push(Slot::Free(0));
@@ -687,7 +685,11 @@
             // Whether it is stored does not matter: the next one comes soon, and none follows a newer one.
             if let Slot::Free(version) = std::mem::replace(&mut images[part], Slot::Taken) {
                 let mut txn = Txn::only_if(condition.clone());
-                txn.put(store::images_key(part), version, store::to_value(record));
+                txn.put(
+                    storage::images_key(part),
+                    version,
+                    storage::to_value(record),
+                );
                 writes.push((part, txn));
             }
         }
@@ -757,7 +759,7 @@
             }
             for (page, version) in pages.into_iter().take(room) {
                 sweeping.push((id, page));
-                let key = store::page_key(id, page);
+                let key = storage::page_key(id, page);
                 txn.conditions.push(Condition {
                     key: key.clone(),
                     version,
--- a/src/coordination/deputy.rs
+++ b/src/coordination/lease_renewer.rs
@@ -9,22 +9,20 @@
 
 use std::collections::{HashMap, HashSet};
 
-use super::{
-    Answer, AskId, Effect, Node, Renewal, Revocation, StateTag, Word,
-    directory::Entry,
-    fleet::ACK_FRESH,
-    times::{EARLY, UNREACHED},
-};
 use crate::{
-    bookkeeping::{
-        Millis,
-        store::{self, DeputyRecord},
+    coordination::{
+        Answer, AskId, Effect, Node, Renewal, Revocation, StateTag, Word,
+        fleet::ACK_FRESH,
+        registry::Entry,
+        timeouts::{EARLY, UNREACHED},
     },
     protocol::{
         job::JobStatus,
         state::{Condition, StateError, StateReply, StateRequest, Txn, Urgency, Write},
         worker::{Order, Orders, Redirect, Report, TaskState},
     },
+    storage::{self, DeputyRecord},
+    time::Millis,
 };
 
 const TOUCH: Millis = 2000;
@@ -91,7 +89,7 @@
                 // A process that had this label before may have written the key as well, and the write
                 // may be applied late: on that process's lease, with which the key would go while this
                 // one still renews.
-                let key = store::deputy_key(&self.config.label);
+                let key = storage::deputy_key(&self.config.label);
                 let known = self.directory.deputies.get(&self.config.label);
                 let txn = Txn {
                     conditions: vec![Condition {
@@ -100,7 +98,7 @@
                     }],
                     writes: vec![Write::Put {
                         key,
-                        value: store::to_value(&DeputyRecord { lease }),
+                        value: storage::to_value(&DeputyRecord { lease }),
                         lease: Some(lease),
                     }],
                 };
--- a/src/coordination/deputy/tests.rs
+++ b/src/coordination/lease_renewer/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::{
-    bookkeeping::store::LeaderRecord,
     config::Config,
     coordination::{Progress, SilentMachine},
     protocol::worker::TaskReport,
+    storage::LeaderRecord,
 };
 
 const START: Millis = 100_000;
@@ -147,7 +147,7 @@
         else {
             panic!("no write");
         };
-        let key = store::deputy_key("n0");
+        let key = storage::deputy_key("n0");
         assert_eq!(txn.conditions, [Condition { key, version }]);
     }
     // One of a version before, which writes without a condition: the key is not held any more.
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -4,32 +4,31 @@
 //! no I/O, reads no clock and draws no random numbers, so that a history can be played again.
 
 pub mod admission;
-mod deputy;
-mod directory;
 mod fleet;
+mod job_graph;
 mod leader;
-mod notes;
-mod pipelines;
+mod leader_log;
+mod lease_renewer;
+mod provisioning;
 pub mod quota;
-mod reach;
-mod renting;
-pub mod shares;
+pub mod rate_limit_shares;
+mod reachability;
+mod registry;
 mod status;
 mod takeover;
-mod times;
-mod users;
-mod writes;
+mod timeouts;
+mod user_requests;
+mod write_outcome;
 
 use std::collections::HashMap;
 
 pub use admission::{Class, Counts, News, TurnTold};
-pub use directory::Directory;
 pub use leader::Leading;
 pub use quota::{CellAnswer, CellStatement, QuotaStatus};
+pub use registry::Directory;
 pub use status::Status;
 
 use crate::{
-    bookkeeping::Millis,
     config::{Config, Team},
     protocol::{
         self,
@@ -39,6 +38,7 @@
         state::{StateError, StateReply, StateRequest, Urgency},
         worker::{DirectOrders, Report, WorkerReply},
     },
+    time::Millis,
 };
 
 /// The owner is called many times a second. After a longer gap what others sent meanwhile still lies
@@ -276,7 +276,7 @@
     },
     Check {
         lease: u64,
-        doubt: notes::Doubt,
+        doubt: leader_log::Doubt,
     },
     Page {
         lease: u64,
@@ -359,19 +359,19 @@
     woke_at: Option<Millis>,
     out: Vec<Effect>,
     directory: Directory,
-    loading: directory::Loading,
+    loading: registry::Loading,
     /// Counts reloads; answers to requests of an earlier one are void.
     generation: u64,
-    watch: directory::Watch,
-    sync: directory::Sync,
-    pending: HashMap<AskId, users::Pending>,
-    relay: users::Relay,
+    watch: registry::Watch,
+    sync: registry::Sync,
+    pending: HashMap<AskId, user_requests::Pending>,
+    relay: user_requests::Relay,
     types: Vec<MachineType>,
     types_asked: Option<Millis>,
     types_known_at: Option<Millis>,
     campaign: leader::Campaign,
-    deputy: deputy::Deputy,
-    times: times::Times,
+    deputy: lease_renewer::Deputy,
+    times: timeouts::Times,
     leading: Option<Box<Leading>>,
     progress: HashMap<JobId, JobProgress>,
     admission: admission::Admission,
@@ -380,7 +380,7 @@
 impl Node {
     pub fn new(mut config: Config) -> Self {
         config.settings.state = config.settings.state.strictest();
-        let times = times::Times::new(&config.settings.workers, config.members.len());
+        let times = timeouts::Times::new(&config.settings.workers, config.members.len());
         Node {
             times,
             config,
@@ -389,17 +389,17 @@
             woke_at: None,
             out: Vec::new(),
             directory: Directory::default(),
-            loading: directory::Loading::Needed { after: 0 },
+            loading: registry::Loading::Needed { after: 0 },
             generation: 0,
-            watch: directory::Watch::default(),
-            sync: directory::Sync::default(),
+            watch: registry::Watch::default(),
+            sync: registry::Sync::default(),
             pending: HashMap::new(),
-            relay: users::Relay::default(),
+            relay: user_requests::Relay::default(),
             types: Vec::new(),
             types_asked: None,
             types_known_at: None,
             campaign: leader::Campaign::default(),
-            deputy: deputy::Deputy::default(),
+            deputy: lease_renewer::Deputy::default(),
             leading: None,
             progress: HashMap::new(),
             admission: admission::Admission::default(),
--- a/src/coordination/renting.rs
+++ b/src/coordination/provisioning.rs
@@ -1,16 +1,13 @@
 //! The leader and the cloud: renting, returning, and what the lagging list is good for.
 
-use super::{CloudTag, Node, fleet::lose};
 use crate::{
-    bookkeeping::{
-        Millis,
-        autoscaler::{Autoscaler, Offer, Rental},
-        books::{Books, MachineState, TypeIx},
-        millis,
-    },
+    autoscaler::{Autoscaler, Offer, Rental},
+    cluster::{Books, MachineState, TypeIx},
+    coordination::{CloudTag, Node, fleet::lose},
     protocol::cloud::{
         CloudError, CloudReply, CloudRequest, ListedMachine, MachineStatus, RentRequest,
     },
+    time::{Millis, millis},
 };
 
 const TIMEOUT: Millis = 5000;
@@ -57,7 +54,7 @@
             return;
         }
         self.types_asked = Some(self.now);
-        self.out.push(super::Effect::Cloud {
+        self.out.push(crate::coordination::Effect::Cloud {
             tag: CloudTag::Types,
             request: CloudRequest::Types,
             timeout_ms: 2000,
@@ -65,7 +62,7 @@
     }
 
     fn cloud(&mut self, tag: CloudTag, request: CloudRequest) {
-        self.out.push(super::Effect::Cloud {
+        self.out.push(crate::coordination::Effect::Cloud {
             tag,
             request,
             timeout_ms: TIMEOUT,
--- a/src/coordination/quota/messages.rs
+++ b/src/coordination/quota/messages.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::bookkeeping::quota::{Grant, Position};
+use crate::quota::{Grant, Position};
 
 /// A cell tells another how it stands in the teams whose home the other is.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
--- a/src/coordination/quota/mod.rs
+++ b/src/coordination/quota/mod.rs
@@ -9,29 +9,26 @@
 
 use serde::de::DeserializeOwned;
 
-use super::{
-    AskId, Effect, Leading, Node, StateTag,
-    writes::{Fate, TXN_TIMEOUT},
-};
+use super::{AskId, Effect, Leading, Node, StateTag};
 use crate::{
-    bookkeeping::{
-        Millis,
-        books::{Amounts, Books, Team as BookedTeam, TeamIx},
-        quota::{
-            HoldRecord, HomeRecord, Quota, QuotaError, TeamQuota,
-            holder::{Demand, Holder},
-            home::Home,
-            home_of, units_allowed, units_of_limit, units_used,
-        },
-        scheduler,
-        store::{self, json_len, to_value},
-    },
     cells::Cells,
+    cluster::{Amounts, Books, Team as BookedTeam, TeamIx},
     config::Team,
+    coordination::write_outcome::{Fate, TXN_TIMEOUT},
     protocol::{
         job::Kind,
         state::{Row, StateError, StateReply, StateRequest, Txn, Urgency},
     },
+    quota::{
+        HoldRecord, HomeRecord, Quota, QuotaError, TeamQuota,
+        coordinator::Home,
+        home_of,
+        participant::{Demand, Holder},
+        units_allowed, units_of_limit, units_used,
+    },
+    scheduling,
+    storage::{self, json_len, to_value},
+    time::Millis,
 };
 
 mod messages;
@@ -170,12 +167,12 @@
     /// Takes in a record that was read.
     fn read(&mut self, row: Row, now: Millis) {
         let key = row.key.as_str();
-        if key == store::QUOTA_CELLS {
+        if key == storage::QUOTA_CELLS {
             if let Some(record) = parsed(&row) {
                 self.members = record;
                 self.members_version = row.version;
             }
-        } else if let Some(team) = store::parse_quota_home_key(key) {
+        } else if let Some(team) = storage::parse_quota_home_key(key) {
             let Some(record) = parsed::<HomeRecord>(&row) else {
                 return;
             };
@@ -186,7 +183,7 @@
                     self.homes.insert(team.to_owned(), home);
                 }
             }
-        } else if let Some(team) = store::parse_quota_hold_key(key) {
+        } else if let Some(team) = storage::parse_quota_hold_key(key) {
             let Some(record) = parsed::<HoldRecord>(&row) else {
                 return;
             };
@@ -574,7 +571,7 @@
         }
         quotas.reading.asked = true;
         let request = StateRequest::List {
-            prefix: store::QUOTA,
+            prefix: storage::QUOTA,
             after: quotas.reading.after.clone(),
             limit: PAGE,
         };
@@ -777,9 +774,9 @@
 impl Item {
     fn key(&self) -> String {
         match self {
-            Item::Members(_) => store::QUOTA_CELLS.to_owned(),
-            Item::Home(team, _) => store::quota_home_key(team),
-            Item::Hold(team, _) => store::quota_hold_key(team),
+            Item::Members(_) => storage::QUOTA_CELLS.to_owned(),
+            Item::Home(team, _) => storage::quota_home_key(team),
+            Item::Hold(team, _) => storage::quota_hold_key(team),
         }
     }
 }
@@ -844,7 +841,7 @@
             continue;
         }
         let name = team.name.clone();
-        let victims = scheduler::above(books, TeamIx(index), &amounts(excess), now);
+        let victims = scheduling::above(books, TeamIx(index), &amounts(excess), now);
         if !victims.is_empty() {
             tracing::info!(
                 team = name,
--- a/src/coordination/quota/teams.rs
+++ b/src/coordination/quota/teams.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use crate::{
-    bookkeeping::books::{Amounts, Books, Team as BookedTeam},
+    cluster::{Amounts, Books, Team as BookedTeam},
     config::Team,
     coordination::Node,
 };
--- a/src/coordination/quota/tests.rs
+++ b/src/coordination/quota/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::{
-    bookkeeping::quota::{Account, Grant},
     cells::PeerCell,
     config::Settings,
+    quota::{Account, Grant},
 };
 
 /// Teams whose homes are the first and the second of the cells a, b and c.
--- a/src/coordination/reach.rs
+++ b/src/coordination/reachability.rs
@@ -3,10 +3,11 @@
 
 use std::collections::HashMap;
 
-use super::{Effect, Node, Revocation, StateTag, writes::TXN_TIMEOUT};
 use crate::{
-    bookkeeping::{Millis, books::MachineState},
+    cluster::MachineState,
+    coordination::{Effect, Node, Revocation, StateTag, write_outcome::TXN_TIMEOUT},
     protocol::state::{StateRequest, Urgency},
+    time::Millis,
 };
 
 const ASK: Millis = 500;
--- a/src/coordination/directory.rs
+++ b/src/coordination/registry.rs
@@ -11,18 +11,16 @@
 
 use serde_json::Value;
 
-use super::{Node, StateTag, admission::Table, users::Pending};
 use crate::{
-    bookkeeping::{
-        Millis,
-        store::{self, JobRecord, LeaderRecord, TermRecord},
-    },
+    coordination::{Node, StateTag, admission::Table, user_requests::Pending},
     protocol::{
         cloud::{MachineType, MachineTypes},
         ids::JobId,
         job::{JobStatus, Submission},
         state::{Event, StateError, StateReply, StateRequest, Txn, Urgency, Write},
     },
+    storage::{self, JobRecord, LeaderRecord, TermRecord},
+    time::Millis,
 };
 
 /// Least time between the starts of two syncs.
@@ -51,9 +49,13 @@
 impl LiveJob {
     /// Adds the job's end to a transaction that stands if nobody else has ended it.
     pub fn end(&self, id: JobId, record: &JobRecord, txn: &mut Txn) {
-        txn.put(store::job_key(id), self.version, store::to_value(record));
+        txn.put(
+            storage::job_key(id),
+            self.version,
+            storage::to_value(record),
+        );
         for part in 0..self.parts {
-            let key = store::part_key(id, part);
+            let key = storage::part_key(id, part);
             txn.writes.push(Write::Delete { key });
         }
     }
@@ -197,7 +199,7 @@
     }
 
     fn put(&mut self, key: &str, value: Value, version: u64) -> Change {
-        if let Some(id) = store::parse_job_key(key) {
+        if let Some(id) = storage::parse_job_key(key) {
             return match serde_json::from_value::<JobRecord>(value) {
                 Ok(record) => self.put_job(id, record, version),
                 Err(error) => {
@@ -206,7 +208,7 @@
                 }
             };
         }
-        if let Some((id, part)) = store::parse_part_key(key) {
+        if let Some((id, part)) = storage::parse_part_key(key) {
             let Value::String(text) = value else {
                 tracing::error!(%key, "a part of a job's record can't be read");
                 return Change::Nothing;
@@ -216,7 +218,7 @@
             }
             return self.join(id);
         }
-        if let Some(label) = store::parse_deputy_key(key) {
+        if let Some(label) = storage::parse_deputy_key(key) {
             let known = self.deputies.entry(label.to_owned()).or_default();
             if *known >= version {
                 return Change::Nothing;
@@ -224,14 +226,14 @@
             *known = version;
             return Change::Deputy(label.to_owned(), version);
         }
-        if key.starts_with(store::TYPES) {
+        if key.starts_with(storage::TYPES) {
             let known = self.types_versions.entry(key.to_owned()).or_default();
             if *known >= version {
                 return Change::Nothing;
             }
             *known = version;
         }
-        if let Some((part, count)) = store::parse_types_key(key) {
+        if let Some((part, count)) = storage::parse_types_key(key) {
             if let Ok(types) = serde_json::from_value::<MachineTypes>(value) {
                 self.types_parts.insert((count, part), types.types);
             }
@@ -243,7 +245,7 @@
             return Change::Types;
         }
         match key {
-            store::LEADER => {
+            storage::LEADER => {
                 if self
                     .leader
                     .as_ref()
@@ -256,7 +258,7 @@
                     .map(|record| (record, version));
                 Change::Leader
             }
-            store::TERM => {
+            storage::TERM => {
                 if version <= self.term_version {
                     return Change::Nothing;
                 }
@@ -266,7 +268,7 @@
                 }
                 Change::Term
             }
-            store::TABLE => {
+            storage::TABLE => {
                 if self
                     .table
                     .as_ref()
@@ -279,7 +281,7 @@
                 }
                 Change::Table
             }
-            store::TYPES => {
+            storage::TYPES => {
                 self.types = serde_json::from_value(value)
                     .ok()
                     .map(|types| (types, version));
@@ -332,7 +334,7 @@
         else {
             return Change::Nothing;
         };
-        let spec = store::joined(split.texts.values().map(String::as_str));
+        let spec = storage::joined(split.texts.values().map(String::as_str));
         self.split.remove(&id);
         match spec {
             Ok(spec) => self.enter(id, record, spec),
@@ -425,7 +427,7 @@
             Event::Delete { key, version } => {
                 // Leases' keys go with them; nothing else here is ever deleted. An event may be older
                 // than a key that was read since.
-                if let Some(label) = store::parse_deputy_key(&key) {
+                if let Some(label) = storage::parse_deputy_key(&key) {
                     if self
                         .deputies
                         .get(label)
@@ -436,7 +438,7 @@
                     }
                     return Change::Nothing;
                 }
-                if key == store::LEADER
+                if key == storage::LEADER
                     && self
                         .leader
                         .as_ref()
@@ -480,9 +482,9 @@
     /// The send time of the last one that succeeded.
     pub ok: Option<Millis>,
     /// Wait for the one under way.
-    current: Vec<super::AskId>,
+    current: Vec<crate::coordination::AskId>,
     /// Came after it began: wait for the next.
-    next: Vec<super::AskId>,
+    next: Vec<crate::coordination::AskId>,
     pub wanted: bool,
     /// The last one got no answer, not even a refusal. Whoever asks meanwhile had better be answered by a
     /// member: users that were cut off with this node waited for 2 s each before one was tried.
@@ -491,7 +493,7 @@
 
 impl Node {
     /// Has a question answered after the next sync.
-    pub(super) fn after_sync(&mut self, id: super::AskId, pending: Pending) {
+    pub(super) fn after_sync(&mut self, id: crate::coordination::AskId, pending: Pending) {
         self.pending.insert(id, pending);
         if self.sync.silent {
             return self.refuse(id);
@@ -529,7 +531,7 @@
                 generation: self.generation,
             },
             StateRequest::List {
-                prefix: store::SHARED,
+                prefix: storage::SHARED,
                 after,
                 limit: PAGE,
             },
@@ -562,8 +564,8 @@
         let mut deputies = std::mem::take(deputies_seen);
         let mut changes = Vec::new();
         for row in page.rows {
-            seen |= row.key == store::LEADER;
-            deputies.extend(store::parse_deputy_key(&row.key).map(str::to_owned));
+            seen |= row.key == storage::LEADER;
+            deputies.extend(storage::parse_deputy_key(&row.key).map(str::to_owned));
             changes.push(self.directory.put(&row.key, row.value, row.version));
         }
         if page.more && last_key.is_some() {
@@ -616,7 +618,7 @@
                 generation: self.generation,
             },
             StateRequest::Changes {
-                prefix: store::SHARED,
+                prefix: storage::SHARED,
                 after: self.directory.revision,
                 hold_ms: WATCH_HOLD,
             },
@@ -657,7 +659,7 @@
                 generation: self.generation,
             },
             StateRequest::Changes {
-                prefix: store::SHARED,
+                prefix: storage::SHARED,
                 after: self.directory.revision,
                 hold_ms: 0,
             },
--- a/src/coordination/directory/tests.rs
+++ b/src/coordination/registry/tests.rs
@@ -200,13 +200,13 @@
 fn a_record_of_several_keys_counts_once_all_are_read() {
     let mut job = spec(7, &[]);
     job.types = Some((0..60).map(|n| format!("{n:0>60}")).collect());
-    let (record, texts) = store::live_record(5, &job, 2048);
+    let (record, texts) = storage::live_record(5, &job, 2048);
     assert!(texts.len() > 1);
     let keys: Vec<(String, Value)> = texts
         .iter()
         .zip(0..)
-        .map(|(text, part)| (store::part_key(JobId(7), part), store::to_value(text)))
-        .chain([(store::job_key(JobId(7)), store::to_value(&record))])
+        .map(|(text, part)| (storage::part_key(JobId(7), part), storage::to_value(text)))
+        .chain([(storage::job_key(JobId(7)), storage::to_value(&record))])
         .collect();
     for first in 0..keys.len() {
         let mut directory = Directory::default();
--- a/src/coordination/status.rs
+++ b/src/coordination/status.rs
@@ -1,9 +1,9 @@
 //! What a node says of itself to whoever watches it.
 
-use super::{Class, Counts, Node, QuotaStatus, directory::LiveJob};
+use super::{Class, Counts, Node, QuotaStatus};
 use crate::{
-    bookkeeping::{Millis, books::MachineState, dues::Standing},
-    protocol::ids::JobId,
+    cluster::MachineState, coordination::registry::LiveJob, protocol::ids::JobId,
+    scheduling::fair_share::Standing, time::Millis,
 };
 
 /// A look at the owner; what only a leader knows is empty elsewhere.
--- a/src/coordination/takeover.rs
+++ b/src/coordination/takeover.rs
@@ -2,21 +2,20 @@
 
 use std::collections::{BTreeMap, HashSet};
 
-use super::{Leading, Node, StateTag, notes::Notes};
+use super::{Leading, Node, StateTag};
 use crate::{
-    bookkeeping::{
-        Millis,
-        books::{Amounts, Attempt, Books, JobIx, MachineState, Phase, TypeIx},
-        store::{
-            self, ChunkRecord, ImagesRecord, JobNote, LogRecord, MachineNote, Note, PageNumber,
-            TaskNote,
-        },
-    },
+    cluster::{Amounts, Attempt, Books, JobIx, MachineState, Phase, TypeIx},
+    coordination::leader_log::Notes,
     protocol::{
         ids::JobId,
         job::{Kind, Priority, Submission},
         state::{Row, StateError, StateReply, StateRequest, Urgency},
     },
+    storage::{
+        self, ChunkRecord, ImagesRecord, JobNote, LogRecord, MachineNote, Note, PageNumber,
+        TaskNote,
+    },
+    time::Millis,
 };
 
 const PAGE: u32 = 200;
@@ -38,12 +37,12 @@
 
 impl Found {
     fn add(&mut self, row: Row) {
-        if let Some((id, page)) = store::parse_page_key(&row.key) {
+        if let Some((id, page)) = storage::parse_page_key(&row.key) {
             match serde_json::from_value(row.value) {
                 Ok(record) => self.pages.push((id, page, row.version, record)),
                 Err(error) => tracing::error!(key = row.key, %error, "a page can't be read"),
             }
-        } else if let Some(slot) = store::parse_slot_key(&row.key) {
+        } else if let Some(slot) = storage::parse_slot_key(&row.key) {
             // The version of a slot counts even if what it holds means nothing.
             let record = serde_json::from_value(row.value).unwrap_or_else(|error| {
                 tracing::error!(key = row.key, %error, "an entry can't be read");
@@ -55,7 +54,7 @@
                 }
             });
             self.entries.push((slot, row.version, record));
-        } else if store::is_images_key(&row.key) {
+        } else if storage::is_images_key(&row.key) {
             self.images_versions.push(row.version);
             match serde_json::from_value(row.value) {
                 Ok(record) => self.images.push(record),
@@ -139,7 +138,7 @@
         self.state(
             StateTag::Books { lease },
             StateRequest::List {
-                prefix: store::BOOKS,
+                prefix: storage::BOOKS,
                 after,
                 limit: PAGE,
             },
@@ -218,9 +217,9 @@
                 let held_images = images
                     .iter()
                     .enumerate()
-                    .take(store::IMAGES_TOLD)
+                    .take(storage::IMAGES_TOLD)
                     .filter(|(bit, _)| held >> bit & 1 == 1);
-                let replace = held & store::TO_BE_REPLACED != 0;
+                let replace = held & storage::TO_BE_REPLACED != 0;
                 books.remember(
                     machine,
                     held_images.map(|(_, image)| image.clone()),
--- a/src/coordination/takeover/tests.rs
+++ b/src/coordination/takeover/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::{
-    bookkeeping::books::{MachineIx, TaskStatus},
+    cluster::{MachineIx, TaskStatus},
     coordination::Effect,
     protocol::state::{Changes, Event, Page, Write},
 };
@@ -133,10 +133,10 @@
         "guess_s": 10.0, "bookmark_s": 0.0, "stash_s": 0.0
     }))
     .expect("a submission");
-    let (record, _) = store::live_record(1, &spec, 16 * 1024);
+    let (record, _) = storage::live_record(1, &spec, 16 * 1024);
     Event::Put {
-        key: store::job_key(JobId(1)),
-        value: store::to_value(&record),
+        key: storage::job_key(JobId(1)),
+        value: storage::to_value(&record),
         version: 4,
     }
 }
@@ -163,13 +163,13 @@
         value,
         version,
     };
-    let length = store::chunk_len(2.0);
+    let length = storage::chunk_len(2.0);
     let numbers = [PageNumber(0), PageNumber::new(length, 0)];
-    let keys = numbers.map(|number| store::page_key(JobId(1), number));
+    let keys = numbers.map(|number| storage::page_key(JobId(1), number));
     let rows = vec![
-        row(store::slot_key(3), store::to_value(&log), 3),
-        row(keys[0].clone(), store::to_value(&old), 2),
-        row(keys[1].clone(), store::to_value(&new), 6),
+        row(storage::slot_key(3), storage::to_value(&log), 3),
+        row(keys[0].clone(), storage::to_value(&old), 2),
+        row(keys[1].clone(), storage::to_value(&new), 6),
     ];
     read(&mut node, rows);
     synced(&mut node, 1010, vec![accepted()]);
@@ -245,8 +245,8 @@
     let mut node = successor();
     let (slot, version, record) = entry(3, 1, &[TaskNote(0, 1, Note::On(0))]);
     let row = Row {
-        key: store::slot_key(slot),
-        value: store::to_value(&record),
+        key: storage::slot_key(slot),
+        value: storage::to_value(&record),
         version,
     };
     read(&mut node, vec![row]);
--- a/src/coordination/times.rs
+++ b/src/coordination/timeouts.rs
@@ -4,8 +4,8 @@
 //! how fast the services and the members answer are constants, each beside what it is used for.
 
 use crate::{
-    bookkeeping::{Millis, millis},
     config::Workers,
+    time::{Millis, millis},
 };
 
 /// What steady clocks may drift apart, doubled.
--- a/src/coordination/users.rs
+++ b/src/coordination/user_requests.rs
@@ -2,20 +2,19 @@
 
 use std::collections::{HashMap, HashSet};
 
-use super::{
-    Answer, Ask, AskId, Effect, Node, Progress, StateTag, admission::order::Rank, directory::Entry,
-};
 use crate::{
-    bookkeeping::{
-        Millis,
-        books::Amounts,
-        store::{self, JobRecord},
+    cluster::Amounts,
+    coordination::{
+        Answer, Ask, AskId, Effect, Node, Progress, StateTag, admission::load_shedding::Rank,
+        registry::Entry,
     },
     protocol::{
         ids::JobId,
         job::{JobStatus, JobView, Kind, Submission},
         state::{StateError, StateReply, StateRequest, Txn, Urgency, Write},
     },
+    storage::{self, JobRecord},
+    time::Millis,
 };
 
 const TXN_TIMEOUT: u64 = 2000;
@@ -249,7 +248,7 @@
             }
         };
         let limits = &self.config.settings.state;
-        let (record, texts) = store::live_record(self.wall, &submission, limits.value_bytes());
+        let (record, texts) = storage::live_record(self.wall, &submission, limits.value_bytes());
         let job = submission.id;
         if texts.len() >= limits.txn_ops as usize {
             // It may have been accepted when the state service took more.
@@ -260,11 +259,11 @@
             };
         }
         let mut txn = Txn::default();
-        txn.put(store::job_key(job), 0, store::to_value(&record));
+        txn.put(storage::job_key(job), 0, storage::to_value(&record));
         for (text, part) in texts.iter().zip(0..) {
             txn.writes.push(Write::Put {
-                key: store::part_key(job, part),
-                value: store::to_value(text),
+                key: storage::part_key(job, part),
+                value: storage::to_value(text),
                 lease: None,
             });
         }
@@ -316,7 +315,7 @@
                 let Some(pending) = self.pending.get(&id) else {
                     return;
                 };
-                let key = store::job_key(pending.job());
+                let key = storage::job_key(pending.job());
                 self.state(
                     StateTag::SubmitCheck(id),
                     StateRequest::Get { key },
--- a/src/coordination/writes.rs
+++ b/src/coordination/write_outcome.rs
@@ -1,9 +1,10 @@
 //! The writes of a leader: what became of one, and how large they may be.
 
-use super::Node;
 use crate::{
-    bookkeeping::{Millis, store},
+    coordination::Node,
     protocol::state::{StateError, StateReply},
+    storage,
+    time::Millis,
 };
 
 pub(super) const TXN_TIMEOUT: Millis = 2000;
@@ -35,7 +36,7 @@
         match result {
             Ok(StateReply::Committed(version)) => Some(Fate::Stored(version)),
             Ok(StateReply::Conflict(failed)) => {
-                if failed.iter().any(|key| key == store::LEADER) {
+                if failed.iter().any(|key| key == storage::LEADER) {
                     tracing::warn!("a write found another leader");
                     self.step_down();
                     return None;
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -19,7 +19,7 @@
     config::Config,
     coordination::{
         Answer, Ask, AskId, CellAnswer, CellStatement, Command, Effect, News, Node, Now,
-        Revocation, Word, shares,
+        Revocation, Word, rate_limit_shares,
     },
     metrics::Metrics,
     protocol::{
@@ -28,8 +28,9 @@
     },
     transport::{
         client::{CloudClient, StateClient, WorkerClient},
-        limiter::Bucket,
-        mesh, server,
+        mesh,
+        rate_limiter::Bucket,
+        server,
     },
 };
 
@@ -214,7 +215,7 @@
     cloud: CloudClient,
     workers: WorkerClient,
     members: mesh::Members,
-    cells: mesh::cells::PeerCells,
+    cells: mesh::peer_cells::PeerCells,
     addrs: HashMap<String, std::net::SocketAddrV4>,
     requests: Bucket,
     writes: Bucket,
@@ -245,7 +246,7 @@
             write_rps: state.write_rps,
             cloud_rps: config.settings.cloud.rps,
         };
-        let shares = shares::of(limits.nodes, false);
+        let shares = rate_limit_shares::of(limits.nodes, false);
         let sockets = f64::from(config.settings.limits.sockets);
         let addrs: HashMap<_, _> = config
             .members
@@ -265,8 +266,8 @@
             cloud: CloudClient::new(config.services.cloud),
             members: mesh::Members::new(addrs.values().copied()),
             cells: match &config.cells {
-                Some(cells) => mesh::cells::PeerCells::new(&cells.peers),
-                None => mesh::cells::PeerCells::new(&BTreeMap::new()),
+                Some(cells) => mesh::peer_cells::PeerCells::new(&cells.peers),
+                None => mesh::peer_cells::PeerCells::new(&BTreeMap::new()),
             },
             addrs,
             requests: Bucket::new(limits.rps * shares.requests),
@@ -379,7 +380,7 @@
             }
             Effect::Leading(leading) => {
                 let limits = &self.limits;
-                let shares = shares::of(limits.nodes, leading);
+                let shares = rate_limit_shares::of(limits.nodes, leading);
                 self.requests.set_rate(limits.rps * shares.requests);
                 self.writes.set_rate(limits.write_rps * shares.writes);
                 self.cloud_requests
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,11 +4,16 @@
 //! knows the wire, [`coordination`] decides who may act and reacts to what happens, and
 //! [`bookkeeping`] holds what runs where and what should. [`daemon`] ties them together.
 
-pub mod bookkeeping;
+pub mod autoscaler;
 pub mod cells;
+pub mod cluster;
 pub mod config;
 pub mod coordination;
 pub mod daemon;
 pub mod metrics;
 pub mod protocol;
+pub mod quota;
+pub mod scheduling;
+pub mod storage;
+pub mod time;
 pub mod transport;
--- a/src/bookkeeping/quota/home.rs
+++ b/src/quota/coordinator.rs
@@ -2,11 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use super::{
-    Account, Grant, HomeRecord, Position, Quota, QuotaError, TeamQuota, Units,
-    plan::{self, Move, Share},
+use crate::{
+    quota::{
+        Account, Grant, HomeRecord, Position, Quota, QuotaError, TeamQuota, Units,
+        plan::{self, Move, Share},
+    },
+    time::Millis,
 };
-use crate::bookkeeping::Millis;
 
 /// A cell that was not heard of for this long gets no more. Nothing but who gets new units depends on it.
 const REACHABLE: Millis = 5000;
--- a/src/bookkeeping/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -18,8 +18,8 @@
 
 use serde::{Deserialize, Serialize};
 
-pub mod holder;
-pub mod home;
+pub mod coordinator;
+pub mod participant;
 pub mod plan;
 
 /// Thousandths of a CPU or GPU, so that sums are exact.
--- a/src/bookkeeping/quota/holder.rs
+++ b/src/quota/participant.rs
@@ -1,6 +1,6 @@
 //! A cell's side of a team: what it holds, may use, and gives back.
 
-use super::{Account, Grant, HoldRecord, Position, Quota, QuotaError};
+use crate::quota::{Account, Grant, HoldRecord, Position, Quota, QuotaError};
 
 /// What the books say of a team in this cell.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/src/bookkeeping/quota/plan.rs
+++ b/src/quota/plan.rs
@@ -7,7 +7,7 @@
 //! Units move from one cell to another only while a cell is short of what it wants and the limit has nothing free, or
 //! when the limit was lowered; then only what is not used moves, unless what runs is itself above the limit.
 
-use super::Units;
+use crate::quota::Units;
 
 /// A cell that wants this part more than it holds, as a divisor, is short.
 const SHORT: Units = 16;
--- a/src/bookkeeping/dues.rs
+++ b/src/scheduling/fair_share.rs
@@ -9,11 +9,11 @@
 
 use std::collections::BTreeMap;
 
-use super::{
-    Millis,
-    books::{Books, ClassIx, Job, JobIx, Phase, QueueKey, TeamIx},
+use crate::{
+    cluster::{Books, ClassIx, Job, JobIx, Phase, QueueKey, TeamIx},
+    protocol::job::{Kind, Priority},
+    time::Millis,
 };
-use crate::protocol::job::{Kind, Priority};
 
 /// The part of the room that becomes free which goes to those that are behind, and of the fleet that is due to
 /// teams that the guarantees of others leave nothing.
--- a/src/bookkeeping/scheduler.rs
+++ b/src/scheduling/mod.rs
@@ -4,21 +4,22 @@
 //! teams by booked units, each with its waiting tasks by priority, then age. `docs/design.md` says
 //! what was kept and what was changed.
 
+pub mod fair_share;
+
 use std::{
     cmp::Reverse,
     collections::{BinaryHeap, HashMap, HashSet},
     ops::Bound,
 };
 
-use super::{
-    Millis,
-    books::{
+use crate::{
+    cluster::{
         Amounts, Attempt, Books, ESTIMATE_MARGIN, Job, JobIx, Machine, MachineIx, Phase, QueueKey,
         TeamIx,
     },
-    dues, millis,
+    protocol::job::{Kind, Priority},
+    time::{Millis, millis},
 };
-use crate::protocol::job::{Kind, Priority};
 
 /// Seconds of an array task's work that a second of a replica's wait is worth.
 const WORK_FOR_WAIT: f64 = 12.0;
@@ -285,7 +286,7 @@
                 placed += 1;
                 if !behind.is_empty() && !behind.contains(&books.flow(job)) {
                     let units = books.units(&books.job(job).need);
-                    books.dues.earn(units, dues::PART * capacity);
+                    books.dues.earn(units, fair_share::PART * capacity);
                 }
             }
             None => {
--- a/src/bookkeeping/store.rs
+++ b/src/storage/mod.rs
@@ -22,11 +22,13 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use super::books::{Books, ImageIx, JobIx, MachineIx, MachineState, Task, TaskStatus};
-use crate::protocol::{
-    cloud::{MachineType, MachineTypes},
-    ids::JobId,
-    job::Submission,
+use crate::{
+    cluster::{Books, ImageIx, JobIx, MachineIx, MachineState, Task, TaskStatus},
+    protocol::{
+        cloud::{MachineType, MachineTypes},
+        ids::JobId,
+        job::Submission,
+    },
 };
 
 pub const SHARED: &str = "shared/";
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -12,7 +12,6 @@
 use serde::de::DeserializeOwned;
 use tokio::sync::Semaphore;
 
-use super::sockets::Lately;
 use crate::{
     metrics::{Metrics, Shed},
     protocol::{
@@ -24,6 +23,7 @@
         },
         worker::{DirectOrders, WorkerReply},
     },
+    transport::connection_limiter::Lately,
 };
 
 /// An answer: the status and the body.
--- a/src/transport/mesh.rs
+++ b/src/transport/mesh.rs
@@ -16,8 +16,8 @@
     transport::server::Door,
 };
 
-pub mod cells;
 pub mod messages;
+pub mod peer_cells;
 
 pub mod proto {
     tonic::include_proto!("dalelb.mesh.v1");
--- a/src/transport/mesh/cells.rs
+++ b/src/transport/mesh/peer_cells.rs
@@ -9,10 +9,10 @@
 
 use tonic::transport::{Channel, Endpoint};
 
-use super::proto::{self, mesh_client::MeshClient};
 use crate::{
-    bookkeeping::quota::{Account, Grant, Position, Quota},
     coordination::{CellAnswer, CellStatement},
+    quota::{Account, Grant, Position, Quota},
+    transport::mesh::proto::{self, mesh_client::MeshClient},
 };
 
 /// Regions are further from each other than the members of one.
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,7 +1,7 @@
 //! Sockets, connection pools, rate limits and timeouts. Nothing here decides anything.
 
 pub mod client;
-pub mod limiter;
+mod connection_limiter;
 pub mod mesh;
+pub mod rate_limiter;
 pub mod server;
-mod sockets;
--- a/src/transport/limiter.rs
+++ b/src/transport/rate_limiter.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 
-use crate::{coordination::admission::order::reserve, protocol::state::Urgency};
+use crate::{coordination::admission::load_shedding::reserve, protocol::state::Urgency};
 
 /// A bucket that refills at `rate` and holds a second's worth.
 pub struct Bucket {
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -15,11 +15,11 @@
 };
 use warp::{Filter, Rejection};
 
-use super::sockets;
 use crate::{
     coordination::{Answer, Ask},
     metrics::{self, Metrics, Shed},
     protocol::{self, MAX_BODY, ids::JobId, job::Submission, worker::Report},
+    transport::connection_limiter,
 };
 
 /// Where a request's answer goes.
@@ -85,7 +85,11 @@
 }
 
 /// Has the client come back over a new connection where that is called for.
-fn closing(mut response: Response<Bytes>, sockets: &sockets::Door, what: Shed) -> Response<Bytes> {
+fn closing(
+    mut response: Response<Bytes>,
+    sockets: &connection_limiter::Door,
+    what: Shed,
+) -> Response<Bytes> {
     if sockets.sheds(what) {
         close(&mut response);
     }
@@ -139,7 +143,7 @@
     metrics: Arc<Metrics>,
 ) {
     let idle = IDLE.max(report * 2);
-    let sockets = Arc::new(sockets::Door::new(connections, metrics.clone()));
+    let sockets = Arc::new(connection_limiter::Door::new(connections, metrics.clone()));
     let (polled, reported) = (sockets.clone(), sockets.clone());
     let with_door = warp::any().map(move || door.clone());
     let body = || warp::body::content_length_limit(MAX_BODY).and(warp::body::bytes());
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -27,7 +27,7 @@
         worker::{Orders, WorkerReply},
     },
 };
-use dalelb_standin::{
+use dalelb_emulators::{
     cloud::{listed, machine_type},
     machine::{Identity, Machine, TaskEvent, TaskSpec, Tasks},
     store::{Limits, Store},
@@ -701,7 +701,7 @@
     let all = [0, 1, 2].map(|cell| world.running(cell));
     assert!(all.iter().all(|running| *running >= 10), "{all:?}");
     // A cell that is no home of the team.
-    let home = dalelb::bookkeeping::quota::home_of("red", &(0..3).map(name).collect::<Vec<_>>())
+    let home = dalelb::quota::home_of("red", &(0..3).map(name).collect::<Vec<_>>())
         .map(str::to_owned)
         .unwrap();
     let far = (0..3).find(|cell| name(*cell) != home).unwrap();
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -11,7 +11,7 @@
     protocol::{self, ids::TaskId, job::JobStatus, job::JobView},
     transport::client::Http,
 };
-use dalelb_standin::{
+use dalelb_emulators::{
     cloud::{Cloud, machine_type},
     fleet::{Fleet, FleetSettings},
     machine::{TaskEvent, TaskSpec, Tasks},
--- a/tests/floods.rs
+++ b/tests/floods.rs
@@ -4,11 +4,9 @@
 use std::collections::HashMap;
 
 use dalelb::{
-    bookkeeping::{
-        books::{Attempt, Books, JobIx, MachineIx, Phase},
-        scheduler::{self, Whose},
-    },
+    cluster::{Attempt, Books, JobIx, MachineIx, Phase},
     protocol::job::{Kind, Priority, Submission},
+    scheduling::{self, Whose},
 };
 
 mod small;
@@ -77,14 +75,14 @@
         }
         self.books.set_time_of_day(now, now);
         self.books.take_turns(now);
-        scheduler::round(&mut self.books, now);
+        scheduling::round(&mut self.books, now);
         if now % 1000 == 0 {
             let whose = if now % 10_000 == 0 {
                 Whose::All
             } else {
                 Whose::Aimed
             };
-            let mut victims = scheduler::preempt(&self.books, now, whose);
+            let mut victims = scheduling::preempt(&self.books, now, whose);
             victims.sort_by_key(|victim| std::cmp::Reverse((victim.machine, victim.at)));
             for victim in victims {
                 let attempt = self.books.machine(victim.machine).attempts[victim.at].clone();
@@ -208,9 +206,12 @@
         ..job(number, "red", 1, 16.0)
     };
     books.add_job(&whole(2, Kind::Array, Priority::High), 0, 0);
-    assert!(scheduler::preempt(&books, 10_000, Whose::All).is_empty());
+    assert!(scheduling::preempt(&books, 10_000, Whose::All).is_empty());
     books.add_job(&whole(3, Kind::Service, Priority::Production), 0, 0);
-    assert_eq!(scheduler::preempt(&books, 10_000, Whose::Services).len(), 1);
+    assert_eq!(
+        scheduling::preempt(&books, 10_000, Whose::Services).len(),
+        1
+    );
 }
 
 /// 1,300 machines that are full, 10,000 waiting jobs of 20 classes and 5,000 single tasks of another team: what a
@@ -218,7 +219,7 @@
 #[test]
 fn rounds_and_checks_of_a_flooded_fleet_cost_what_they_place() {
     let mut fleet = flooded(1300);
-    while scheduler::round(&mut fleet.books, 250) > 0 {}
+    while scheduling::round(&mut fleet.books, 250) > 0 {}
     for number in 0..10_000 {
         let waits = Submission {
             class: format!("class-{}", number % 20),
@@ -238,17 +239,17 @@
         took
     };
     let books = &mut fleet.books;
-    let mut looks = scheduler::Looks::default();
+    let mut looks = scheduling::Looks::default();
     timed("round with a look at dues", &mut || {
-        scheduler::allocate(books, 10_000, &mut looks);
+        scheduling::allocate(books, 10_000, &mut looks);
     });
-    let mut looks = scheduler::Looks::default();
+    let mut looks = scheduling::Looks::default();
     let round = timed("round", &mut || {
-        scheduler::allocate(books, 10_040, &mut looks);
+        scheduling::allocate(books, 10_040, &mut looks);
     });
     assert!(looks.count <= 30 * 1300, "{} looks", looks.count);
     let check = timed("check", &mut || {
-        scheduler::preempt(books, 10_000, Whose::All);
+        scheduling::preempt(books, 10_000, Whose::All);
     });
     // Far above what they take unoptimised on a busy machine, far below what they took.
     assert!(
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -1,7 +1,6 @@
 //! Wire formats under generated inputs.
 
 use dalelb::{
-    bookkeeping::store,
     protocol::{
         self, DecodeError,
         cloud::{MachineType, MachineTypes},
@@ -9,6 +8,7 @@
         job::{JobStatus, JobView, Kind, Priority, Submission},
         worker::{Order, Report},
     },
+    storage,
 };
 use proptest::{
     prelude::*,
@@ -92,13 +92,13 @@
     check(submission(), |job| {
         let wire = Submission::from_body(&protocol::encode(&job)).unwrap();
         prop_assert_eq!(&wire, &job);
-        let record = store::JobRecord::Live {
+        let record = storage::JobRecord::Live {
             at_ms: 7,
             spec: Box::new(job),
         };
-        let value = store::to_value(&record);
+        let value = storage::to_value(&record);
         prop_assert_eq!(
-            serde_json::from_value::<store::JobRecord>(value).unwrap(),
+            serde_json::from_value::<storage::JobRecord>(value).unwrap(),
             record
         );
         Ok(())
@@ -211,19 +211,19 @@
     check((submission(), names, awaits), |(mut job, names, awaits)| {
         job.types = Some(names);
         job.awaits = awaits.into_iter().map(JobId).collect();
-        let (record, texts) = store::live_record(7, &job, 2048);
+        let (record, texts) = storage::live_record(7, &job, 2048);
         for text in &texts {
-            prop_assert!(store::to_value(text).to_string().len() <= 2048);
+            prop_assert!(storage::to_value(text).to_string().len() <= 2048);
         }
-        prop_assert!(store::to_value(&record).to_string().len() <= 2048);
+        prop_assert!(storage::to_value(&record).to_string().len() <= 2048);
         match record {
-            store::JobRecord::Live { spec, .. } => {
+            storage::JobRecord::Live { spec, .. } => {
                 prop_assert!(texts.is_empty());
                 prop_assert_eq!(*spec, job);
             }
-            store::JobRecord::Split { parts, .. } => {
+            storage::JobRecord::Split { parts, .. } => {
                 prop_assert_eq!(parts as usize, texts.len());
-                let whole = store::joined(texts.iter().map(String::as_str));
+                let whole = storage::joined(texts.iter().map(String::as_str));
                 prop_assert_eq!(whole.unwrap(), job);
             }
             other => prop_assert!(false, "{:?}", other),
@@ -249,12 +249,12 @@
     };
     for count in [1, 2, 7, 8, 60] {
         let types: Vec<MachineType> = (0..count).map(kind).collect();
-        let records = store::types_records(&types, 2048);
+        let records = storage::types_records(&types, 2048);
         let mut read = Vec::new();
         for (at, (key, value)) in records.iter().enumerate() {
             assert!(value.to_string().len() <= 2048, "{key}");
-            let part = store::parse_types_key(key);
-            let whole = (records.len() == 1).then_some(store::TYPES);
+            let part = storage::parse_types_key(key);
+            let whole = (records.len() == 1).then_some(storage::TYPES);
             assert_eq!(whole, part.is_none().then_some(key.as_str()));
             assert!(part.is_none_or(|part| part == (at as u32, records.len() as u32)));
             let types: MachineTypes = serde_json::from_value(value.clone()).unwrap();
@@ -441,22 +441,22 @@
 #[test]
 fn each_version_reads_what_the_other_writes() {
     let written = before::written();
-    reread::<store::JobRecord, before::Job>(&written["done"]);
-    reread::<store::JobRecord, before::Job>(&written["cancelled"]);
-    reread::<store::ChunkRecord, before::Page>(&written["page"]);
-    reread::<store::LogRecord, before::Entry>(&written["entry"]);
-    reread::<store::ImagesRecord, before::Images>(&written["images"]);
-    reread::<store::LeaderRecord, before::Leader>(&written["leader"]);
+    reread::<storage::JobRecord, before::Job>(&written["done"]);
+    reread::<storage::JobRecord, before::Job>(&written["cancelled"]);
+    reread::<storage::ChunkRecord, before::Page>(&written["page"]);
+    reread::<storage::LogRecord, before::Entry>(&written["entry"]);
+    reread::<storage::ImagesRecord, before::Images>(&written["images"]);
+    reread::<storage::LeaderRecord, before::Leader>(&written["leader"]);
     check(submission(), |mut job| {
         // While the other version is there, no job awaits others.
         job.awaits.clear();
-        let (record, texts) = store::live_record(7, &job, 16 * 1024);
+        let (record, texts) = storage::live_record(7, &job, 16 * 1024);
         prop_assert!(texts.is_empty());
-        reread::<before::Job, store::JobRecord>(&store::to_value(&record));
+        reread::<before::Job, storage::JobRecord>(&storage::to_value(&record));
         Ok(())
     });
     // The time of an end is new.
-    let done = store::to_value(&store::JobRecord::Done { at_ms: Some(7) });
+    let done = storage::to_value(&storage::JobRecord::Done { at_ms: Some(7) });
     let read: before::Job = serde_json::from_value(done).unwrap();
     assert_eq!(read, before::Job::Done);
 }
@@ -470,17 +470,17 @@
         (lengths(), lengths(), 0..100_000u32, 0..100_000u32),
         |(a, b, i, j)| {
             let key = |length: u32, task: u32| {
-                let page = store::PageNumber::new(length, task / length);
-                store::page_key(JobId(412), page)
+                let page = storage::PageNumber::new(length, task / length);
+                storage::page_key(JobId(412), page)
             };
             prop_assert_eq!(key(a, i) == key(b, j), a == b && i / a == j / b);
-            let read = store::parse_page_key(&key(a, i));
+            let read = storage::parse_page_key(&key(a, i));
             let (id, page) = read.expect("a page's key");
             prop_assert_eq!((id, page.chunk(a)), (JobId(412), Some(i / a)));
             prop_assert!(a == b || page.chunk(b).is_none());
             // The other version's keys: read, not taken for one's own, and never written by this one.
             let old = format!("books/task/j-000412/{:05}", i / before::PAGE);
-            let (_, page) = store::parse_page_key(&old).expect("a page's key");
+            let (_, page) = storage::parse_page_key(&old).expect("a page's key");
             prop_assert_eq!(page.chunk(a), None);
             prop_assert!(old != key(a, i));
             let (_, number) = before::page(&key(a, i)).expect("a page's key");
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -4,10 +4,6 @@
 use std::{collections::BTreeSet, path::PathBuf};
 
 use dalelb::{
-    bookkeeping::{
-        quota::{HoldRecord, HomeRecord},
-        store,
-    },
     config::Config,
     coordination::{
         CellAnswer, CellStatement, News, Progress, Revocation, Word, admission::Table,
@@ -20,6 +16,8 @@
         state::{LeaseRequest, Txn},
         worker::{DirectOrders, Orders, Redirect, Report},
     },
+    quota::{HoldRecord, HomeRecord},
+    storage,
     transport::mesh::proto,
 };
 use prost::Message;
@@ -33,41 +31,41 @@
 
 fn again<T: Serialize + DeserializeOwned>(value: &Value) -> Value {
     let record: T = serde_json::from_value(value.clone()).expect("a record");
-    store::to_value(&record)
+    storage::to_value(&record)
 }
 
 /// A stored value, read as what its key says that it is and written again.
 fn rewritten(key: &str, value: &Value) -> (&'static str, Value) {
-    if store::parse_job_key(key).is_some() {
-        return ("job", again::<store::JobRecord>(value));
+    if storage::parse_job_key(key).is_some() {
+        return ("job", again::<storage::JobRecord>(value));
     }
-    if store::parse_part_key(key).is_some() {
+    if storage::parse_part_key(key).is_some() {
         return ("part", again::<String>(value));
     }
-    if store::parse_deputy_key(key).is_some() {
-        return ("deputy", again::<store::DeputyRecord>(value));
+    if storage::parse_deputy_key(key).is_some() {
+        return ("deputy", again::<storage::DeputyRecord>(value));
     }
-    if store::parse_slot_key(key).is_some() {
-        return ("log", again::<store::LogRecord>(value));
+    if storage::parse_slot_key(key).is_some() {
+        return ("log", again::<storage::LogRecord>(value));
     }
-    if store::parse_page_key(key).is_some() {
-        return ("page", again::<store::ChunkRecord>(value));
+    if storage::parse_page_key(key).is_some() {
+        return ("page", again::<storage::ChunkRecord>(value));
     }
-    if store::is_images_key(key) {
-        return ("images", again::<store::ImagesRecord>(value));
+    if storage::is_images_key(key) {
+        return ("images", again::<storage::ImagesRecord>(value));
     }
-    if store::parse_quota_home_key(key).is_some() {
+    if storage::parse_quota_home_key(key).is_some() {
         return ("home", again::<HomeRecord>(value));
     }
-    if store::parse_quota_hold_key(key).is_some() {
+    if storage::parse_quota_hold_key(key).is_some() {
         return ("hold", again::<HoldRecord>(value));
     }
     match key {
-        store::LEADER => ("leader", again::<store::LeaderRecord>(value)),
-        store::TERM => ("term", again::<store::TermRecord>(value)),
-        store::TABLE => ("table", again::<Table>(value)),
-        store::QUOTA_CELLS => ("cells", again::<MembersRecord>(value)),
-        _ if key.starts_with(store::TYPES) => ("types", again::<MachineTypes>(value)),
+        storage::LEADER => ("leader", again::<storage::LeaderRecord>(value)),
+        storage::TERM => ("term", again::<storage::TermRecord>(value)),
+        storage::TABLE => ("table", again::<Table>(value)),
+        storage::QUOTA_CELLS => ("cells", again::<MembersRecord>(value)),
+        _ if key.starts_with(storage::TYPES) => ("types", again::<MachineTypes>(value)),
         _ => panic!("{key} is no key of ours"),
     }
 }
--- a/tests/histories/main.rs
+++ b/tests/histories/main.rs
@@ -25,7 +25,7 @@
         worker::*,
     },
 };
-use dalelb_standin::store::{Limits, Store};
+use dalelb_emulators::store::{Limits, Store};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use serde_json::{Value, json};
 use wire::{Sent, Trace};
--- a/tests/quota_escrow.rs
+++ b/tests/quota_escrow.rs
@@ -4,10 +4,10 @@
 
 use std::collections::BTreeMap;
 
-use dalelb::bookkeeping::quota::{
+use dalelb::quota::{
     Grant, HoldRecord, HomeRecord, Position, Quota, TeamQuota, Units,
-    holder::{Demand, Holder},
-    home::Home,
+    coordinator::Home,
+    participant::{Demand, Holder},
 };
 use proptest::{
     prelude::*,
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -3,18 +3,16 @@
 use std::{cmp::Reverse, collections::HashSet};
 
 use dalelb::{
-    bookkeeping::{
-        autoscaler::Autoscaler,
-        books::{
-            Amounts, Books, JobIx, Machine, MachineIx, MachineState, Phase, Pull, TeamIx, TypeIx,
-        },
-        scheduler::{self, Looks, Whose},
-        store,
+    autoscaler::Autoscaler,
+    cluster::{
+        Amounts, Books, JobIx, Machine, MachineIx, MachineState, Phase, Pull, TeamIx, TypeIx,
     },
     protocol::{
         ids::JobId,
         job::{Kind, Priority, Submission},
     },
+    scheduling::{self, Looks, Whose},
+    storage,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -35,7 +33,7 @@
     let mut books = books((0.0, 0.0), (0.0, 0.0), 4);
     books.add_job(&job(1, "red", 1000, 4.0), 0, 0);
     books.add_job(&job(2, "blue", 10, 4.0), 99, 0);
-    scheduler::round(&mut books, 0);
+    scheduling::round(&mut books, 0);
     assert_eq!(booked(&books), [32.0, 32.0]);
 }
 
@@ -47,31 +45,31 @@
         ..job(1, "blue", 16, 4.0)
     };
     books.add_job(&aimed, 0, 0);
-    scheduler::round(&mut books, 0);
+    scheduling::round(&mut books, 0);
     run_all(&mut books, 0);
     assert_eq!(booked(&books), [0.0, 64.0]);
     books.add_job(&job(2, "red", 100, 4.0), 0, 0);
-    assert_eq!(scheduler::round(&mut books, 1), 0);
+    assert_eq!(scheduling::round(&mut books, 1), 0);
     // Red deserves its 16 and half of the other 48.
-    assert_eq!(scheduler::deserved(&books, 64.0), [40.0, 24.0]);
+    assert_eq!(scheduling::deserved(&books, 64.0), [40.0, 24.0]);
     // Tasks end all the time: an array waits a little before work with aims has to give way, or
     // replicas, which have no such times.
-    assert!(scheduler::preempt(&books, 1000, Whose::All).is_empty());
+    assert!(scheduling::preempt(&books, 1000, Whose::All).is_empty());
     for kind in [Kind::Service, Kind::Array] {
         let index = JobIx(0);
         let aims = std::mem::take(&mut books.jobs[index.at()].latest);
         books.jobs[index.at()].kind = kind;
-        let gives_way = !scheduler::preempt(&books, 1000, Whose::All).is_empty();
+        let gives_way = !scheduling::preempt(&books, 1000, Whose::All).is_empty();
         assert_eq!(gives_way, kind == Kind::Array, "without aims, {kind:?}");
         books.jobs[index.at()].latest = aims;
     }
-    let victims = scheduler::preempt(&books, 5000, Whose::All);
+    let victims = scheduling::preempt(&books, 5000, Whose::All);
     assert_eq!(victims.len(), 4, "blue gives red its guarantee, no more");
     // What was stopped waits again, and red has its turn.
     for victim in victims.iter().rev() {
         books.machines[victim.machine.at()].attempts[victim.at].stop = Some(0.0);
     }
-    let again = scheduler::preempt(&books, 5000, Whose::All);
+    let again = scheduling::preempt(&books, 5000, Whose::All);
     assert!(again.is_empty(), "what is being stopped already is enough");
     for number in 0..4 {
         let machine = MachineIx(number);
@@ -81,10 +79,10 @@
             }
         }
     }
-    scheduler::round(&mut books, 5001);
+    scheduling::round(&mut books, 5001);
     assert_eq!(booked(&books), [16.0, 48.0]);
     assert!(
-        scheduler::preempt(&books, 6000, Whose::All).is_empty(),
+        scheduling::preempt(&books, 6000, Whose::All).is_empty(),
         "nothing of the same priority"
     );
 }
@@ -112,7 +110,7 @@
                 spec.one_zone = !spec.spread && rng.random_bool(0.5);
             }
             books.add_job(&spec, number, now);
-            scheduler::round(&mut books, now);
+            scheduling::round(&mut books, now);
             for machine in 0..books.machines.len() as u32 {
                 let machine = MachineIx(machine);
                 for at in (0..books.machine(machine).attempts.len()).rev() {
@@ -153,7 +151,7 @@
     let mut warm = job(1, "red", 4, 4.0);
     warm.image = "front-img".into();
     books.add_job(&warm, 0, 0);
-    scheduler::round(&mut books, 0);
+    scheduling::round(&mut books, 0);
     run_all(&mut books, 0);
     let mut replica = job(2, "blue", 1, 4.0);
     replica.kind = Kind::Service;
@@ -163,7 +161,7 @@
     replica.image_gb = 5.0;
     replica.spot = false;
     books.add_job(&replica, 0, 40_000);
-    scheduler::round(&mut books, 40_000);
+    scheduling::round(&mut books, 40_000);
     let holder = books
         .machines
         .iter()
@@ -239,7 +237,7 @@
 
     let mut books = self::books((0.0, 0.0), (0.0, 0.0), 3);
     books.add_job(&job(2, "red", 1, 4.0), 0, 0);
-    scheduler::round(&mut books, 0);
+    scheduling::round(&mut books, 0);
     let (_, returns) = autoscaler.plan(&books, &[], 200_000, 200_000);
     assert_eq!(returns.len(), 2, "the one with work stays");
 }
@@ -307,14 +305,14 @@
 fn the_largest_job_fits_the_store_and_a_round() {
     let mut books = books((0.0, 0.0), (0.0, 0.0), 40);
     let index = books.add_job(&job(1, "red", 100_000, 0.1), 0, 0).unwrap();
-    while scheduler::round(&mut books, 0) > 0 {}
+    while scheduling::round(&mut books, 0) > 0 {}
     assert!(books.job(index).waiting.len() < 100_000);
     for chunk in 0..books.job(index).chunks.len() as u32 {
-        let record = store::chunk_record(&books, index, chunk);
-        let value = store::to_value(&record);
+        let record = storage::chunk_record(&books, index, chunk);
+        let value = storage::to_value(&record);
         assert!(value.to_string().len() <= 16 * 1024);
         assert_eq!(
-            serde_json::from_value::<store::ChunkRecord>(value).unwrap(),
+            serde_json::from_value::<storage::ChunkRecord>(value).unwrap(),
             record
         );
     }
@@ -325,11 +323,11 @@
 fn images_are_told_in_values_that_fit() {
     let mut books = books((0.0, 0.0), (0.0, 0.0), 600);
     books.add_job(&job(1, "red", 1200, 8.0), 0, 0);
-    while scheduler::round(&mut books, 0) > 0 {}
+    while scheduling::round(&mut books, 0) > 0 {}
     run_all(&mut books, 0);
     books.machines[3].draining = true;
     for bytes in [2048, 16 * 1024] {
-        let records = store::images_records(&books, bytes);
+        let records = storage::images_records(&books, bytes);
         let mut told = 0;
         for record in records {
             told += record
@@ -337,14 +335,14 @@
                 .iter()
                 .filter(|(name, held)| {
                     let replace = name == "vm-000003";
-                    *held == 1 | if replace { store::TO_BE_REPLACED } else { 0 }
+                    *held == 1 | if replace { storage::TO_BE_REPLACED } else { 0 }
                 })
                 .count();
             assert_eq!(record.images, [("img".to_owned(), 1.0)]);
-            let value = store::to_value(&record);
+            let value = storage::to_value(&record);
             assert!(value.to_string().len() <= bytes);
             assert_eq!(
-                serde_json::from_value::<store::ImagesRecord>(value).unwrap(),
+                serde_json::from_value::<storage::ImagesRecord>(value).unwrap(),
                 record
             );
         }
@@ -369,22 +367,22 @@
         let team = ["red", "blue"][number as usize % 2];
         books.add_job(&job(number, team, 7, 4.0), 0, 0);
     }
-    while scheduler::round(&mut books, 0) > 0 {}
+    while scheduling::round(&mut books, 0) > 0 {}
     let changed: Vec<_> = books.unlogged.iter().copied().collect();
     assert_eq!(changed.len(), 2100, "each placement is a change");
     for bytes in [600, 4096, 16 * 1024] {
         let mut tasks = changed.iter().copied().peekable();
         let mut named = 0;
         while tasks.peek().is_some() {
-            let record = store::log_record(&books, &mut tasks, (1, 1), bytes);
+            let record = storage::log_record(&books, &mut tasks, (1, 1), bytes);
             named += record
                 .jobs
                 .iter()
                 .map(|(.., notes)| notes.len())
                 .sum::<usize>();
-            let value = store::to_value(&record);
+            let value = storage::to_value(&record);
             assert!(value.to_string().len() <= bytes);
-            let read: store::LogRecord = serde_json::from_value(value).unwrap();
+            let read: storage::LogRecord = serde_json::from_value(value).unwrap();
             assert_eq!(read, record);
         }
         assert_eq!(named, changed.len());
@@ -398,11 +396,11 @@
     gang.kind = Kind::Gang;
     gang.one_zone = true;
     let index = books.add_job(&gang, 0, 0).unwrap();
-    assert_eq!(scheduler::round(&mut books, 0), 0, "a zone holds eight");
+    assert_eq!(scheduling::round(&mut books, 0), 0, "a zone holds eight");
     let zone = books.zone("a");
     let more = books.add_machine("vm-000009", TypeIx(0), zone, false, 0);
     books.machines[more.at()].state = MachineState::Up;
-    assert_eq!(scheduler::round(&mut books, 0), 9);
+    assert_eq!(scheduling::round(&mut books, 0), 9);
     assert_eq!(books.job(index).by_zone, [9, 0]);
 }
 
@@ -448,8 +446,8 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let (mut shared, mut plain) = (crowded(seed, 12, 20, 20), crowded(seed, 12, 20, 20));
         for now in (0..4000).step_by(40) {
-            scheduler::round(&mut shared, now);
-            scheduler::allocate(&mut plain, now, &mut Looks::plain());
+            scheduling::round(&mut shared, now);
+            scheduling::allocate(&mut plain, now, &mut Looks::plain());
             assert_eq!(places(&shared), places(&plain), "seed {seed} at {now}");
             for books in [&mut shared, &mut plain] {
                 run_all(books, now);
@@ -481,7 +479,7 @@
         let replicas: usize = services.iter().map(|job| job.waiting.len()).sum();
         let (jobs, teams) = (arrays.len() + services.len(), books.teams.len());
         let mut looks = Looks::default();
-        let placed = scheduler::allocate(&mut books, now, &mut looks);
+        let placed = scheduling::allocate(&mut books, now, &mut looks);
         if placed == 0 {
             break;
         }
@@ -513,7 +511,7 @@
         ..job(1, "blue", 100, 1.0)
     };
     books.add_job(&guest, 0, 0);
-    scheduler::round(&mut books, 0);
+    scheduling::round(&mut books, 0);
     run_all(&mut books, 0);
     // Red is beyond what it deserves, blue below: the heap would have blue go first.
     let urgent = Submission {
@@ -523,14 +521,14 @@
     let index = books.add_job(&urgent, 0, 0).expect("a known team");
     let mut stopped = 0;
     for now in [5000, 6000] {
-        let mut victims = scheduler::preempt(&books, now, Whose::All);
+        let mut victims = scheduling::preempt(&books, now, Whose::All);
         stopped += victims.len();
         victims.sort_by_key(|victim| Reverse(victim.at));
         for victim in victims {
             books.drop_attempt(victim.machine, victim.at, now);
             books.machines[victim.machine.at()].held_for = Some((victim.for_job, now + 3000));
         }
-        scheduler::round(&mut books, now);
+        scheduling::round(&mut books, now);
     }
     assert_eq!(
         books.job(index).waiting.len(),
@@ -552,7 +550,7 @@
     };
     books.add_job(&guest, 0, 0);
     for (attempt, stopped) in [(1, 1), (2, 0)] {
-        scheduler::round(&mut books, 0);
+        scheduling::round(&mut books, 0);
         run_all(&mut books, 0);
         assert_eq!(books.machine(MachineIx(0)).attempts[0].attempt, attempt);
         let urgent = Submission {
@@ -560,14 +558,14 @@
             ..job(1 + u64::from(attempt), "red", 1, 4.0)
         };
         let index = books.add_job(&urgent, 0, 0).expect("a known team");
-        let victims = scheduler::preempt(&books, 5000, Whose::All);
+        let victims = scheduling::preempt(&books, 5000, Whose::All);
         assert_eq!(victims.len(), stopped, "attempt {attempt}");
         books.close_job(index);
         for at in (0..books.machine(MachineIx(0)).attempts.len()).rev() {
             books.drop_attempt(MachineIx(0), at, 1000);
         }
     }
-    scheduler::round(&mut books, 2000);
+    scheduling::round(&mut books, 2000);
     let service = Submission {
         kind: Kind::Service,
         priority: Priority::Production,
@@ -575,7 +573,7 @@
         ..job(9, "red", 1, 4.0)
     };
     books.add_job(&service, 0, 0);
-    assert_eq!(scheduler::preempt(&books, 3000, Whose::All).len(), 1);
+    assert_eq!(scheduling::preempt(&books, 3000, Whose::All).len(), 1);
 }
 
 /// A burst of urgent arrays and a team that was within its guarantee took the same places from each other
@@ -589,14 +587,14 @@
             ..job(1, "blue", 4, 4.0)
         };
         books.add_job(&guaranteed, 0, 0);
-        scheduler::round(&mut books, 0);
+        scheduling::round(&mut books, 0);
         run_all(&mut books, 0);
         let urgent = Submission {
             priority: Priority::High,
             ..job(2, "red", 4, 4.0)
         };
         books.add_job(&urgent, 0, 0);
-        let victims = scheduler::preempt(&books, 5000, Whose::All);
+        let victims = scheduling::preempt(&books, 5000, Whose::All);
         assert_eq!(victims.len(), stopped, "guaranteed {guarantee}");
         let service = Submission {
             kind: Kind::Service,
@@ -605,7 +603,7 @@
             ..job(3, "red", 1, 4.0)
         };
         books.add_job(&service, 0, 0);
-        let victims = scheduler::preempt(&books, 5000, Whose::Services);
+        let victims = scheduling::preempt(&books, 5000, Whose::Services);
         assert_eq!(victims.len(), 1, "services have what they need");
     }
 }
@@ -639,7 +637,7 @@
         ..job(9, "red", 4, 4.0)
     };
     books.add_job(&service, 110_000, 110_000);
-    let victims = scheduler::preempt(&books, 110_000, Whose::Services);
+    let victims = scheduling::preempt(&books, 110_000, Whose::Services);
     let order: Vec<u64> = victims
         .iter()
         .map(|victim| books.job(books.machines[0].attempts[victim.at].job).id.0)
@@ -691,7 +689,7 @@
         (Priority::High, &[27.0, 57.0][..])
     );
     assert_eq!(entry.turn_ms, 26_500);
-    scheduler::round(&mut books, 0);
+    scheduling::round(&mut books, 0);
     assert_eq!(books.job(index).waiting.len(), 5, "it had its turn first");
     let own = Pull {
         priority: Priority::Low,
@@ -722,14 +720,14 @@
         ..job(1, "red", 2, 1.0)
     };
     books.add_job(&replicas, 0, 0);
-    scheduler::round(&mut books, 0);
+    scheduling::round(&mut books, 0);
     run_all(&mut books, 0);
     let urgent = Submission {
         priority: Priority::High,
         ..job(2, "red", 4, 16.0)
     };
     books.add_job(&urgent, 500, 500);
-    scheduler::round(&mut books, 500);
+    scheduling::round(&mut books, 500);
     let small = Submission {
         priority: Priority::Low,
         ..job(3, "blue", 3, 1.0)
@@ -737,9 +735,9 @@
     let small = books.add_job(&small, 1000, 1000).expect("a known team");
     let mut placed = None;
     for now in (1000..91_000).step_by(1000) {
-        scheduler::round(&mut books, now);
+        scheduling::round(&mut books, now);
         assert!(
-            scheduler::preempt(&books, now, Whose::All).is_empty(),
+            scheduling::preempt(&books, now, Whose::All).is_empty(),
             "nobody is in the way"
         );
         if books.job(small).waiting.is_empty() {
@@ -761,14 +759,14 @@
     let index = books
         .add_job(&job(1, "red", 1, 4.0), 0, 0)
         .expect("a known team");
-    scheduler::round(&mut books, 0);
+    scheduling::round(&mut books, 0);
     let on = MachineIx(0);
     books.advance(on, 0, Phase::Ended, 1000);
     books.requeue(index, 0, 1);
     books.failed(index, on, 1000);
     books.drop_attempt(on, 0, 1000);
     let placed = (2000..91_000).step_by(1000).find(|now| {
-        scheduler::round(&mut books, *now);
+        scheduling::round(&mut books, *now);
         books.job(index).waiting.is_empty()
     });
     let placed = placed.expect("there was room");
@@ -786,7 +784,7 @@
         ..job(1, "red", 1, 4.0)
     };
     books.add_job(&replica, 0, 0);
-    scheduler::round(&mut books, 0);
+    scheduling::round(&mut books, 0);
     run_all(&mut books, 0);
     assert!(books.replace(MachineIx(0), 1, "is slow"));
     let index = books
@@ -794,11 +792,11 @@
         .expect("a known team");
     let waiting = |books: &Books| books.job(index).waiting.len();
     for now in (1000..75_000).step_by(1000) {
-        scheduler::round(&mut books, now);
+        scheduling::round(&mut books, now);
     }
     assert_eq!(waiting(&books), 4, "it is to be replaced");
     for now in (75_000..90_000).step_by(1000) {
-        scheduler::round(&mut books, now);
+        scheduling::round(&mut books, now);
     }
     assert_eq!(waiting(&books), 1, "it holds three more");
 }
@@ -837,7 +835,7 @@
     let other = running(&mut books, &job(3, "blue", 1, 4.0), &[3]);
     let team = books.job(plain).team;
     let stopped = |cpus: f64, books: &Books| -> Vec<(JobIx, u32)> {
-        let victims = scheduler::above(books, team, &excess(cpus), 60_000);
+        let victims = scheduling::above(books, team, &excess(cpus), 60_000);
         let attempts = victims
             .iter()
             .map(|(on, at)| &books.machine(*on).attempts[*at]);
@@ -873,7 +871,7 @@
     running(&mut books, &gang, &[0, 1, 2]);
     running(&mut books, &job(2, "red", 1, 4.0), &[0]);
     let team = books.job(JobIx(0)).team;
-    let victims = scheduler::above(&books, team, &excess(4.0), 60_000);
+    let victims = scheduling::above(&books, team, &excess(4.0), 60_000);
     assert_eq!(victims.len(), 3);
     assert!(
         victims
--- a/tests/small/mod.rs
+++ b/tests/small/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use dalelb::{
-    bookkeeping::books::{Books, MachineState, TypeIx},
+    cluster::{Books, MachineState, TypeIx},
     config::Settings,
     protocol::{
         cloud::MachineType,
