--- a/crates/admission-simulation/src/main.rs
+++ b/crates/admission-simulation/src/main.rs
@@ -6,53 +6,63 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use dalelb::coordination::admission::quotas::{self, Class, Demand, Following, SETTLED};
+use dalelb::coordination::admission::quotas::{
+    self, NodeDemand, QUOTAS_SETTLE_MS, QuotaFollower, WorkloadClassName,
+};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-const NODES: usize = 3;
-const CLASSES: usize = 5;
+const NODE_COUNT: usize = 3;
+const CLASS_COUNT: usize = 5;
 /// Submissions a second that the state service takes.
-const WHOLE: f64 = 60.0;
-const STEP: u64 = 100;
-const END: u64 = 240_000;
-const TRIES: u64 = 60_000;
+const TOTAL_RATE_PER_S: f64 = 60.0;
+const STEP_MS: u64 = 100;
+const DURATION_MS: u64 = 240_000;
+const RETRY_WINDOW_MS: u64 = 60_000;
 
 #[derive(Clone, Copy)]
-struct User {
+struct WaitingUser {
     class: usize,
-    first: u64,
+    first_tried_at_ms: u64,
 }
 
 /// What comes: submissions a second of a class at a node.
 type Arrivals = fn(class: usize, node: usize, now: u64) -> f64;
 
 /// Four calm classes of 1.2 a second each, wherever the load balancer leads them.
-fn calm(class: usize, _: usize, _: u64) -> f64 {
+fn calm_arrivals(class: usize, _: usize, _: u64) -> f64 {
     if class > 0 { 0.4 } else { 0.0 }
 }
 
-fn one_node(class: usize, node: usize, now: u64) -> f64 {
+fn one_node_flood_arrivals(class: usize, node: usize, now: u64) -> f64 {
     let flood = class == 0 && node == 0 && (60_000..150_000).contains(&now);
-    if flood { 200.0 } else { calm(class, node, now) }
+    if flood {
+        200.0
+    } else {
+        calm_arrivals(class, node, now)
+    }
 }
 
-fn everywhere(class: usize, node: usize, now: u64) -> f64 {
+fn all_nodes_flood_arrivals(class: usize, node: usize, now: u64) -> f64 {
     let flood = class == 0 && (60_000..150_000).contains(&now);
-    if flood { 60.0 } else { calm(class, node, now) }
+    if flood {
+        60.0
+    } else {
+        calm_arrivals(class, node, now)
+    }
 }
 
 /// Two classes flood, one of them over one node only.
-fn two(class: usize, node: usize, now: u64) -> f64 {
+fn two_class_flood_arrivals(class: usize, node: usize, now: u64) -> f64 {
     let flooded = (60_000..150_000).contains(&now);
     match class {
         0 if flooded => 60.0,
         1 if flooded && node == 0 => 60.0,
-        _ => calm(class, node, now),
+        _ => calm_arrivals(class, node, now),
     }
 }
 
 /// Lets users in. Returns who of those that knock is let in at this step.
-trait Way {
+trait AdmissionStrategy {
     fn name(&self) -> &'static str;
     /// `knocks`: by node, the classes of those who knock, in order; `cut`: nodes without the state service.
     fn step(&mut self, now: u64, knocks: &[Vec<usize>], cut: &[bool]) -> Vec<Vec<bool>>;
@@ -61,21 +71,24 @@
 }
 
 /// Each node its third, first come, first served.
-struct Fixed {
-    tokens: [f64; NODES],
+struct EqualSplit {
+    tokens: [f64; NODE_COUNT],
 }
 
-impl Way for Fixed {
+impl AdmissionStrategy for EqualSplit {
     fn name(&self) -> &'static str {
         "fixed split"
     }
 
     fn step(&mut self, _: u64, knocks: &[Vec<usize>], cut: &[bool]) -> Vec<Vec<bool>> {
-        let rate = WHOLE / NODES as f64;
+        let rate = TOTAL_RATE_PER_S / NODE_COUNT as f64;
         let let_in = |(node, knocks): (usize, &Vec<usize>)| {
             let tokens = &mut self.tokens[node];
-            *tokens = (*tokens + rate * STEP as f64 / 1000.0).min(rate);
-            knocks.iter().map(|_| !cut[node] && take(tokens)).collect()
+            *tokens = (*tokens + rate * STEP_MS as f64 / 1000.0).min(rate);
+            knocks
+                .iter()
+                .map(|_| !cut[node] && try_take_token(tokens))
+                .collect()
         };
         knocks.iter().enumerate().map(let_in).collect()
     }
@@ -85,7 +98,7 @@
     }
 }
 
-fn take(tokens: &mut f64) -> bool {
+fn try_take_token(tokens: &mut f64) -> bool {
     let has = *tokens >= 1.0;
     if has {
         *tokens -= 1.0;
@@ -94,34 +107,40 @@
 }
 
 /// Each node raises its rate by itself and halves it when the state service refuses.
-struct Alone {
-    rates: [f64; NODES],
-    tokens: [f64; NODES],
+struct LocalAdaptive {
+    rates: [f64; NODE_COUNT],
+    tokens: [f64; NODE_COUNT],
     /// What the state service took in the last second.
-    taken: VecDeque<u64>,
+    recent_acceptances: VecDeque<u64>,
 }
 
-impl Way for Alone {
+impl AdmissionStrategy for LocalAdaptive {
     fn name(&self) -> &'static str {
         "each alone"
     }
 
     fn step(&mut self, now: u64, knocks: &[Vec<usize>], cut: &[bool]) -> Vec<Vec<bool>> {
-        while self.taken.front().is_some_and(|at| at + 1000 <= now) {
-            self.taken.pop_front();
+        while self
+            .recent_acceptances
+            .front()
+            .is_some_and(|at| at + 1000 <= now)
+        {
+            self.recent_acceptances.pop_front();
         }
         let mut all = Vec::new();
         for (node, knocks) in knocks.iter().enumerate() {
-            self.rates[node] += STEP as f64 / 1000.0;
+            self.rates[node] += STEP_MS as f64 / 1000.0;
             let rate = self.rates[node];
-            self.tokens[node] = (self.tokens[node] + rate * STEP as f64 / 1000.0).min(rate);
+            self.tokens[node] = (self.tokens[node] + rate * STEP_MS as f64 / 1000.0).min(rate);
             let mut let_in = Vec::new();
             let mut refused = false;
             for _ in knocks {
-                let tries = take(&mut self.tokens[node]);
-                let taken = tries && !cut[node] && (self.taken.len() as f64) < WHOLE;
+                let tries = try_take_token(&mut self.tokens[node]);
+                let taken = tries
+                    && !cut[node]
+                    && (self.recent_acceptances.len() as f64) < TOTAL_RATE_PER_S;
                 if taken {
-                    self.taken.push_back(now);
+                    self.recent_acceptances.push_back(now);
                 }
                 refused |= tries && !taken;
                 let_in.push(taken);
@@ -140,34 +159,38 @@
 }
 
 /// Nodes take blocks of credit from a key by compare-and-set; the key fills at the whole rate.
-struct Blocks {
+struct TokenBlockLeasing {
     pool: f64,
-    tokens: [f64; NODES],
+    tokens: [f64; NODE_COUNT],
     writes: u64,
 }
 
-const BLOCK: f64 = 6.0;
+const TOKENS_PER_BLOCK: f64 = 6.0;
 
-impl Way for Blocks {
+impl AdmissionStrategy for TokenBlockLeasing {
     fn name(&self) -> &'static str {
         "credit blocks"
     }
 
     fn step(&mut self, now: u64, knocks: &[Vec<usize>], cut: &[bool]) -> Vec<Vec<bool>> {
-        self.pool = (self.pool + WHOLE * STEP as f64 / 1000.0).min(WHOLE);
+        self.pool = (self.pool + TOTAL_RATE_PER_S * STEP_MS as f64 / 1000.0).min(TOTAL_RATE_PER_S);
         // Of those who ask at once one wins the compare-and-set; the others ask again at the next step.
-        let wants = (0..NODES)
-            .filter(|node| !cut[*node] && !knocks[*node].is_empty() && self.tokens[*node] < BLOCK);
+        let wants = (0..NODE_COUNT).filter(|node| {
+            !cut[*node] && !knocks[*node].is_empty() && self.tokens[*node] < TOKENS_PER_BLOCK
+        });
         let wants: Vec<usize> = wants.collect();
         self.writes += wants.len() as u64;
-        if let Some(&node) = wants.get((now / STEP) as usize % wants.len().max(1)) {
-            let block = BLOCK.min(self.pool);
+        if let Some(&node) = wants.get((now / STEP_MS) as usize % wants.len().max(1)) {
+            let block = TOKENS_PER_BLOCK.min(self.pool);
             self.pool -= block;
             self.tokens[node] += block;
         }
         let let_in = |(node, knocks): (usize, &Vec<usize>)| {
             let tokens = &mut self.tokens[node];
-            knocks.iter().map(|_| !cut[node] && take(tokens)).collect()
+            knocks
+                .iter()
+                .map(|_| !cut[node] && try_take_token(tokens))
+                .collect()
         };
         knocks.iter().enumerate().map(let_in).collect()
     }
@@ -178,62 +201,63 @@
 }
 
 /// The daemon's table: split by demand, max-min fair over classes.
-struct Tabled {
-    following: Vec<Following>,
-    synced: [u64; NODES],
-    stored: Option<quotas::Table>,
+struct SharedQuotaTable {
+    following: Vec<QuotaFollower>,
+    synced: [u64; NODE_COUNT],
+    stored: Option<quotas::AdmissionQuotas>,
     stored_at: u64,
-    demand: [[f64; CLASSES]; NODES],
-    tokens: [[f64; CLASSES]; NODES],
-    rest: [f64; NODES],
+    demand: [[f64; CLASS_COUNT]; NODE_COUNT],
+    tokens: [[f64; CLASS_COUNT]; NODE_COUNT],
+    unassigned_tokens: [f64; NODE_COUNT],
     writes: u64,
 }
 
-fn named(class: usize) -> Class {
-    Class {
+fn workload_class(class: usize) -> WorkloadClassName {
+    WorkloadClassName {
         team: "t".into(),
         class: format!("c{class}"),
     }
 }
 
-impl Tabled {
+impl SharedQuotaTable {
     fn new() -> Self {
-        Tabled {
-            following: vec![Following::default(); NODES],
-            synced: [0; NODES],
+        SharedQuotaTable {
+            following: vec![QuotaFollower::default(); NODE_COUNT],
+            synced: [0; NODE_COUNT],
             stored: None,
             stored_at: 0,
-            demand: [[0.0; CLASSES]; NODES],
-            tokens: [[0.0; CLASSES]; NODES],
-            rest: [0.0; NODES],
+            demand: [[0.0; CLASS_COUNT]; NODE_COUNT],
+            tokens: [[0.0; CLASS_COUNT]; NODE_COUNT],
+            unassigned_tokens: [0.0; NODE_COUNT],
             writes: 0,
         }
     }
 
-    fn store(&mut self, now: u64) {
-        if now < self.stored_at + SETTLED + 1000 {
+    fn store_quotas(&mut self, now: u64) {
+        if now < self.stored_at + QUOTAS_SETTLE_MS + 1000 {
             return;
         }
-        let takes = WHOLE / NODES as f64;
-        let demands: BTreeMap<String, Demand> = (0..NODES)
+        let takes = TOTAL_RATE_PER_S / NODE_COUNT as f64;
+        let demands: BTreeMap<String, NodeDemand> = (0..NODE_COUNT)
             .map(|node| {
-                let classes = (0..CLASSES).map(|class| (named(class), self.demand[node][class]));
-                let demand = Demand {
-                    takes,
-                    classes: classes.collect(),
-                    late: 0.0,
+                let classes =
+                    (0..CLASS_COUNT).map(|class| (workload_class(class), self.demand[node][class]));
+                let demand = NodeDemand {
+                    capacity_per_s: takes,
+                    class_demands: classes.collect(),
+                    lateness: 0.0,
                 };
                 (format!("n{node}"), demand)
             })
             .collect();
         let seq = self.stored.as_ref().map_or(1, |table| table.seq + 1);
-        let floor = quotas::floor(takes);
-        let table = quotas::split(&demands, floor, (seq, 1), 20);
-        let table = table.after(self.stored.as_ref(), takes, floor);
+        let floor = quotas::floor_rate(takes);
+        let table = quotas::allocate_quotas(&demands, floor, (seq, 1), 20);
+        let table = table.following(self.stored.as_ref(), takes, floor);
         if self
             .stored
             .as_ref()
-            .is_none_or(|known| table.differs(known, 0.05))
+            .is_none_or(|known| table.differs_by(known, 0.05))
         {
             self.stored = Some(table);
             self.stored_at = now;
@@ -242,30 +266,35 @@
     }
 }
 
-impl Way for Tabled {
+impl AdmissionStrategy for SharedQuotaTable {
     fn name(&self) -> &'static str {
         "leader's table"
     }
 
     fn step(&mut self, now: u64, knocks: &[Vec<usize>], cut: &[bool]) -> Vec<Vec<bool>> {
-        self.store(now);
-        let takes = WHOLE / NODES as f64;
-        let step_s = STEP as f64 / 1000.0;
+        self.store_quotas(now);
+        let takes = TOTAL_RATE_PER_S / NODE_COUNT as f64;
+        let step_s = STEP_MS as f64 / 1000.0;
         let mut all = Vec::new();
         for (node, knocks) in knocks.iter().enumerate() {
             let label = format!("n{node}");
-            let shares = (takes, quotas::floor(takes));
-            let parts = self.following[node].parts(&label, shares, Some(self.synced[node]), now);
+            let shares = (takes, quotas::floor_rate(takes));
+            let parts =
+                self.following[node].shares_at(&label, shares, Some(self.synced[node]), now);
             if !cut[node] {
                 if let Some(table) = &self.stored {
-                    self.following[node].read(&label, table.clone(), parts.clone(), now);
+                    self.following[node].adopt(&label, table.clone(), parts.clone(), now);
                 }
                 self.synced[node] = now;
             }
             let depth = 1.0;
-            let mut over = parts.rest * step_s;
-            for class in 0..CLASSES {
-                let rate = parts.classes.get(&named(class)).copied().unwrap_or(0.0);
+            let mut over = parts.unassigned * step_s;
+            for class in 0..CLASS_COUNT {
+                let rate = parts
+                    .classes
+                    .get(&workload_class(class))
+                    .copied()
+                    .unwrap_or(0.0);
                 let tokens = &mut self.tokens[node][class];
                 *tokens += rate * step_s;
                 over += (*tokens - rate * depth).max(0.0);
@@ -273,10 +302,12 @@
                 let came = knocks.iter().filter(|other| **other == class).count() as f64;
                 self.demand[node][class] += (came / step_s - self.demand[node][class]) * 0.02;
             }
-            self.rest[node] = (self.rest[node] + over).min(parts.whole() * depth);
+            self.unassigned_tokens[node] =
+                (self.unassigned_tokens[node] + over).min(parts.total() * depth);
             let let_in = knocks.iter().map(|class| {
                 let tokens = &mut self.tokens[node][*class];
-                !cut[node] && (take(tokens) || take(&mut self.rest[node]))
+                !cut[node]
+                    && (try_take_token(tokens) || try_take_token(&mut self.unassigned_tokens[node]))
             });
             all.push(let_in.collect());
         }
@@ -289,39 +320,46 @@
 }
 
 #[derive(Default)]
-struct Outcome {
-    came: [u64; CLASSES],
-    let_in: [u64; CLASSES],
+struct SimulationResult {
+    arrived: [u64; CLASS_COUNT],
+    admitted: [u64; CLASS_COUNT],
     /// Of the calm classes, at their first try.
-    at_once: u64,
+    admitted_at_first_try: u64,
     /// Let in in the flood's seconds, and the most in any second, as parts of the whole.
-    used: f64,
-    most: f64,
+    utilization: f64,
+    peak_utilization: f64,
 }
 
-fn play(way: &mut dyn Way, arrivals: Arrivals, cut: impl Fn(usize, u64) -> bool) -> Outcome {
+fn simulate(
+    way: &mut dyn AdmissionStrategy,
+    arrivals: Arrivals,
+    cut: impl Fn(usize, u64) -> bool,
+) -> SimulationResult {
     let mut rng = StdRng::seed_from_u64(7);
-    let mut outcome = Outcome::default();
-    let mut back: BTreeMap<u64, Vec<User>> = BTreeMap::new();
+    let mut outcome = SimulationResult::default();
+    let mut back: BTreeMap<u64, Vec<WaitingUser>> = BTreeMap::new();
     let mut lately: VecDeque<u64> = VecDeque::new();
     let mut flooded = 0;
-    for now in (0..END).step_by(STEP as usize) {
-        let mut knocks: Vec<Vec<User>> = vec![Vec::new(); NODES];
+    for now in (0..DURATION_MS).step_by(STEP_MS as usize) {
+        let mut knocks: Vec<Vec<WaitingUser>> = vec![Vec::new(); NODE_COUNT];
         // Who comes back is led to any node.
         let due: Vec<u64> = back.range(..=now).map(|(at, _)| *at).collect();
         for user in due
             .into_iter()
             .flat_map(|at| back.remove(&at).unwrap_or_default())
         {
-            knocks[rng.random_range(0..NODES)].push(user);
+            knocks[rng.random_range(0..NODE_COUNT)].push(user);
         }
         for (node, knocks) in knocks.iter_mut().enumerate() {
-            for class in 0..CLASSES {
-                let rate = arrivals(class, node, now) * STEP as f64 / 1000.0;
+            for class in 0..CLASS_COUNT {
+                let rate = arrivals(class, node, now) * STEP_MS as f64 / 1000.0;
                 let count = rate.floor() as u64 + u64::from(rng.random_bool(rate.fract()));
                 for _ in 0..count {
-                    outcome.came[class] += 1;
-                    knocks.push(User { class, first: now });
+                    outcome.arrived[class] += 1;
+                    knocks.push(WaitingUser {
+                        class,
+                        first_tried_at_ms: now,
+                    });
                 }
             }
             // Nobody is first by the number of his class.
@@ -333,17 +371,18 @@
             .iter()
             .map(|knocks| knocks.iter().map(|user| user.class).collect())
             .collect();
-        let cut: Vec<bool> = (0..NODES).map(|node| cut(node, now)).collect();
+        let cut: Vec<bool> = (0..NODE_COUNT).map(|node| cut(node, now)).collect();
         let let_in = way.step(now, &classes, &cut);
         for (user, let_in) in knocks.iter().flatten().zip(let_in.iter().flatten()) {
             if *let_in {
-                outcome.let_in[user.class] += 1;
-                outcome.at_once += u64::from(user.class > 0 && user.first == now);
+                outcome.admitted[user.class] += 1;
+                outcome.admitted_at_first_try +=
+                    u64::from(user.class > 0 && user.first_tried_at_ms == now);
                 lately.push_back(now);
                 flooded += u64::from((70_000..150_000).contains(&now));
             } else {
                 let at = now + rng.random_range(2000..4000);
-                if at < user.first + TRIES {
+                if at < user.first_tried_at_ms + RETRY_WINDOW_MS {
                     back.entry(at).or_default().push(*user);
                 }
             }
@@ -351,58 +390,64 @@
         while lately.front().is_some_and(|at| at + 1000 <= now) {
             lately.pop_front();
         }
-        outcome.most = outcome.most.max(lately.len() as f64 / WHOLE);
+        outcome.peak_utilization = outcome
+            .peak_utilization
+            .max(lately.len() as f64 / TOTAL_RATE_PER_S);
     }
-    outcome.used = flooded as f64 / 80.0 / WHOLE;
+    outcome.utilization = flooded as f64 / 80.0 / TOTAL_RATE_PER_S;
     outcome
 }
 
 fn main() {
     let floods: [(&str, Arrivals, bool); 5] = [
-        ("calm", calm, false),
-        ("one class, one node", one_node, false),
-        ("one class, everywhere", everywhere, false),
-        ("two classes", two, false),
-        ("everywhere, a node without the store", everywhere, true),
+        ("calm", calm_arrivals, false),
+        ("one class, one node", one_node_flood_arrivals, false),
+        ("one class, everywhere", all_nodes_flood_arrivals, false),
+        ("two classes", two_class_flood_arrivals, false),
+        (
+            "everywhere, a node without the store",
+            all_nodes_flood_arrivals,
+            true,
+        ),
     ];
     println!(
         "{:<38} {:<16} {:>8} {:>8} {:>8} {:>6} {:>6} {:>7}",
         "flood", "way", "calm", "at once", "flooding", "used", "most", "writes"
     );
     for (flood, arrivals, lost) in floods {
-        let ways: [Box<dyn Way>; 4] = [
-            Box::new(Fixed {
-                tokens: [0.0; NODES],
+        let ways: [Box<dyn AdmissionStrategy>; 4] = [
+            Box::new(EqualSplit {
+                tokens: [0.0; NODE_COUNT],
             }),
-            Box::new(Alone {
-                rates: [WHOLE / NODES as f64; NODES],
-                tokens: [0.0; NODES],
-                taken: VecDeque::new(),
+            Box::new(LocalAdaptive {
+                rates: [TOTAL_RATE_PER_S / NODE_COUNT as f64; NODE_COUNT],
+                tokens: [0.0; NODE_COUNT],
+                recent_acceptances: VecDeque::new(),
             }),
-            Box::new(Blocks {
-                pool: WHOLE,
-                tokens: [0.0; NODES],
+            Box::new(TokenBlockLeasing {
+                pool: TOTAL_RATE_PER_S,
+                tokens: [0.0; NODE_COUNT],
                 writes: 0,
             }),
-            Box::new(Tabled::new()),
+            Box::new(SharedQuotaTable::new()),
         ];
         for mut way in ways {
             let cut = move |node, now| lost && node == 1 && (80_000..140_000).contains(&now);
-            let outcome = play(&mut *way, arrivals, cut);
-            let calm = |counts: &[u64; CLASSES]| counts[2..].iter().sum::<u64>() as f64;
+            let outcome = simulate(&mut *way, arrivals, cut);
+            let calm = |counts: &[u64; CLASS_COUNT]| counts[2..].iter().sum::<u64>() as f64;
             let part = |of: f64, all: f64| if all > 0.0 { of / all } else { 1.0 };
             println!(
                 "{:<38} {:<16} {:>8.3} {:>8.3} {:>8.3} {:>6.2} {:>6.2} {:>7}",
                 flood,
                 way.name(),
-                part(calm(&outcome.let_in), calm(&outcome.came)),
+                part(calm(&outcome.admitted), calm(&outcome.arrived)),
                 part(
-                    outcome.at_once as f64,
-                    outcome.came[1..].iter().sum::<u64>() as f64
+                    outcome.admitted_at_first_try as f64,
+                    outcome.arrived[1..].iter().sum::<u64>() as f64
                 ),
-                part(outcome.let_in[0] as f64, outcome.came[0] as f64),
-                outcome.used,
-                outcome.most,
+                part(outcome.admitted[0] as f64, outcome.arrived[0] as f64),
+                outcome.utilization,
+                outcome.peak_utilization,
                 way.writes()
             );
         }
--- a/crates/emulators/src/cloud.rs
+++ b/crates/emulators/src/cloud_emulator.rs
@@ -14,20 +14,20 @@
 use tokio::net::TcpListener;
 use warp::Filter;
 
-use crate::reply::reply;
+use crate::responses::msgpack_response;
 
 /// The most machines in one answer.
-const PAGE: usize = 500;
+const MAX_MACHINES_PER_PAGE: usize = 500;
 
 /// Hears which machines are deleted.
-type Deleted = dyn Fn(&[String]) + Send + Sync;
+type DeletionCallback = dyn Fn(&[String]) + Send + Sync;
 
 /// A running cloud.
 #[derive(Clone)]
 pub struct Cloud {
     machine_type: MachineType,
     machines: Arc<Mutex<BTreeMap<String, ListedMachine>>>,
-    deleted: Arc<Deleted>,
+    on_deleted: Arc<DeletionCallback>,
 }
 
 #[derive(Deserialize)]
@@ -55,7 +55,7 @@
 }
 
 /// How the list shows an ordinary machine that has run for a while.
-pub fn listed(name: &str, addr: SocketAddr, zone: &str) -> ListedMachine {
+pub fn listed_machine(name: &str, addr: SocketAddr, zone: &str) -> ListedMachine {
     ListedMachine {
         id: name.to_owned(),
         addr: Some(addr.to_string()),
@@ -79,7 +79,7 @@
         let cloud = Cloud {
             machine_type,
             machines: Arc::new(Mutex::new(machines.collect())),
-            deleted: Arc::new(deleted),
+            on_deleted: Arc::new(deleted),
         };
         tokio::spawn(warp::serve(cloud.clone().routes()).incoming(listener).run());
         cloud
@@ -90,7 +90,7 @@
     }
 
     /// How many machines are rented.
-    pub fn rented(&self) -> usize {
+    pub fn instance_count(&self) -> usize {
         self.machines().len()
     }
 
@@ -102,10 +102,13 @@
         }
     }
 
-    fn page(&self, query: &ListQuery) -> MachineList {
+    fn list_page(&self, query: &ListQuery) -> MachineList {
         let machines = self.machines();
         let after = query.after.as_deref().unwrap_or("");
-        let limit = query.limit.unwrap_or(PAGE).min(PAGE);
+        let limit = query
+            .limit
+            .unwrap_or(MAX_MACHINES_PER_PAGE)
+            .min(MAX_MACHINES_PER_PAGE);
         let mut listed: Vec<ListedMachine> = machines
             .iter()
             .filter(|(name, _)| name.as_str() > after)
@@ -130,26 +133,26 @@
             .and(warp::path!("machine_types"))
             .map(|cloud: Self| {
                 let types = vec![cloud.machine_type];
-                reply(200, &MachineTypes { types })
+                msgpack_response(200, &MachineTypes { types })
             });
         let list = with
             .clone()
             .and(warp::path!("machines"))
             .and(warp::query::<ListQuery>())
             .and(warp::get())
-            .map(|cloud: Self, query: ListQuery| reply(200, &cloud.page(&query)));
+            .map(|cloud: Self, query: ListQuery| msgpack_response(200, &cloud.list_page(&query)));
         let rent = warp::path!("machines")
             .and(warp::post())
-            .map(|| reply(503, &json!({"error": "no capacity"})));
+            .map(|| msgpack_response(503, &json!({"error": "no capacity"})));
         let delete = with
             .and(warp::path!("machines" / "delete"))
             .and(warp::post())
             .and(warp::body::bytes())
             .map(|cloud: Self, body: Bytes| {
                 let names: MachineNames = protocol::decode(&body).expect("names of machines");
-                (cloud.deleted)(&names.machines);
+                (cloud.on_deleted)(&names.machines);
                 cloud.remove(&names.machines);
-                reply(200, &json!({}))
+                msgpack_response(200, &json!({}))
             });
         types.or(list).unify().or(rent).unify().or(delete).unify()
     }
--- a/crates/emulators/src/link.rs
+++ b/crates/emulators/src/http_connection.rs
@@ -33,27 +33,27 @@
 
 impl Traffic {
     /// Counts one request.
-    pub fn request(&self) {
+    pub fn count_request(&self) {
         self.requests.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Requests and bytes so far.
-    pub fn so_far(&self) -> (u64, u64) {
+    pub fn totals(&self) -> (u64, u64) {
         let requests = self.requests.load(Ordering::Relaxed);
         (requests, self.bytes.load(Ordering::Relaxed))
     }
 }
 
 /// A stream whose bytes are counted.
-pub struct Counted {
+pub struct CountingStream {
     stream: TcpStream,
     traffic: Arc<Traffic>,
 }
 
-impl Counted {
+impl CountingStream {
     /// Counts what crosses `stream` as `traffic`.
     pub fn new(stream: TcpStream, traffic: Arc<Traffic>) -> Self {
-        Counted { stream, traffic }
+        CountingStream { stream, traffic }
     }
 
     fn count(&self, bytes: usize) {
@@ -62,7 +62,7 @@
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -75,7 +75,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -98,25 +98,25 @@
 }
 
 /// A connection that is opened when it is first used, and again after it broke.
-pub struct Link {
-    to: SocketAddr,
+pub struct HttpConnection {
+    target: SocketAddr,
     sender: Option<SendRequest<Full<Bytes>>>,
     traffic: Arc<Traffic>,
 }
 
-impl Link {
+impl HttpConnection {
     /// A link to `to`, not yet open.
     pub fn new(to: SocketAddr, traffic: Arc<Traffic>) -> Self {
-        Link {
-            to,
+        HttpConnection {
+            target: to,
             sender: None,
             traffic,
         }
     }
 
     /// Closes the connection and goes to `to` from now on.
-    pub fn turn_to(&mut self, to: SocketAddr) {
-        self.to = to;
+    pub fn redirect_to(&mut self, to: SocketAddr) {
+        self.target = to;
         self.sender = None;
     }
 
@@ -128,7 +128,7 @@
         body: Vec<u8>,
         timeout: Duration,
     ) -> Option<(u16, Bytes)> {
-        self.traffic.request();
+        self.traffic.count_request();
         let exchange = self.exchange(method, path, body);
         let answer = tokio::time::timeout(timeout, exchange).await.ok().flatten();
         if answer.is_none() {
@@ -146,7 +146,7 @@
         let request = Request::builder()
             .method(method)
             .uri(path)
-            .header(HOST, self.to.to_string())
+            .header(HOST, self.target.to_string())
             .header("content-type", "application/msgpack")
             .body(Full::new(Bytes::from(body)))
             .ok()?;
@@ -163,9 +163,9 @@
             None => false,
         };
         if !usable {
-            let stream = TcpStream::connect(self.to).await.ok()?;
+            let stream = TcpStream::connect(self.target).await.ok()?;
             stream.set_nodelay(true).ok()?;
-            let counted = Counted::new(stream, self.traffic.clone());
+            let counted = CountingStream::new(stream, self.traffic.clone());
             let (sender, connection) = handshake(TokioIo::new(counted)).await.ok()?;
             tokio::spawn(connection);
             self.sender = Some(sender);
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -10,11 +10,11 @@
 //!
 //! Tests and the load tool share them, so that both meet the same behaviour.
 
-pub mod cloud;
-pub mod fleet;
-pub mod link;
-pub mod machine;
-pub mod relay;
-pub mod reply;
+pub mod cloud_emulator;
+pub mod http_connection;
+pub mod link_emulator;
+pub mod responses;
 pub mod state_service;
-pub mod store;
+pub mod state_store;
+pub mod worker_emulator;
+pub mod worker_fleet;
--- a/crates/emulators/src/relay.rs
+++ b/crates/emulators/src/link_emulator.rs
@@ -19,31 +19,31 @@
     time::Instant,
 };
 
-use crate::link::Traffic;
+use crate::http_connection::Traffic;
 
 /// Bytes read at once.
-const CHUNK: usize = 16 * 1024;
+const CHUNK_BYTES: usize = 16 * 1024;
 
 /// Chunks that are on their way in one direction of a connection.
-const IN_FLIGHT: usize = 256;
+const MAX_CHUNKS_IN_FLIGHT: usize = 256;
 
 /// A running relay.
-pub struct Relay {
-    cut: watch::Sender<bool>,
+pub struct EmulatedLink {
+    is_cut: watch::Sender<bool>,
     traffic: Arc<Traffic>,
-    open: Arc<AtomicBool>,
+    is_open: Arc<AtomicBool>,
 }
 
-impl Relay {
+impl EmulatedLink {
     /// Relays connections to `listener` on to `to`, each byte `delay` later in either direction.
     pub fn start(listener: TcpListener, to: SocketAddr, delay: Duration) -> Self {
         let (cut, watched) = watch::channel(false);
         let traffic = Arc::new(Traffic::default());
         let open = Arc::new(AtomicBool::new(true));
-        let relay = Relay {
-            cut,
+        let relay = EmulatedLink {
+            is_cut: cut,
             traffic: traffic.clone(),
-            open: open.clone(),
+            is_open: open.clone(),
         };
         tokio::spawn(async move {
             while open.load(Ordering::Relaxed) {
@@ -59,20 +59,20 @@
     }
 
     /// Cuts the link, or mends it. Nothing crosses a cut link; its connections break.
-    pub fn cut(&self, cut: bool) {
-        self.cut.send_replace(cut);
+    pub fn set_cut(&self, cut: bool) {
+        self.is_cut.send_replace(cut);
     }
 
     /// Connections that were opened, and the bytes that crossed.
-    pub fn traffic(&self) -> (u64, u64) {
-        self.traffic.so_far()
+    pub fn connections_and_bytes(&self) -> (u64, u64) {
+        self.traffic.totals()
     }
 }
 
-impl Drop for Relay {
+impl Drop for EmulatedLink {
     fn drop(&mut self) {
-        self.open.store(false, Ordering::Relaxed);
-        self.cut.send_replace(true);
+        self.is_open.store(false, Ordering::Relaxed);
+        self.is_cut.send_replace(true);
     }
 }
 
@@ -83,7 +83,7 @@
     traffic: Arc<Traffic>,
     mut cut: watch::Receiver<bool>,
 ) {
-    traffic.request();
+    traffic.count_request();
     if *cut.borrow_and_update() {
         return;
     }
@@ -108,9 +108,9 @@
     delay: Duration,
     traffic: &Traffic,
 ) {
-    let (send, mut receive) = mpsc::channel::<(Instant, Vec<u8>)>(IN_FLIGHT);
+    let (send, mut receive) = mpsc::channel::<(Instant, Vec<u8>)>(MAX_CHUNKS_IN_FLIGHT);
     let read = async {
-        let mut buffer = vec![0; CHUNK];
+        let mut buffer = vec![0; CHUNK_BYTES];
         while let Ok(count @ 1..) = from.read(&mut buffer).await {
             let due = Instant::now() + delay;
             if send.send((due, buffer[..count].to_vec())).await.is_err() {
--- a/crates/emulators/src/relay/tests.rs
+++ b/crates/emulators/src/link_emulator/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
-use crate::reply::listener;
+use crate::responses::bind_any_port;
 
 async fn echo() -> SocketAddr {
-    let (listener, addr) = listener();
+    let (listener, addr) = bind_any_port();
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             tokio::spawn(async move {
@@ -15,10 +15,10 @@
 }
 
 #[tokio::test]
-async fn bytes_arrive_late_and_a_cut_link_carries_none() {
+async fn link_delays_bytes_and_drops_all_while_cut() {
     const DELAY: Duration = Duration::from_millis(40);
-    let (listener, addr) = listener();
-    let relay = Relay::start(listener, echo().await, DELAY);
+    let (listener, addr) = bind_any_port();
+    let relay = EmulatedLink::start(listener, echo().await, DELAY);
     let mut stream = TcpStream::connect(addr).await.unwrap();
     let began = Instant::now();
     stream.write_all(b"hello").await.unwrap();
@@ -26,13 +26,13 @@
     stream.read_exact(&mut answer).await.unwrap();
     assert_eq!(&answer, b"hello");
     assert!(began.elapsed() >= 2 * DELAY, "{:?}", began.elapsed());
-    assert_eq!(relay.traffic(), (1, 10));
-    relay.cut(true);
+    assert_eq!(relay.connections_and_bytes(), (1, 10));
+    relay.set_cut(true);
     assert_eq!(stream.read(&mut answer).await.unwrap_or(0), 0, "broken");
     let mut refused = TcpStream::connect(addr).await.unwrap();
     let _ = refused.write_all(b"hello").await;
     assert_eq!(refused.read(&mut answer).await.unwrap_or(0), 0, "broken");
-    relay.cut(false);
+    relay.set_cut(false);
     let mut mended = TcpStream::connect(addr).await.unwrap();
     mended.write_all(b"again").await.unwrap();
     mended.read_exact(&mut answer).await.unwrap();
--- a/crates/emulators/src/reply.rs
+++ b/crates/emulators/src/responses.rs
@@ -8,19 +8,19 @@
 use tokio::net::TcpListener;
 
 /// An answer with this status and body.
-pub fn reply<T: serde::Serialize>(status: u16, body: &T) -> Response<Bytes> {
+pub fn msgpack_response<T: serde::Serialize>(status: u16, body: &T) -> Response<Bytes> {
     let mut response = Response::new(Bytes::from(protocol::encode(body)));
     *response.status_mut() = StatusCode::from_u16(status).expect("a valid status");
     response
 }
 
 /// A listener on a free port of 127.0.0.1.
-pub fn listener() -> (TcpListener, SocketAddr) {
-    listen("127.0.0.1:0").expect("a free port")
+pub fn bind_any_port() -> (TcpListener, SocketAddr) {
+    bind("127.0.0.1:0").expect("a free port")
 }
 
 /// A listener on `addr`, and the address that it got.
-pub fn listen(addr: &str) -> std::io::Result<(TcpListener, SocketAddr)> {
+pub fn bind(addr: &str) -> std::io::Result<(TcpListener, SocketAddr)> {
     let listener = StdListener::bind(addr)?;
     listener.set_nonblocking(true)?;
     let addr = listener.local_addr()?;
--- a/crates/emulators/src/state_service.rs
+++ b/crates/emulators/src/state_service.rs
@@ -19,19 +19,19 @@
 use warp::Filter;
 
 use crate::{
-    reply::reply,
-    store::{Limits, Store},
+    responses::msgpack_response,
+    state_store::{Store, StoreLimits},
 };
 
 /// How often a waiting watch looks whether leases have ended; writes wake it at once.
-const LEASE_CHECK: Duration = Duration::from_millis(50);
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Changes that the service keeps for watches.
-const KEPT_CHANGES: usize = 10_000;
+const MAX_RETAINED_CHANGES: usize = 10_000;
 
 /// How fast the service takes requests and how long it needs.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct ServiceRates {
     /// Requests a second; `None`: any number.
     pub rps: Option<f64>,
     /// Puts and deletes a second; `None`: any number.
@@ -40,9 +40,9 @@
     pub latency: Duration,
 }
 
-impl Pace {
+impl ServiceRates {
     /// No limit and no latency.
-    pub const UNLIMITED: Pace = Pace {
+    pub const UNLIMITED: ServiceRates = ServiceRates {
         rps: None,
         write_rps: None,
         latency: Duration::ZERO,
@@ -51,7 +51,7 @@
 
 /// What the service has done since it began.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Counters {
+pub struct RequestCounters {
     /// Requests by kind.
     pub requests: BTreeMap<String, u64>,
     /// Puts and deletes that were carried out.
@@ -59,10 +59,11 @@
     /// Bytes of transactions, as MessagePack.
     pub txn_bytes: u64,
     /// Requests refused with 429.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rate_limited: u64,
 }
 
-impl Counters {
+impl RequestCounters {
     /// All requests together.
     pub fn total(&self) -> u64 {
         self.requests.values().sum()
@@ -70,29 +71,29 @@
 }
 
 /// A limit per second that allows bursts of one second's worth.
-struct RateLimit {
-    per_second: Option<f64>,
+struct TokenBucket {
+    rate_per_s: Option<f64>,
     tokens: f64,
-    at: Instant,
+    refilled_at: Instant,
 }
 
-impl RateLimit {
+impl TokenBucket {
     fn new(per_second: Option<f64>) -> Self {
-        RateLimit {
-            per_second,
+        TokenBucket {
+            rate_per_s: per_second,
             tokens: per_second.unwrap_or(0.0),
-            at: Instant::now(),
+            refilled_at: Instant::now(),
         }
     }
 
-    fn take(&mut self, amount: f64) -> bool {
-        let Some(rate) = self.per_second else {
+    fn try_acquire(&mut self, amount: f64) -> bool {
+        let Some(rate) = self.rate_per_s else {
             return true;
         };
         let now = Instant::now();
-        let earned = now.duration_since(self.at).as_secs_f64() * rate;
+        let earned = now.duration_since(self.refilled_at).as_secs_f64() * rate;
         self.tokens = (self.tokens + earned).min(rate);
-        self.at = now;
+        self.refilled_at = now;
         if self.tokens < amount {
             return false;
         }
@@ -101,24 +102,24 @@
     }
 }
 
-struct Inner {
+struct ServiceState {
     store: Store,
-    counters: Counters,
-    requests: RateLimit,
-    writes: RateLimit,
+    counters: RequestCounters,
+    requests: TokenBucket,
+    writes: TokenBucket,
 }
 
 /// A running state service.
 #[derive(Clone)]
 pub struct StateService {
-    inner: Arc<Mutex<Inner>>,
+    state: Arc<Mutex<ServiceState>>,
     changed: Arc<Notify>,
     latency: Duration,
-    began: Instant,
+    started_at: Instant,
 }
 
 #[derive(Deserialize)]
-struct Query {
+struct ListParameters {
     #[serde(default)]
     after: Option<String>,
     #[serde(default)]
@@ -129,16 +130,16 @@
 }
 
 /// The prefixes that the service asks for; requests hold them as constants.
-fn prefix(query: &Query) -> &'static str {
+fn static_prefix(query: &ListParameters) -> &'static str {
     match query.starts.as_deref() {
-        Some(schema::SHARED) => schema::SHARED,
-        Some(schema::BOOKS) => schema::BOOKS,
-        Some(schema::QUOTA) => schema::QUOTA,
+        Some(schema::SHARED_PREFIX) => schema::SHARED_PREFIX,
+        Some(schema::CLUSTER_PREFIX) => schema::CLUSTER_PREFIX,
+        Some(schema::QUOTA_PREFIX) => schema::QUOTA_PREFIX,
         other => panic!("an unexpected prefix {other:?}"),
     }
 }
 
-fn kind(request: &StateRequest) -> &'static str {
+fn request_kind(request: &StateRequest) -> &'static str {
     match request {
         StateRequest::List { .. } => "list",
         StateRequest::Get { .. } => "get",
@@ -151,38 +152,38 @@
     }
 }
 
-fn shown(result: StateReply) -> Response<Bytes> {
+fn response_for(result: StateReply) -> Response<Bytes> {
     match result {
-        StateReply::Page(page) => reply(200, &page),
-        StateReply::Row(row) => reply(200, &row),
-        StateReply::Missing => reply(404, &json!({"ledger": 1})),
-        StateReply::Committed(revision) => reply(200, &Committed { revision }),
-        StateReply::Conflict(failed) => reply(409, &Conflict { failed }),
-        StateReply::Granted(id) => reply(200, &Lease { id }),
-        StateReply::Touched => reply(200, &json!({})),
-        StateReply::NoLease => reply(404, &json!({"error": "no such lease"})),
-        StateReply::Changes(changes) => reply(200, &changes),
-        StateReply::TooOld => reply(410, &json!({})),
+        StateReply::Page(page) => msgpack_response(200, &page),
+        StateReply::Row(row) => msgpack_response(200, &row),
+        StateReply::Missing => msgpack_response(404, &json!({"ledger": 1})),
+        StateReply::Committed(revision) => msgpack_response(200, &Committed { revision }),
+        StateReply::Conflict(failed) => msgpack_response(409, &Conflict { failed }),
+        StateReply::Granted(id) => msgpack_response(200, &Lease { id }),
+        StateReply::Touched => msgpack_response(200, &json!({})),
+        StateReply::NoLease => msgpack_response(404, &json!({"error": "no such lease"})),
+        StateReply::Changes(changes) => msgpack_response(200, &changes),
+        StateReply::TooOld => msgpack_response(410, &json!({})),
     }
 }
 
 impl StateService {
     /// Serves on `listener` until the process ends.
-    pub fn start(listener: TcpListener, limits: Limits, pace: Pace) -> Self {
+    pub fn start(listener: TcpListener, limits: StoreLimits, pace: ServiceRates) -> Self {
         let mut store = Store::new(limits);
-        store.kept = KEPT_CHANGES;
+        store.max_retained_changes = MAX_RETAINED_CHANGES;
         // Nodes watch nothing else, and the values of all other keys take gigabytes.
-        store.watched = Some(schema::SHARED);
+        store.watched_prefix = Some(schema::SHARED_PREFIX);
         let service = StateService {
-            inner: Arc::new(Mutex::new(Inner {
+            state: Arc::new(Mutex::new(ServiceState {
                 store,
-                counters: Counters::default(),
-                requests: RateLimit::new(pace.rps),
-                writes: RateLimit::new(pace.write_rps),
+                counters: RequestCounters::default(),
+                requests: TokenBucket::new(pace.rps),
+                writes: TokenBucket::new(pace.write_rps),
             })),
             changed: Arc::new(Notify::new()),
             latency: pace.latency,
-            began: Instant::now(),
+            started_at: Instant::now(),
         };
         tokio::spawn(
             warp::serve(service.clone().routes())
@@ -192,18 +193,18 @@
         service
     }
 
-    fn inner(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().expect("the state service's lock")
+    fn lock_state(&self) -> MutexGuard<'_, ServiceState> {
+        self.state.lock().expect("the state service's lock")
     }
 
     /// What it has done so far.
-    pub fn counters(&self) -> Counters {
-        self.inner().counters.clone()
+    pub fn counters(&self) -> RequestCounters {
+        self.lock_state().counters.clone()
     }
 
     /// Stores values without conditions, as if they had been written long ago.
     pub fn preload(&self, values: impl Iterator<Item = (String, serde_json::Value)>) {
-        let mut inner = self.inner();
+        let mut inner = self.lock_state();
         inner.store.revision += 1;
         let revision = inner.store.revision;
         for (key, value) in values {
@@ -212,19 +213,19 @@
     }
 
     /// How many keys are stored, and the bytes of keys and values as JSON.
-    pub fn stored(&self) -> (u64, u64) {
-        let inner = self.inner();
+    pub fn stored_keys_and_bytes(&self) -> (u64, u64) {
+        let inner = self.lock_state();
         let sizes = inner.store.keys.iter();
         let bytes = sizes.map(|(key, (value, ..))| (key.len() + value.to_string().len()) as u64);
         (inner.store.keys.len() as u64, bytes.sum())
     }
 
-    fn now(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+    fn elapsed_ms(&self) -> u64 {
+        self.started_at.elapsed().as_millis() as u64
     }
 
     async fn serve(self, request: StateRequest, bytes: u64) -> Result<Response<Bytes>, Infallible> {
-        if let Some(refusal) = self.admit(&request, bytes) {
+        if let Some(refusal) = self.check_rate_limits(&request, bytes) {
             return Ok(refusal);
         }
         if !self.latency.is_zero() {
@@ -233,43 +234,47 @@
         let began = Instant::now();
         loop {
             let woken = self.changed.notified();
-            if let Some(answer) = self.answer(&request, began.elapsed()) {
-                return Ok(shown(answer));
+            if let Some(answer) = self.execute(&request, began.elapsed()) {
+                return Ok(response_for(answer));
             }
-            let _ = tokio::time::timeout(LEASE_CHECK, woken).await;
+            let _ = tokio::time::timeout(LEASE_CHECK_INTERVAL, woken).await;
         }
     }
 
     /// Counts the request; a refusal if it is beyond the limits.
-    fn admit(&self, request: &StateRequest, bytes: u64) -> Option<Response<Bytes>> {
-        let mut inner = self.inner();
-        let of_kind = inner.counters.requests.entry(kind(request).to_owned());
+    fn check_rate_limits(&self, request: &StateRequest, bytes: u64) -> Option<Response<Bytes>> {
+        let mut inner = self.lock_state();
+        let of_kind = inner
+            .counters
+            .requests
+            .entry(request_kind(request).to_owned());
         *of_kind.or_default() += 1;
         inner.counters.txn_bytes += bytes;
         let writes = match request {
             StateRequest::Txn(txn) => txn.writes.len(),
             _ => 0,
         };
-        let allowed = inner.requests.take(1.0) && (writes == 0 || inner.writes.take(writes as f64));
+        let allowed = inner.requests.try_acquire(1.0)
+            && (writes == 0 || inner.writes.try_acquire(writes as f64));
         if allowed {
             inner.counters.writes += writes as u64;
             return None;
         }
-        inner.counters.refused += 1;
-        Some(reply(429, &json!({"error": "too many"})))
+        inner.counters.rate_limited += 1;
+        Some(msgpack_response(429, &json!({"error": "too many"})))
     }
 
     /// `None`: a watch that has to wait on.
-    fn answer(&self, request: &StateRequest, waited: Duration) -> Option<StateReply> {
-        let now = self.now();
-        let mut inner = self.inner();
-        inner.store.expire(now);
+    fn execute(&self, request: &StateRequest, waited: Duration) -> Option<StateReply> {
+        let now = self.elapsed_ms();
+        let mut inner = self.lock_state();
+        inner.store.expire_leases(now);
         let mut request = request.clone();
         if let StateRequest::Changes { hold_ms, .. } = &mut request {
             *hold_ms = hold_ms.saturating_sub(waited.as_millis() as u64);
         }
         let before = inner.store.revision;
-        let answer = inner.store.serve(&request, now);
+        let answer = inner.store.execute(&request, now);
         if inner.store.revision != before {
             self.changed.notify_waiters();
         }
@@ -285,29 +290,31 @@
             .clone()
             .and(warp::path("kv"))
             .and(warp::path::tail())
-            .and(warp::query::<Query>())
+            .and(warp::query::<ListParameters>())
             .and(warp::get())
-            .and_then(|service: Self, key: warp::path::Tail, query: Query| {
-                let request = if key.as_str().is_empty() {
-                    StateRequest::List {
-                        prefix: prefix(&query),
-                        after: query.after,
-                        limit: query.limit.unwrap_or(1000),
-                    }
-                } else {
-                    StateRequest::Get {
-                        key: key.as_str().to_owned(),
-                    }
-                };
-                service.serve(request, 0)
-            });
+            .and_then(
+                |service: Self, key: warp::path::Tail, query: ListParameters| {
+                    let request = if key.as_str().is_empty() {
+                        StateRequest::List {
+                            prefix: static_prefix(&query),
+                            after: query.after,
+                            limit: query.limit.unwrap_or(1000),
+                        }
+                    } else {
+                        StateRequest::Get {
+                            key: key.as_str().to_owned(),
+                        }
+                    };
+                    service.serve(request, 0)
+                },
+            );
         let changes = with
             .clone()
             .and(warp::path!("changes"))
-            .and(warp::query::<Query>())
-            .and_then(|service: Self, query: Query| {
+            .and(warp::query::<ListParameters>())
+            .and_then(|service: Self, query: ListParameters| {
                 let request = StateRequest::Changes {
-                    prefix: prefix(&query),
+                    prefix: static_prefix(&query),
                     after: query.after.and_then(|n| n.parse().ok()).unwrap_or(0),
                     hold_ms: query.hold_ms.unwrap_or(0),
                 };
@@ -327,8 +334,8 @@
             .and(warp::body::bytes())
             .and_then(|service: Self, body: Bytes| {
                 let lease: LeaseRequest = protocol::decode(&body).expect("a lease");
-                let life_ms = lease.life_ms;
-                service.serve(StateRequest::Grant { life_ms }, 0)
+                let life_ms = lease.ttl_ms;
+                service.serve(StateRequest::Grant { ttl_ms: life_ms }, 0)
             });
         let touch = with
             .clone()
--- a/crates/emulators/src/store.rs
+++ b/crates/emulators/src/state_store.rs
@@ -10,14 +10,14 @@
 
 /// What a transaction may hold.
 #[derive(Clone, Copy)]
-pub struct Limits {
+pub struct StoreLimits {
     pub txn_ops: u32,
     pub value_kb: f64,
 }
 
-impl Limits {
+impl StoreLimits {
     /// What is wrong with a transaction.
-    fn wrong(self, txn: &Txn) -> Option<String> {
+    fn violation(self, txn: &Txn) -> Option<String> {
         let ops = self.txn_ops as usize;
         if txn.writes.len() > ops {
             return Some(format!("{} writes", txn.writes.len()));
@@ -38,45 +38,45 @@
         (bytes > 64 * 1024).then(|| format!("a transaction of {bytes} bytes"))
     }
 
-    pub fn hold(self, txn: &Txn) -> bool {
-        self.wrong(txn).is_none()
+    pub fn accepts(self, txn: &Txn) -> bool {
+        self.violation(txn).is_none()
     }
 }
 
 /// Keys, versions, leases and the log of changes, by the published protocol.
 pub struct Store {
-    pub limits: Limits,
+    pub limits: StoreLimits,
     pub keys: BTreeMap<String, (Value, u64, Option<u64>)>,
     pub revision: u64,
     pub leases: BTreeMap<u64, (u64, u64)>,
-    pub log: VecDeque<(u64, Event)>,
+    pub change_log: VecDeque<(u64, Event)>,
     /// So many changes are kept for watches; older ones are gone.
-    pub kept: usize,
+    pub max_retained_changes: usize,
     /// Only changes of keys with this prefix are kept, and no others are asked for.
-    pub watched: Option<&'static str>,
+    pub watched_prefix: Option<&'static str>,
     /// The revision of the last change that is gone.
-    pub forgotten: u64,
-    pub next_lease: u64,
+    pub compacted_revision: u64,
+    pub next_lease_id: u64,
     pub down_until: u64,
 }
 
 impl Store {
-    pub fn new(limits: Limits) -> Self {
+    pub fn new(limits: StoreLimits) -> Self {
         Store {
             limits,
             keys: BTreeMap::new(),
             revision: 0,
             leases: BTreeMap::new(),
-            log: VecDeque::new(),
-            kept: usize::MAX,
-            watched: None,
-            forgotten: 0,
-            next_lease: 0,
+            change_log: VecDeque::new(),
+            max_retained_changes: usize::MAX,
+            watched_prefix: None,
+            compacted_revision: 0,
+            next_lease_id: 0,
             down_until: 0,
         }
     }
 
-    pub fn expire(&mut self, now: u64) {
+    pub fn expire_leases(&mut self, now: u64) {
         if self.down_until > now {
             return;
         }
@@ -87,11 +87,11 @@
             .map(|(id, _)| *id)
             .collect();
         for lease in over {
-            self.end(lease);
+            self.end_lease(lease);
         }
     }
 
-    pub fn end(&mut self, lease: u64) {
+    pub fn end_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
         let gone: Vec<String> = self
             .keys
@@ -104,7 +104,7 @@
         }
         for key in gone {
             self.keys.remove(&key);
-            self.log.push_back((
+            self.change_log.push_back((
                 self.revision,
                 Event::Delete {
                     key,
@@ -115,10 +115,10 @@
     }
 
     /// Lets go of changes beyond those that are kept.
-    fn forget(&mut self) {
-        while self.log.len() > self.kept {
-            if let Some((revision, _)) = self.log.pop_front() {
-                self.forgotten = revision;
+    fn compact_change_log(&mut self) {
+        while self.change_log.len() > self.max_retained_changes {
+            if let Some((revision, _)) = self.change_log.pop_front() {
+                self.compacted_revision = revision;
             }
         }
     }
@@ -133,7 +133,7 @@
     }
 
     /// `None`: a watch that has to wait.
-    pub fn serve(&mut self, request: &StateRequest, now: u64) -> Option<StateReply> {
+    pub fn execute(&mut self, request: &StateRequest, now: u64) -> Option<StateReply> {
         Some(match request {
             StateRequest::Get { key } => self.row(key).map_or(StateReply::Missing, StateReply::Row),
             StateRequest::List {
@@ -161,7 +161,7 @@
                 })
             }
             StateRequest::Txn(txn) => {
-                assert!(self.limits.hold(txn), "{:?}", self.limits.wrong(txn));
+                assert!(self.limits.accepts(txn), "{:?}", self.limits.violation(txn));
                 for write in &txn.writes {
                     if let Write::Put {
                         lease: Some(lease), ..
@@ -203,18 +203,21 @@
                     let key = match write {
                         Write::Put { key, .. } | Write::Delete { key } => key,
                     };
-                    if self.watched.is_none_or(|prefix| key.starts_with(prefix)) {
-                        self.log.push_back((self.revision, event));
+                    if self
+                        .watched_prefix
+                        .is_none_or(|prefix| key.starts_with(prefix))
+                    {
+                        self.change_log.push_back((self.revision, event));
                     }
                 }
-                self.forget();
+                self.compact_change_log();
                 StateReply::Committed(self.revision)
             }
-            StateRequest::Grant { life_ms } => {
-                self.next_lease += 1;
+            StateRequest::Grant { ttl_ms } => {
+                self.next_lease_id += 1;
                 self.leases
-                    .insert(self.next_lease, (now + life_ms, *life_ms));
-                StateReply::Granted(self.next_lease)
+                    .insert(self.next_lease_id, (now + ttl_ms, *ttl_ms));
+                StateReply::Granted(self.next_lease_id)
             }
             StateRequest::Touch { lease } => match self.leases.get_mut(lease) {
                 Some((until, life)) => {
@@ -224,7 +227,7 @@
                 None => StateReply::NoLease,
             },
             StateRequest::Release { lease } => {
-                self.end(*lease);
+                self.end_lease(*lease);
                 StateReply::Touched
             }
             StateRequest::Changes {
@@ -232,14 +235,16 @@
                 after,
                 hold_ms,
             } => {
-                assert!(self.watched.is_none_or(|watched| watched == *prefix));
-                if *after < self.forgotten {
+                assert!(self.watched_prefix.is_none_or(|watched| watched == *prefix));
+                if *after < self.compacted_revision {
                     return Some(StateReply::TooOld);
                 }
                 // Revisions only rise, so the log is in their order.
-                let first = self.log.partition_point(|(revision, _)| revision <= after);
+                let first = self
+                    .change_log
+                    .partition_point(|(revision, _)| revision <= after);
                 let events: Vec<Event> = self
-                    .log
+                    .change_log
                     .range(first..)
                     .map(|(_, event)| event.clone())
                     .filter(|event| match event {
--- a/crates/emulators/src/machine.rs
+++ b/crates/emulators/src/worker_emulator.rs
@@ -6,7 +6,7 @@
 
 use dalelb::protocol::{
     ids::TaskId,
-    worker::{Cause, Order, Report, TaskReport, TaskState},
+    worker::{FailureCause, Order, Report, TaskReport, TaskState},
 };
 
 /// What a worker looks up of a task that it is told to start.
@@ -24,21 +24,21 @@
     /// It is on the machine from now on.
     Started,
     /// It is no longer on it.
-    Left,
+    Removed,
 }
 
 /// Describes jobs to workers, and hears what becomes of their tasks.
-pub trait Tasks: Send + Sync {
+pub trait TaskModel: Send + Sync {
     /// `None`: no such job.
     fn describe(&self, task: TaskId) -> Option<TaskSpec>;
 
     /// Called at each change, under the machine's lock.
-    fn happened(&self, machine: &str, task: TaskId, event: TaskEvent);
+    fn on_task_event(&self, machine: &str, task: TaskId, event: TaskEvent);
 }
 
 /// What a worker says of itself in each report.
 #[derive(Clone, Debug)]
-pub struct Identity {
+pub struct WorkerIdentity {
     /// The machine's name in the cloud.
     pub name: String,
     /// Where it takes direct commands.
@@ -52,72 +52,72 @@
 }
 
 #[derive(Clone, Debug)]
-struct Held {
+struct HeldTask {
     state: TaskState,
-    cause: Option<Cause>,
+    cause: Option<FailureCause>,
     cpus: f64,
     ends_at: Option<u64>,
 }
 
-impl Held {
-    fn on(&self) -> bool {
+impl HeldTask {
+    fn is_running(&self) -> bool {
         self.state != TaskState::Ended
     }
 }
 
 /// A worker's tasks, session and token.
 #[derive(Clone, Debug)]
-pub struct Machine {
-    identity: Identity,
+pub struct EmulatedWorker {
+    identity: WorkerIdentity,
     session: u64,
     seq: u64,
-    token: u64,
+    fencing_token: u64,
     /// When the last report that was answered had been sent, or the session began.
-    renewed_at: u64,
-    tasks: BTreeMap<(TaskId, u64), Held>,
+    lease_renewed_at: u64,
+    tasks: BTreeMap<(TaskId, u64), HeldTask>,
 }
 
-impl Machine {
+impl EmulatedWorker {
     /// A new worker, in its first session.
-    pub fn new(identity: Identity, now: u64) -> Self {
-        Machine {
+    pub fn new(identity: WorkerIdentity, now: u64) -> Self {
+        EmulatedWorker {
             identity,
             session: 1,
             seq: 0,
-            token: 0,
-            renewed_at: now,
+            fencing_token: 0,
+            lease_renewed_at: now,
             tasks: BTreeMap::new(),
         }
     }
 
     /// The session that it is in.
-    pub fn session(&self) -> u64 {
+    pub fn incarnation(&self) -> u64 {
         self.session
     }
 
     /// The highest token that it has seen.
-    pub fn token(&self) -> u64 {
-        self.token
+    pub fn fencing_token(&self) -> u64 {
+        self.fencing_token
     }
 
-    /// Tasks that are on it.
-    pub fn on(&self) -> usize {
-        self.tasks.values().filter(|task| task.on()).count()
+    /// TaskModel that are on it.
+    pub fn running_count(&self) -> usize {
+        self.tasks.values().filter(|task| task.is_running()).count()
     }
 
     /// When the next of its tasks completes.
-    pub fn next_end(&self) -> Option<u64> {
-        let running = self.tasks.values().filter(|task| task.on());
+    pub fn next_completion_at(&self) -> Option<u64> {
+        let running = self.tasks.values().filter(|task| task.is_running());
         running.filter_map(|task| task.ends_at).min()
     }
 
     /// Completes the tasks whose time has come; whether there were any.
-    pub fn pass(&mut self, now: u64, tasks: &dyn Tasks) -> bool {
+    pub fn complete_due_tasks(&mut self, now: u64, tasks: &dyn TaskModel) -> bool {
         let mut any = false;
         for ((task, _), held) in &mut self.tasks {
-            if held.on() && held.ends_at.is_some_and(|at| at <= now) {
-                (held.state, held.cause) = (TaskState::Ended, Some(Cause::Done));
-                tasks.happened(&self.identity.name, *task, TaskEvent::Left);
+            if held.is_running() && held.ends_at.is_some_and(|at| at <= now) {
+                (held.state, held.cause) = (TaskState::Ended, Some(FailureCause::Done));
+                tasks.on_task_event(&self.identity.name, *task, TaskEvent::Removed);
                 any = true;
             }
         }
@@ -125,21 +125,21 @@
     }
 
     /// Ends the session if its lease has run out; whether it did.
-    pub fn expire(&mut self, now: u64, lease_ms: u64, tasks: &dyn Tasks) -> bool {
-        if self.renewed_at + lease_ms >= now {
+    pub fn expire_lease(&mut self, now: u64, lease_ms: u64, tasks: &dyn TaskModel) -> bool {
+        if self.lease_renewed_at + lease_ms >= now {
             return false;
         }
-        self.clear(tasks);
+        self.remove_all_tasks(tasks);
         self.session += 1;
-        self.renewed_at = now;
+        self.lease_renewed_at = now;
         true
     }
 
     /// The machine is gone, with everything on it.
-    pub fn clear(&mut self, tasks: &dyn Tasks) {
+    pub fn remove_all_tasks(&mut self, tasks: &dyn TaskModel) {
         for ((task, _), held) in std::mem::take(&mut self.tasks) {
-            if held.on() {
-                tasks.happened(&self.identity.name, task, TaskEvent::Left);
+            if held.is_running() {
+                tasks.on_task_event(&self.identity.name, task, TaskEvent::Removed);
             }
         }
     }
@@ -161,36 +161,42 @@
             type_name: self.identity.type_name.clone(),
             zone: self.identity.zone.clone(),
             spot: false,
-            session: self.session,
+            incarnation: self.session,
             seq: self.seq,
-            token: self.token,
+            token: self.fencing_token,
             notice_s: None,
             tasks: tasks.collect(),
         }
     }
 
     /// A report sent at `sent_at` in this session was answered with `token`: whether the answer counts.
-    pub fn renewed(&mut self, sent_at: u64, session: u64, token: u64) -> bool {
-        if session != self.session || token < self.token {
+    pub fn renew_lease(&mut self, sent_at: u64, session: u64, token: u64) -> bool {
+        if session != self.session || token < self.fencing_token {
             return false;
         }
-        self.renewed_at = self.renewed_at.max(sent_at);
+        self.lease_renewed_at = self.lease_renewed_at.max(sent_at);
         true
     }
 
     /// Carries orders out, unless their token is lower than one seen before; whether it did.
-    pub fn obey(&mut self, token: u64, orders: Vec<Order>, now: u64, tasks: &dyn Tasks) -> bool {
-        if token < self.token {
+    pub fn execute_orders(
+        &mut self,
+        token: u64,
+        orders: Vec<Order>,
+        now: u64,
+        tasks: &dyn TaskModel,
+    ) -> bool {
+        if token < self.fencing_token {
             return false;
         }
-        self.token = token;
+        self.fencing_token = token;
         for order in orders {
             match order {
-                Order::Start { task, attempt } => self.start(task, attempt, now, tasks),
-                Order::Stop { task, attempt, .. } => self.stop(task, attempt, tasks),
+                Order::Start { task, attempt } => self.start_task(task, attempt, now, tasks),
+                Order::Stop { task, attempt, .. } => self.stop_task(task, attempt, tasks),
                 Order::Forget { task, attempt } => {
                     let key = (task, attempt);
-                    if self.tasks.get(&key).is_some_and(|held| !held.on()) {
+                    if self.tasks.get(&key).is_some_and(|held| !held.is_running()) {
                         self.tasks.remove(&key);
                     }
                 }
@@ -199,23 +205,25 @@
         true
     }
 
-    fn start(&mut self, task: TaskId, attempt: u64, now: u64, tasks: &dyn Tasks) {
+    fn start_task(&mut self, task: TaskId, attempt: u64, now: u64, tasks: &dyn TaskModel) {
         if self.tasks.contains_key(&(task, attempt)) {
             return;
         }
-        let refused = |cause| Held {
+        let refused = |cause| HeldTask {
             state: TaskState::Ended,
             cause: Some(cause),
             cpus: 0.0,
             ends_at: None,
         };
         let held = match tasks.describe(task) {
-            None => refused(Cause::Unknown),
-            Some(_) if self.holds(task) => refused(Cause::Busy),
-            Some(spec) if self.used() + spec.cpus > self.identity.cpus => refused(Cause::NoRoom),
+            None => refused(FailureCause::Unknown),
+            Some(_) if self.holds(task) => refused(FailureCause::Busy),
+            Some(spec) if self.used_cpus() + spec.cpus > self.identity.cpus => {
+                refused(FailureCause::NoRoom)
+            }
             Some(spec) => {
-                tasks.happened(&self.identity.name, task, TaskEvent::Started);
-                Held {
+                tasks.on_task_event(&self.identity.name, task, TaskEvent::Started);
+                HeldTask {
                     state: TaskState::Running,
                     cause: None,
                     cpus: spec.cpus,
@@ -226,23 +234,23 @@
         self.tasks.insert((task, attempt), held);
     }
 
-    fn stop(&mut self, task: TaskId, attempt: u64, tasks: &dyn Tasks) {
+    fn stop_task(&mut self, task: TaskId, attempt: u64, tasks: &dyn TaskModel) {
         let Some(held) = self.tasks.get_mut(&(task, attempt)) else {
             return;
         };
-        if held.on() {
-            (held.state, held.cause) = (TaskState::Ended, Some(Cause::Stopped));
-            tasks.happened(&self.identity.name, task, TaskEvent::Left);
+        if held.is_running() {
+            (held.state, held.cause) = (TaskState::Ended, Some(FailureCause::Stopped));
+            tasks.on_task_event(&self.identity.name, task, TaskEvent::Removed);
         }
     }
 
     fn holds(&self, task: TaskId) -> bool {
         let of_task = (task, 0)..=(task, u64::MAX);
-        self.tasks.range(of_task).any(|(_, held)| held.on())
+        self.tasks.range(of_task).any(|(_, held)| held.is_running())
     }
 
-    fn used(&self) -> f64 {
-        let on = self.tasks.values().filter(|task| task.on());
+    fn used_cpus(&self) -> f64 {
+        let on = self.tasks.values().filter(|task| task.is_running());
         on.map(|task| task.cpus).sum()
     }
 }
--- a/crates/emulators/src/fleet.rs
+++ b/crates/emulators/src/worker_fleet.rs
@@ -28,20 +28,20 @@
 };
 
 use crate::{
-    cloud,
-    link::{Counted, Link, Traffic},
-    machine::{Identity, Machine, Tasks},
-    reply,
+    cloud_emulator,
+    http_connection::{CountingStream, HttpConnection, Traffic},
+    responses,
+    worker_emulator::{EmulatedWorker, TaskModel, WorkerIdentity},
 };
 
 /// A report without an answer for that long is given up.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
 /// After a failure the next node is tried this much later.
-const NEXT_NODE: Duration = Duration::from_secs(1);
+const NEXT_NODE_DELAY: Duration = Duration::from_secs(1);
 /// Changes are reported no more often than this, in milliseconds.
-const CHANGE_MS: u64 = 500;
+const MIN_CHANGE_REPORT_INTERVAL_MS: u64 = 500;
 /// Workers of one fleet that share the third number of their addresses.
-const PER_SUBNET: usize = 250;
+const WORKERS_PER_SUBNET: usize = 250;
 
 /// A fleet of hollow workers.
 #[derive(Clone, Debug)]
@@ -57,11 +57,11 @@
     /// The zones that they are spread over.
     pub zones: Vec<String>,
     /// The controllers by label.
-    pub nodes: Vec<(String, SocketAddr)>,
+    pub controllers: Vec<(String, SocketAddr)>,
     /// The time between reports, give or take a quarter.
-    pub report: Duration,
+    pub report_interval: Duration,
     /// The life of a session without an answer.
-    pub lease: Duration,
+    pub lease_ttl: Duration,
 }
 
 /// What the workers and the controllers exchanged.
@@ -72,9 +72,9 @@
     /// Direct commands and their answers.
     pub commands: Arc<Traffic>,
     /// Reports that were answered with 200.
-    pub answered: AtomicU64,
+    pub answered_reports: AtomicU64,
     /// Sessions that ended because no answer came in time.
-    pub expired: AtomicU64,
+    pub expired_leases: AtomicU64,
 }
 
 /// Running hollow workers.
@@ -88,76 +88,77 @@
     name: String,
     addr: SocketAddr,
     zone: String,
-    inner: Mutex<Inner>,
+    inner: Mutex<WorkerState>,
     changed: Notify,
-    gone: AtomicBool,
+    is_deleted: AtomicBool,
 }
 
-struct Inner {
-    machine: Machine,
+struct WorkerState {
+    machine: EmulatedWorker,
     /// Something changed since the last report.
-    dirty: bool,
+    has_unreported_changes: bool,
     /// When a higher token last counted as a change.
-    token_told_at: Option<u64>,
+    token_reported_at: Option<u64>,
 }
 
-struct Context {
+struct FleetContext {
     settings: FleetSettings,
-    tasks: Arc<dyn Tasks>,
+    tasks: Arc<dyn TaskModel>,
     traffic: Arc<FleetTraffic>,
-    began: Instant,
+    started_at: Instant,
 }
 
-impl Context {
-    fn now(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+impl FleetContext {
+    fn elapsed_ms(&self) -> u64 {
+        self.started_at.elapsed().as_millis() as u64
     }
 
     fn lease_ms(&self) -> u64 {
-        self.settings.lease.as_millis() as u64
+        self.settings.lease_ttl.as_millis() as u64
     }
 
     /// A report's distance from the one before: the usual one, give or take a quarter.
-    fn interval(&self) -> u64 {
-        let usual = self.settings.report.as_secs_f64() * 1000.0;
+    fn next_report_interval_ms(&self) -> u64 {
+        let usual = self.settings.report_interval.as_secs_f64() * 1000.0;
         (usual * rand::rng().random_range(0.75..1.25)) as u64
     }
 }
 
 fn worker_ip(subnet: u8, index: usize) -> Ipv4Addr {
-    let (high, low) = (index / PER_SUBNET, index % PER_SUBNET + 1);
+    let (high, low) = (index / WORKERS_PER_SUBNET, index % WORKERS_PER_SUBNET + 1);
     Ipv4Addr::new(127, subnet, high as u8, low as u8)
 }
 
 fn worker_index(ip: Ipv4Addr) -> Option<usize> {
     let [_, _, high, low] = ip.octets();
-    Some(usize::from(high) * PER_SUBNET + usize::from(low).checked_sub(1)?)
+    Some(usize::from(high) * WORKERS_PER_SUBNET + usize::from(low).checked_sub(1)?)
 }
 
 impl Fleet {
     /// Starts the workers; they report until the runtime ends. An error: the port is not to be had.
-    pub fn start(settings: FleetSettings, tasks: Arc<dyn Tasks>) -> io::Result<Self> {
-        let (listener, addr) = reply::listen(&format!("0.0.0.0:{}", settings.port))?;
+    pub fn start(settings: FleetSettings, tasks: Arc<dyn TaskModel>) -> io::Result<Self> {
+        let (listener, addr) = responses::bind(&format!("0.0.0.0:{}", settings.port))?;
         let workers = (0..settings.workers).map(|index| Worker::new(&settings, index, addr.port()));
         let workers: Arc<Vec<Worker>> = Arc::new(workers.collect());
         let traffic = Arc::new(FleetTraffic::default());
-        let context = Arc::new(Context {
+        let context = Arc::new(FleetContext {
             settings,
             tasks,
             traffic: traffic.clone(),
-            began: Instant::now(),
+            started_at: Instant::now(),
         });
         tokio::spawn(accept(listener, workers.clone(), context.clone()));
         for index in 0..workers.len() {
-            tokio::spawn(report_on(workers.clone(), index, context.clone()));
+            tokio::spawn(run_reporting_loop(workers.clone(), index, context.clone()));
         }
         Ok(Fleet { workers, traffic })
     }
 
     /// How the cloud lists them.
-    pub fn listed(&self) -> Vec<ListedMachine> {
+    pub fn listed_machines(&self) -> Vec<ListedMachine> {
         let workers = self.workers.iter();
-        let listed = workers.map(|worker| cloud::listed(&worker.name, worker.addr, &worker.zone));
+        let listed = workers
+            .map(|worker| cloud_emulator::listed_machine(&worker.name, worker.addr, &worker.zone));
         listed.collect()
     }
 
@@ -167,31 +168,33 @@
     }
 
     /// Ends these workers as if their machines had lost power.
-    pub fn end(&self, names: &[String], tasks: &dyn Tasks) {
+    pub fn delete_workers(&self, names: &[String], tasks: &dyn TaskModel) {
         for worker in self.workers.iter() {
-            if names.contains(&worker.name) && !worker.gone.swap(true, Ordering::Relaxed) {
-                worker.inner().machine.clear(tasks);
+            if names.contains(&worker.name) && !worker.is_deleted.swap(true, Ordering::Relaxed) {
+                worker.lock_state().machine.remove_all_tasks(tasks);
                 worker.changed.notify_one();
             }
         }
     }
 
-    /// Names of workers, in the order of their addresses.
+    /// Interner of workers, in the order of their addresses.
     pub fn names(&self) -> Vec<String> {
         let workers = self.workers.iter();
         workers.map(|worker| worker.name.clone()).collect()
     }
 
-    /// Tasks that are on the workers.
-    pub fn running(&self) -> usize {
+    /// TaskModel that are on the workers.
+    pub fn running_count(&self) -> usize {
         let workers = self.workers.iter();
-        workers.map(|worker| worker.inner().machine.on()).sum()
+        workers
+            .map(|worker| worker.lock_state().machine.running_count())
+            .sum()
     }
 
     /// The highest token that any worker has seen.
-    pub fn token(&self) -> u64 {
+    pub fn fencing_token(&self) -> u64 {
         let workers = self.workers.iter();
-        let tokens = workers.map(|worker| worker.inner().machine.token());
+        let tokens = workers.map(|worker| worker.lock_state().machine.fencing_token());
         tokens.max().unwrap_or(0)
     }
 }
@@ -201,7 +204,7 @@
         let addr = SocketAddr::from((worker_ip(settings.subnet, index), port));
         let zone = settings.zones[index % settings.zones.len()].clone();
         let name = format!("vm-{:06}", index + 1);
-        let identity = Identity {
+        let identity = WorkerIdentity {
             name: name.clone(),
             addr: addr.to_string(),
             type_name: "c8".into(),
@@ -212,33 +215,35 @@
             name,
             addr,
             zone,
-            inner: Mutex::new(Inner {
-                machine: Machine::new(identity, 0),
-                dirty: false,
-                token_told_at: None,
+            inner: Mutex::new(WorkerState {
+                machine: EmulatedWorker::new(identity, 0),
+                has_unreported_changes: false,
+                token_reported_at: None,
             }),
             changed: Notify::new(),
-            gone: AtomicBool::new(false),
+            is_deleted: AtomicBool::new(false),
         }
     }
 
-    fn inner(&self) -> MutexGuard<'_, Inner> {
+    fn lock_state(&self) -> MutexGuard<'_, WorkerState> {
         self.inner.lock().expect("a worker's lock")
     }
 
-    fn obey(&self, token: u64, orders: Vec<Order>, context: &Context) -> bool {
-        let now = context.now();
-        let mut inner = self.inner();
-        let (had, any) = (inner.machine.token(), !orders.is_empty());
-        let obeyed = inner.machine.obey(token, orders, now, &*context.tasks);
-        let higher = inner.machine.token() > had;
-        let told = inner.token_told_at;
+    fn execute_orders(&self, token: u64, orders: Vec<Order>, context: &FleetContext) -> bool {
+        let now = context.elapsed_ms();
+        let mut inner = self.lock_state();
+        let (had, any) = (inner.machine.fencing_token(), !orders.is_empty());
+        let obeyed = inner
+            .machine
+            .execute_orders(token, orders, now, &*context.tasks);
+        let higher = inner.machine.fencing_token() > had;
+        let told = inner.token_reported_at;
         let news = higher && told.is_none_or(|at| at + context.lease_ms() / 2 <= now);
         if news {
-            inner.token_told_at = Some(now);
+            inner.token_reported_at = Some(now);
         }
         if obeyed && any || news {
-            inner.dirty = true;
+            inner.has_unreported_changes = true;
             drop(inner);
             self.changed.notify_one();
         }
@@ -246,116 +251,131 @@
     }
 
     /// A direct command.
-    fn command(&self, body: &[u8], context: &Context) -> Response<Bytes> {
+    fn handle_direct_orders(&self, body: &[u8], context: &FleetContext) -> Response<Bytes> {
         let Ok(direct) = protocol::decode::<DirectOrders>(body) else {
-            return reply::reply(400, &json!({"error": "malformed"}));
+            return responses::msgpack_response(400, &json!({"error": "malformed"}));
         };
-        let executed = direct.session == self.inner().machine.session()
-            && self.obey(direct.token, direct.orders, context);
+        let executed = direct.incarnation == self.lock_state().machine.incarnation()
+            && self.execute_orders(direct.token, direct.orders, context);
         let status = if executed { 200 } else { 409 };
-        reply::reply(status, &self.inner().machine.report())
+        responses::msgpack_response(status, &self.lock_state().machine.report())
     }
 
     /// Passes the time; when the next report is due and when there is something to do before.
-    fn pass(&self, sent_at: u64, interval: u64, context: &Context) -> (u64, u64) {
-        let now = context.now();
-        let mut inner = self.inner();
+    fn advance(&self, sent_at: u64, interval: u64, context: &FleetContext) -> (u64, u64) {
+        let now = context.elapsed_ms();
+        let mut inner = self.lock_state();
         let tasks = &*context.tasks;
-        let expired = inner.machine.expire(now, context.lease_ms(), tasks);
+        let expired = inner.machine.expire_lease(now, context.lease_ms(), tasks);
         if expired {
-            context.traffic.expired.fetch_add(1, Ordering::Relaxed);
+            context
+                .traffic
+                .expired_leases
+                .fetch_add(1, Ordering::Relaxed);
         }
-        let ended = inner.machine.pass(now, tasks);
-        inner.dirty |= expired || ended;
-        let wait = if inner.dirty { CHANGE_MS } else { interval };
+        let ended = inner.machine.complete_due_tasks(now, tasks);
+        inner.has_unreported_changes |= expired || ended;
+        let wait = if inner.has_unreported_changes {
+            MIN_CHANGE_REPORT_INTERVAL_MS
+        } else {
+            interval
+        };
         let due = sent_at + wait.min(interval);
-        let next_end = inner.machine.next_end().unwrap_or(u64::MAX);
+        let next_end = inner.machine.next_completion_at().unwrap_or(u64::MAX);
         (due, due.min(next_end))
     }
 }
 
-async fn report_on(workers: Arc<Vec<Worker>>, index: usize, context: Arc<Context>) {
+async fn run_reporting_loop(workers: Arc<Vec<Worker>>, index: usize, context: Arc<FleetContext>) {
     let worker = &workers[index];
-    let nodes = &context.settings.nodes;
+    let nodes = &context.settings.controllers;
     let mut node = index % nodes.len();
-    let mut link = Link::new(nodes[node].1, context.traffic.reports.clone());
-    let mut sent_at = context.now();
-    let mut interval = context.interval();
-    while !worker.gone.load(Ordering::Relaxed) {
-        let (due, wake) = worker.pass(sent_at, interval, &context);
-        let now = context.now();
+    let mut link = HttpConnection::new(nodes[node].1, context.traffic.reports.clone());
+    let mut sent_at = context.elapsed_ms();
+    let mut interval = context.next_report_interval_ms();
+    while !worker.is_deleted.load(Ordering::Relaxed) {
+        let (due, wake) = worker.advance(sent_at, interval, &context);
+        let now = context.elapsed_ms();
         if now < due {
             let pause = Duration::from_millis(wake.saturating_sub(now).max(1));
             let _ = tokio::time::timeout(pause, worker.changed.notified()).await;
             continue;
         }
         sent_at = now;
-        interval = context.interval();
+        interval = context.next_report_interval_ms();
         match send_report(worker, &mut link, sent_at, &context).await {
-            Next::Stay => {}
-            Next::Leader(label) => {
+            NextTarget::SameNode => {}
+            NextTarget::Leader(label) => {
                 let position = nodes.iter().position(|(known, _)| *known == label);
                 let other = position.filter(|other| *other != node);
                 let pause = match other {
                     Some(_) => Duration::from_millis(rand::rng().random_range(0..500)),
-                    None => NEXT_NODE,
+                    None => NEXT_NODE_DELAY,
                 };
                 node = other.unwrap_or((node + 1) % nodes.len());
-                link.turn_to(nodes[node].1);
+                link.redirect_to(nodes[node].1);
                 tokio::time::sleep(pause).await;
-                sent_at = context.now().saturating_sub(interval);
+                sent_at = context.elapsed_ms().saturating_sub(interval);
             }
-            Next::Other => {
+            NextTarget::AnotherNode => {
                 node = (node + 1) % nodes.len();
-                link.turn_to(nodes[node].1);
-                tokio::time::sleep(NEXT_NODE).await;
-                sent_at = context.now().saturating_sub(interval);
+                link.redirect_to(nodes[node].1);
+                tokio::time::sleep(NEXT_NODE_DELAY).await;
+                sent_at = context.elapsed_ms().saturating_sub(interval);
             }
         }
     }
 }
 
 /// Where a worker reports next.
-enum Next {
-    Stay,
+enum NextTarget {
+    SameNode,
     Leader(String),
-    Other,
+    AnotherNode,
 }
 
-async fn send_report(worker: &Worker, link: &mut Link, sent_at: u64, context: &Context) -> Next {
+async fn send_report(
+    worker: &Worker,
+    link: &mut HttpConnection,
+    sent_at: u64,
+    context: &FleetContext,
+) -> NextTarget {
     let (session, body) = {
-        let mut inner = worker.inner();
-        inner.dirty = false;
+        let mut inner = worker.lock_state();
+        inner.has_unreported_changes = false;
         let report = inner.machine.report();
-        (inner.machine.session(), protocol::encode(&report))
+        (inner.machine.incarnation(), protocol::encode(&report))
     };
     let answer = link.call(Method::POST, "/checkin", body, REPORT_TIMEOUT);
     match answer.await {
         Some((200, body)) => {
             let Ok(orders) = protocol::decode::<Orders>(&body) else {
-                return Next::Stay;
+                return NextTarget::SameNode;
             };
             let renewed = worker
-                .inner()
+                .lock_state()
                 .machine
-                .renewed(sent_at, session, orders.token);
+                .renew_lease(sent_at, session, orders.token);
             if renewed {
-                context.traffic.answered.fetch_add(1, Ordering::Relaxed);
-                worker.obey(orders.token, orders.orders, context);
+                context
+                    .traffic
+                    .answered_reports
+                    .fetch_add(1, Ordering::Relaxed);
+                worker.execute_orders(orders.token, orders.orders, context);
             }
-            Next::Stay
+            NextTarget::SameNode
         }
         Some((421, body)) => match protocol::decode::<Redirect>(&body) {
             Ok(Redirect {
                 leader: Some(label),
-            }) => Next::Leader(label),
-            _ => Next::Other,
+            }) => NextTarget::Leader(label),
+            _ => NextTarget::AnotherNode,
         },
-        _ => Next::Other,
+        _ => NextTarget::AnotherNode,
     }
 }
 
-async fn accept(listener: TcpListener, workers: Arc<Vec<Worker>>, context: Arc<Context>) {
+async fn accept(listener: TcpListener, workers: Arc<Vec<Worker>>, context: Arc<FleetContext>) {
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
             // Out of descriptors, most likely: others may be closed in a moment.
@@ -374,10 +394,15 @@
     }
 }
 
-async fn serve(stream: TcpStream, workers: Arc<Vec<Worker>>, index: usize, context: Arc<Context>) {
+async fn serve(
+    stream: TcpStream,
+    workers: Arc<Vec<Worker>>,
+    index: usize,
+    context: Arc<FleetContext>,
+) {
     let _ = stream.set_nodelay(true);
     let commands = context.traffic.commands.clone();
-    let counted = Counted::new(stream, commands);
+    let counted = CountingStream::new(stream, commands);
     let answer = service_fn(move |request: Request<Incoming>| {
         let (workers, context) = (workers.clone(), context.clone());
         async move { respond(&workers[index], request, &context).await }
@@ -391,10 +416,10 @@
 async fn respond(
     worker: &Worker,
     request: Request<Incoming>,
-    context: &Context,
+    context: &FleetContext,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
-    context.traffic.commands.request();
-    if worker.gone.load(Ordering::Relaxed) {
+    context.traffic.commands.count_request();
+    if worker.is_deleted.load(Ordering::Relaxed) {
         // A machine without power answers nobody.
         std::future::pending::<()>().await;
     }
@@ -402,9 +427,9 @@
     let body = request.into_body().collect().await;
     let body = body.map(|body| body.to_bytes()).unwrap_or_default();
     let answer = match path.as_str() {
-        "/commands" => worker.command(&body, context),
-        "/status" => reply::reply(200, &worker.inner().machine.report()),
-        _ => reply::reply(404, &json!({"error": "no such path"})),
+        "/commands" => worker.handle_direct_orders(&body, context),
+        "/status" => responses::msgpack_response(200, &worker.lock_state().machine.report()),
+        _ => responses::msgpack_response(404, &json!({"error": "no such path"})),
     };
     Ok(answer.map(Full::new))
 }
--- a/crates/emulators/src/fleet/tests.rs
+++ b/crates/emulators/src/worker_fleet/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn each_worker_has_an_address_that_leads_back_to_it() {
+fn worker_address_maps_back_to_its_index() {
     for index in [0, 1, 249, 250, 4142, 28_999] {
         let ip = worker_ip(7, index);
         assert!(ip.is_loopback() && ip.octets()[3] > 0);
--- a/crates/load-test/src/drill.rs
+++ b/crates/load-test/src/drill.rs
@@ -17,15 +17,15 @@
 use serde_json::Value;
 
 use crate::{
+    controller_process::Usage,
     experiment::Run,
-    process::Usage,
+    invariants::{self, InvariantChecker, StartLatencies},
     region::{RunError, SettingsFiles, team_name, team_settings},
-    rules::{self, Rules, StartTimes},
     settings::{Drill, Experiment},
 };
 
 /// How a controller tells of a change that is in force.
-const IN_FORCE: &str = "a quota's change is in force ";
+const IN_FORCE_LOG_PREFIX: &str = "a quota's change is in force ";
 
 /// What a drill came to.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -49,12 +49,12 @@
     pub name: String,
     /// How long it was.
     pub seconds: f64,
-    /// Tasks that started each second.
+    /// TaskModel that started each second.
     pub starts: f64,
     /// From acceptance to the start command, urgent work.
-    pub urgent: StartTimes,
+    pub urgent: StartLatencies,
     /// The same for other work.
-    pub other: StartTimes,
+    pub other: StartLatencies,
     /// The busiest controller's processor time, in milliseconds a second.
     pub busiest_cpu_ms: f64,
     /// Memory of all controllers and of the tool, in megabytes.
@@ -76,24 +76,24 @@
     pub in_force_worst_ms: u64,
     /// Teams whose latest quota is not in force in some region at the end, summed over regions.
     pub behind: f64,
-    /// Rules broken so far.
+    /// InvariantChecker broken so far.
     pub broken: u64,
 }
 
 /// The teams' limits, and those that may still be in force.
-struct Limits {
+struct LimitHistory {
     current: Vec<f64>,
     replaced: Vec<Vec<(Instant, f64)>>,
     /// How long a limit that was replaced may still be in force, where all regions are reached.
-    stays: Duration,
+    grace_period: Duration,
     /// A region is cut off since then, or was until shortly before: what was in force stays so there.
-    kept_since: Option<Instant>,
+    partitioned_since: Option<Instant>,
 }
 
-impl Limits {
+impl LimitHistory {
     /// The most that a team may use now.
-    fn allowed(&mut self, team: usize) -> f64 {
-        let (kept_since, stays) = (self.kept_since, self.stays);
+    fn max_allowed(&mut self, team: usize) -> f64 {
+        let (kept_since, stays) = (self.partitioned_since, self.grace_period);
         let counts = |at: &Instant| {
             let kept = kept_since.is_some_and(|since| *at + stays >= since);
             kept || at.elapsed() < stays
@@ -106,17 +106,17 @@
 
 /// Changes limits all along.
 #[derive(Clone)]
-struct Changes {
-    limits: Arc<Mutex<Limits>>,
-    rules: Arc<Rules>,
+struct QuotaChanger {
+    limits: Arc<Mutex<LimitHistory>>,
+    rules: Arc<InvariantChecker>,
     files: Arc<Vec<SettingsFiles>>,
     experiment: Arc<Experiment>,
-    made: Arc<AtomicU64>,
-    over: Arc<AtomicBool>,
+    change_count: Arc<AtomicU64>,
+    is_stopped: Arc<AtomicBool>,
     used: f64,
 }
 
-impl Changes {
+impl QuotaChanger {
     fn new(run: &Run, drill: &Drill) -> Self {
         let experiment = &run.experiment;
         let all = experiment.regions as f64;
@@ -125,23 +125,23 @@
         let used = all * (arrays + replicas) / experiment.teams as f64;
         let limit = used * drill.limit_to;
         let files = run.regions.iter().map(|region| region.files.clone());
-        Changes {
-            limits: Arc::new(Mutex::new(Limits {
+        QuotaChanger {
+            limits: Arc::new(Mutex::new(LimitHistory {
                 current: vec![limit; experiment.teams],
                 replaced: vec![Vec::new(); experiment.teams],
-                stays: Duration::from_secs_f64(drill.replaced_s),
-                kept_since: None,
+                grace_period: Duration::from_secs_f64(drill.replaced_s),
+                partitioned_since: None,
             })),
             rules: run.rules.clone(),
             files: Arc::new(files.collect()),
             experiment: Arc::new(experiment.clone()),
-            made: Arc::new(AtomicU64::new(0)),
-            over: Arc::new(AtomicBool::new(false)),
+            change_count: Arc::new(AtomicU64::new(0)),
+            is_stopped: Arc::new(AtomicBool::new(false)),
             used,
         }
     }
 
-    fn limits(&self) -> MutexGuard<'_, Limits> {
+    fn limits(&self) -> MutexGuard<'_, LimitHistory> {
         self.limits.lock().expect("the limits' lock")
     }
 
@@ -161,11 +161,11 @@
     }
 
     /// Tells the rules what each team may use now.
-    fn tell_rules(&self) {
+    fn update_checker(&self) {
         let mut limits = self.limits();
         for team in 0..limits.current.len() {
-            let allowed = limits.allowed(team);
-            self.rules.limit(&team_name(team), allowed);
+            let allowed = limits.max_allowed(team);
+            self.rules.set_limit(&team_name(team), allowed);
         }
     }
 
@@ -178,15 +178,15 @@
             limits.replaced[team].push((Instant::now(), before));
             limits.current[team] = limit.round();
         }
-        self.tell_rules();
-        self.made.fetch_add(1, Ordering::Relaxed);
+        self.update_checker();
+        self.change_count.fetch_add(1, Ordering::Relaxed);
         self.write()
     }
 
-    async fn go_on(self, drill: Drill) {
+    async fn run(self, drill: Drill) {
         let pause = Duration::from_secs_f64(1.0 / drill.changes_per_s);
         let mut clock = tokio::time::interval(pause);
-        while !self.over.load(Ordering::Relaxed) {
+        while !self.is_stopped.load(Ordering::Relaxed) {
             clock.tick().await;
             if let Err(error) = self.change(&drill) {
                 eprintln!("dalelb-load-test: {error}");
@@ -195,22 +195,22 @@
     }
 
     /// Limits that were in force when a region was cut off may stay so there until it is back, and a moment longer.
-    fn cut(&self, cut: bool) {
+    fn mark_partitioned(&self, cut: bool) {
         if cut {
-            self.limits().kept_since = Some(Instant::now());
+            self.limits().partitioned_since = Some(Instant::now());
         } else {
             let changes = self.clone();
-            let stays = self.limits().stays;
+            let stays = self.limits().grace_period;
             tokio::spawn(async move {
                 tokio::time::sleep(stays).await;
-                changes.limits().kept_since = None;
+                changes.limits().partitioned_since = None;
             });
         }
     }
 }
 
-/// Totals over all regions at one moment.
-struct Totals {
+/// CounterTotals over all regions at one moment.
+struct CounterTotals {
     at: Instant,
     usages: Vec<Usage>,
     starts: u64,
@@ -219,25 +219,27 @@
     far: u64,
 }
 
-impl Totals {
+impl CounterTotals {
     fn of(run: &Run) -> Self {
         let controllers = run.regions.iter().flat_map(|region| &region.controllers);
-        let mut totals = Totals {
+        let mut totals = CounterTotals {
             at: Instant::now(),
             usages: controllers.map(|controller| controller.usage()).collect(),
-            starts: run.rules.starts(),
+            starts: run.rules.start_count(),
             messages: 0,
             bytes: 0,
             far: 0,
         };
         for region in &run.regions {
             let traffic = region.fleet.traffic();
-            for (messages, bytes) in [traffic.reports.so_far(), traffic.commands.so_far()] {
+            for (messages, bytes) in [traffic.reports.totals(), traffic.commands.totals()] {
                 totals.messages += messages;
                 totals.bytes += bytes;
             }
-            let links = region.far_links.iter();
-            totals.far += links.map(|(_, link)| link.traffic().1).sum::<u64>();
+            let links = region.inter_region_links.iter();
+            totals.far += links
+                .map(|(_, link)| link.connections_and_bytes().1)
+                .sum::<u64>();
         }
         totals
     }
@@ -245,24 +247,27 @@
 
 /// What controllers say in their logs, from where they were read last.
 #[derive(Default)]
-struct Logs {
-    read: HashMap<PathBuf, usize>,
+struct LogReader {
+    read_offsets: HashMap<PathBuf, usize>,
 }
 
-impl Logs {
+impl LogReader {
     /// How long each change took that has come to be in force since.
-    fn in_force(&mut self, run: &Run) -> Histogram<u64> {
+    fn propagation_delays(&mut self, run: &Run) -> Histogram<u64> {
         let mut took = Histogram::new(3).expect("three digits are allowed");
         for controller in run.regions.iter().flat_map(|region| &region.controllers) {
             let text = fs::read_to_string(&controller.log).unwrap_or_default();
-            let read = self.read.entry(controller.log.clone()).or_default();
+            let read = self.read_offsets.entry(controller.log.clone()).or_default();
             let new = text.get(*read..).unwrap_or_default();
             *read = text.len();
-            for line in new.lines().filter(|line| line.contains(IN_FORCE)) {
+            for line in new
+                .lines()
+                .filter(|line| line.contains(IN_FORCE_LOG_PREFIX))
+            {
                 let number = line.split("took_ms=").nth(1);
                 let number = number.and_then(|rest| rest.split(' ').next());
                 let number: Option<u64> = number.and_then(|text| text.parse().ok());
-                rules::record(&mut took, number.unwrap_or(0));
+                invariants::record(&mut took, number.unwrap_or(0));
             }
         }
         took
@@ -270,7 +275,7 @@
 }
 
 /// Teams whose latest quota is not in force in some region, summed over regions.
-async fn behind(run: &Run) -> f64 {
+async fn count_lagging_teams(run: &Run) -> f64 {
     let mut sum = 0.0;
     for region in &run.regions {
         let Some(leader) = region.leader().await else {
@@ -284,29 +289,29 @@
 }
 
 /// Passes the time and tells what went on.
-async fn phase(
+async fn run_phase(
     run: &mut Run,
-    changes: &Changes,
-    logs: &mut Logs,
+    changes: &QuotaChanger,
+    logs: &mut LogReader,
     name: &str,
     length: Duration,
 ) -> Result<Phase, RunError> {
-    run.rules.reset_times();
-    let first = Totals::of(run);
+    run.rules.reset_latencies();
+    let first = CounterTotals::of(run);
     let until = Instant::now() + length;
     while Instant::now() < until {
-        run.pass(Duration::from_secs(1)).await?;
-        changes.tell_rules();
+        run.run_for(Duration::from_secs(1)).await?;
+        changes.update_checker();
     }
-    let last = Totals::of(run);
+    let last = CounterTotals::of(run);
     let seconds = last.at.duration_since(first.at).as_secs_f64();
     let rate = |from: u64, to: u64| to.saturating_sub(from) as f64 / seconds;
     let workers = (run.experiment.workers * run.experiment.regions) as f64;
     let processors = first.usages.iter().zip(&last.usages);
     let busiest = processors.map(|(first, last)| (last.cpu_ms - first.cpu_ms) / seconds);
     let memory = last.usages.iter().map(|usage| usage.memory).sum::<u64>();
-    let (urgent, other) = run.rules.times();
-    let took = logs.in_force(run);
+    let (urgent, other) = run.rules.start_latencies();
+    let took = logs.propagation_delays(run);
     Ok(Phase {
         name: name.to_owned(),
         seconds,
@@ -322,56 +327,57 @@
         in_force_median_ms: took.value_at_quantile(0.5),
         in_force_p99_ms: took.value_at_quantile(0.99),
         in_force_worst_ms: took.max(),
-        behind: behind(run).await,
-        broken: run.rules.broken().0,
+        behind: count_lagging_teams(run).await,
+        broken: run.rules.violations().0,
     })
 }
 
 /// Cuts or mends all links of a region.
-fn cut(run: &Run, region: usize, cut: bool) {
+fn set_partitioned(run: &Run, region: usize, cut: bool) {
     for other in &run.regions {
-        for (to, link) in &other.far_links {
+        for (to, link) in &other.inter_region_links {
             if other.index == region || *to == region {
-                link.cut(cut);
+                link.set_cut(cut);
             }
         }
     }
 }
 
 /// Plays the drill on a run that is loaded and at rest.
-pub async fn play(run: &mut Run, drill: &Drill) -> Result<DrillFigures, RunError> {
-    let changes = Changes::new(run, drill);
+pub async fn run_drill(run: &mut Run, drill: &Drill) -> Result<DrillFigures, RunError> {
+    let changes = QuotaChanger::new(run, drill);
     changes.write()?;
-    let mut logs = Logs::default();
+    let mut logs = LogReader::default();
     let steady = Duration::from_secs_f64(drill.steady_s);
     // The first limits have to be in force before any is held to them.
-    run.pass(Duration::from_secs_f64(drill.replaced_s)).await?;
-    logs.in_force(run);
-    tokio::spawn(changes.clone().go_on(drill.clone()));
+    run.run_for(Duration::from_secs_f64(drill.replaced_s))
+        .await?;
+    logs.propagation_delays(run);
+    tokio::spawn(changes.clone().run(drill.clone()));
     let last = run.regions.len() - 1;
     let mut figures = DrillFigures {
         workers: run.experiment.workers * run.experiment.regions,
         ..DrillFigures::default()
     };
     let mut phases = Vec::new();
-    phases.push(phase(run, &changes, &mut logs, "steady", steady).await?);
-    changes.cut(true);
-    cut(run, 1, true);
+    phases.push(run_phase(run, &changes, &mut logs, "steady", steady).await?);
+    changes.mark_partitioned(true);
+    set_partitioned(run, 1, true);
     let length = Duration::from_secs_f64(drill.cut_s);
-    phases.push(phase(run, &changes, &mut logs, "a region cut off", length).await?);
-    cut(run, 1, false);
-    changes.cut(false);
-    phases.push(phase(run, &changes, &mut logs, "mended", steady).await?);
-    figures.takeover_s = run.end_leader(last).await?;
-    phases.push(phase(run, &changes, &mut logs, "a leader has ended", steady).await?);
+    phases.push(run_phase(run, &changes, &mut logs, "a region cut off", length).await?);
+    set_partitioned(run, 1, false);
+    changes.mark_partitioned(false);
+    phases.push(run_phase(run, &changes, &mut logs, "mended", steady).await?);
+    figures.takeover_s = run.kill_leader(last).await?;
+    phases.push(run_phase(run, &changes, &mut logs, "a leader has ended", steady).await?);
     let region = &run.regions[last];
     let rack: Vec<String> = region.fleet.names().into_iter().take(drill.rack).collect();
-    region.fleet.end(&rack, &*run.rules);
-    phases.push(phase(run, &changes, &mut logs, "a rack is gone", steady).await?);
-    changes.over.store(true, Ordering::Relaxed);
-    phases.push(phase(run, &changes, &mut logs, "no more changes", steady).await?);
-    figures.changes = changes.made.load(Ordering::Relaxed);
-    figures.behind_at_end = behind(run).await;
+    region.fleet.delete_workers(&rack, &*run.rules);
+    phases.push(run_phase(run, &changes, &mut logs, "a rack is gone", steady).await?);
+    changes.is_stopped.store(true, Ordering::Relaxed);
+    phases.push(run_phase(run, &changes, &mut logs, "no more changes", steady).await?);
+    figures.changes = changes.change_count.load(Ordering::Relaxed);
+    figures.behind_at_end = count_lagging_teams(run).await;
     figures.phases = phases;
     Ok(figures)
 }
--- a/crates/load-test/src/experiment.rs
+++ b/crates/load-test/src/experiment.rs
@@ -7,39 +7,39 @@
 };
 
 use crate::{
+    controller_process::Usage,
     drill::{self, DrillFigures},
+    invariants::InvariantChecker,
     measure::{self, Figures, Point, Snapshot},
-    process::Usage,
     region::{Region, RunError},
-    rules::Rules,
-    settings::{Experiment, MOST_MEMORY, Plan},
-    users::Users,
+    settings::{Experiment, MAX_MEMORY_BYTES, Plan},
+    user_load::UserLoad,
 };
 
-const READY_WITHIN: Duration = Duration::from_secs(60);
-const FILLED_WITHIN: Duration = Duration::from_secs(150);
-const TAKEOVER_WITHIN: Duration = Duration::from_secs(60);
-const STEP: Duration = Duration::from_millis(100);
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
+const FILL_TIMEOUT: Duration = Duration::from_secs(150);
+const FAILOVER_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 const SECOND: Duration = Duration::from_secs(1);
 /// The part of the workers that have to be known, or of the replicas that have to run.
-const NEARLY_ALL: f64 = 0.98;
-const MOST: f64 = 0.9;
+const FILLED_FRACTION: f64 = 0.98;
+const RECOVERED_FRACTION: f64 = 0.9;
 
 /// A running experiment.
 pub struct Run {
     /// Its regions.
     pub regions: Vec<Region>,
     /// The users of each.
-    pub users: Vec<Users>,
+    pub users: Vec<UserLoad>,
     /// All jobs, and the rules.
-    pub rules: Arc<Rules>,
+    pub rules: Arc<InvariantChecker>,
     /// What is run.
     pub experiment: Experiment,
     ready_s: f64,
 }
 
 /// Where programs and files are.
-pub struct Places {
+pub struct RunPaths {
     /// The `dalelb` program.
     pub program: PathBuf,
     /// For settings and logs of controllers.
@@ -48,16 +48,16 @@
 
 impl Run {
     /// Starts all regions and waits until each has a leader that knows the workers.
-    pub async fn start(experiment: &Experiment, places: &Places) -> Result<Self, RunError> {
+    pub async fn start(experiment: &Experiment, places: &RunPaths) -> Result<Self, RunError> {
         let cancel = Duration::from_secs_f64(experiment.cancel_s);
-        let rules = Arc::new(Rules::new(cancel));
+        let rules = Arc::new(InvariantChecker::new(cancel));
         let began = Instant::now();
         let (program, directory) = (places.program.as_path(), places.directory.as_path());
         let regions = (0..experiment.regions)
             .map(|index| Region::start(index, experiment, &rules, program, directory))
             .collect::<Result<Vec<_>, _>>()?;
         let users = regions.iter();
-        let users = users.map(|region| Users::new(region, experiment, &rules));
+        let users = users.map(|region| UserLoad::new(region, experiment, &rules));
         let mut run = Run {
             users: users.collect(),
             regions,
@@ -68,7 +68,7 @@
         for region in 0..run.regions.len() {
             for node in 0..experiment.nodes {
                 while !run.regions[region].ready(node).await {
-                    run.alive(began, READY_WITHIN, "a controller is ready")
+                    run.alive(began, READY_TIMEOUT, "a controller is ready")
                         .await?;
                 }
                 if region == 0 && node == 0 {
@@ -77,8 +77,8 @@
             }
         }
         for region in 0..run.regions.len() {
-            while !run.known(region, NEARLY_ALL).await {
-                run.alive(began, READY_WITHIN, "a leader knows the workers")
+            while !run.knows_workers(region, FILLED_FRACTION).await {
+                run.alive(began, READY_TIMEOUT, "a leader knows the workers")
                     .await?;
             }
         }
@@ -86,7 +86,7 @@
     }
 
     /// Whether a region's leader knows that part of its workers.
-    pub async fn known(&self, region: usize, part: f64) -> bool {
+    pub async fn knows_workers(&self, region: usize, part: f64) -> bool {
         let region = &self.regions[region];
         let Some(leader) = region.leader().await else {
             return false;
@@ -95,7 +95,7 @@
             return false;
         };
         let up = metrics.value("dalelb_machines{state=\"up\"}");
-        up.unwrap_or(0.0) >= part * region.cloud.rented() as f64
+        up.unwrap_or(0.0) >= part * region.cloud.instance_count() as f64
     }
 
     /// Waits a step; an error if a controller has ended, memory is short, or `within` has passed.
@@ -105,10 +105,10 @@
         within: Duration,
         what: &str,
     ) -> Result<(), RunError> {
-        tokio::time::sleep(STEP).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         self.check()?;
         if since.elapsed() > within {
-            return Err(RunError::Late {
+            return Err(RunError::TimedOut {
                 what: what.to_owned(),
                 seconds: within.as_secs(),
             });
@@ -120,27 +120,27 @@
     pub fn check(&mut self) -> Result<(), RunError> {
         let mut held = Usage::own().memory;
         for region in &mut self.regions {
-            region.alive()?;
+            region.check_controllers_alive()?;
             let controllers = region.controllers.iter();
             held += controllers.map(|each| each.usage().memory).sum::<u64>();
         }
-        if held > MOST_MEMORY {
+        if held > MAX_MEMORY_BYTES {
             return Err(RunError::Memory {
                 held_mb: held / 1_000_000,
-                most_mb: MOST_MEMORY / 1_000_000,
+                most_mb: MAX_MEMORY_BYTES / 1_000_000,
             });
         }
         Ok(())
     }
 
     /// Waits that long, checking all the while.
-    pub async fn pass(&mut self, length: Duration) -> Result<(), RunError> {
+    pub async fn run_for(&mut self, length: Duration) -> Result<(), RunError> {
         let until = Instant::now() + length;
         while Instant::now() < until {
             let left = until.saturating_duration_since(Instant::now());
             tokio::time::sleep(left.min(SECOND)).await;
             self.check()?;
-            self.rules.check();
+            self.rules.check_cancellations();
         }
         Ok(())
     }
@@ -149,7 +149,7 @@
     pub async fn load(&mut self) -> Result<(), RunError> {
         let fills = self.users.iter().cloned();
         let fills: Vec<_> = fills
-            .map(|users| tokio::spawn(async move { users.fill().await }))
+            .map(|users| tokio::spawn(async move { users.submit_services().await }))
             .collect();
         let began = Instant::now();
         let filled = if self.experiment.replica_cpus > 0.0 {
@@ -157,15 +157,15 @@
         } else {
             0
         };
-        while (self.rules.running() as f64) < NEARLY_ALL * filled as f64 {
-            self.alive(began, FILLED_WITHIN, "each worker has its replica")
+        while (self.rules.running_count() as f64) < FILLED_FRACTION * filled as f64 {
+            self.alive(began, FILL_TIMEOUT, "each worker has its replica")
                 .await?;
         }
         for fill in fills {
             let _ = fill.await;
         }
         for users in &self.users {
-            tokio::spawn(users.clone().load());
+            tokio::spawn(users.clone().run_load());
         }
         Ok(())
     }
@@ -177,13 +177,13 @@
             if let Some(leader) = self.regions[0].leader().await {
                 break leader;
             }
-            self.alive(began, READY_WITHIN, "the first region has a leader")
+            self.alive(began, READY_TIMEOUT, "the first region has a leader")
                 .await?;
         };
-        self.rules.reset_times();
+        self.rules.reset_latencies();
         let counts = self.users[0].clone();
         let first = Snapshot::of(&self.regions[0], leader, &self.rules, counts.counts());
-        self.pass(length).await?;
+        self.run_for(length).await?;
         let last = Snapshot::of(&self.regions[0], leader, &self.rules, counts.counts());
         let mut figures = first.until(&last, &self.regions[0], &self.rules);
         figures.ready_s = self.ready_s;
@@ -191,7 +191,7 @@
     }
 
     /// Ends a region's leader; seconds until a successor knew most workers.
-    pub async fn end_leader(&mut self, region: usize) -> Result<Option<f64>, RunError> {
+    pub async fn kill_leader(&mut self, region: usize) -> Result<Option<f64>, RunError> {
         let Some(leader) = self.regions[region].leader().await else {
             return Ok(None);
         };
@@ -201,20 +201,20 @@
             source,
         })?;
         let began = Instant::now();
-        while began.elapsed() < TAKEOVER_WITHIN {
-            if self.known(region, MOST).await {
+        while began.elapsed() < FAILOVER_TIMEOUT {
+            if self.knows_workers(region, RECOVERED_FRACTION).await {
                 let took = began.elapsed().as_secs_f64();
                 self.regions[region].restart(leader)?;
                 return Ok(Some(took));
             }
-            tokio::time::sleep(STEP).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         self.regions[region].restart(leader)?;
         Ok(None)
     }
 
     /// Ends all controllers.
-    pub async fn end(mut self) {
+    pub async fn shut_down(mut self) {
         for users in &self.users {
             users.stop();
         }
@@ -228,11 +228,11 @@
 }
 
 /// Runs a plan from its start to its end.
-pub async fn play(plan: &Plan, places: &Places) -> Result<Point, RunError> {
+pub async fn run_plan(plan: &Plan, places: &RunPaths) -> Result<Point, RunError> {
     let mut run = Run::start(&plan.experiment, places).await?;
     let measured = load_and_measure(&mut run).await;
-    let (broken, broken_first) = run.rules.broken();
-    run.end().await;
+    let (broken, broken_first) = run.rules.violations();
+    run.shut_down().await;
     let (figures, reference_ms, drill) = measured?;
     let (vary, value, base) = match plan.varied {
         Some((vary, value, base)) => (Some(vary), value, base),
@@ -252,24 +252,24 @@
     })
 }
 
-type Measured = (Figures, f64, Option<DrillFigures>);
+type Measurement = (Figures, f64, Option<DrillFigures>);
 
-async fn load_and_measure(run: &mut Run) -> Result<Measured, RunError> {
+async fn load_and_measure(run: &mut Run) -> Result<Measurement, RunError> {
     run.load().await?;
     let warm_up = Duration::from_secs_f64(run.experiment.warm_up_s);
-    // Tasks have to end as often as they start before anything is at rest.
+    // TaskModel have to end as often as they start before anything is at rest.
     let first_ends = Duration::from_secs_f64(run.experiment.run_s);
-    run.pass(warm_up + first_ends).await?;
+    run.run_for(warm_up + first_ends).await?;
     let reference_ms = tokio::task::spawn_blocking(measure::reference);
     let length = Duration::from_secs_f64(run.experiment.measure_s);
     let mut figures = run.measure(length).await?;
     let reference_ms = reference_ms.await.unwrap_or(0.0);
     if let Some(drill) = run.experiment.drill.clone() {
-        let played = drill::play(run, &drill).await?;
+        let played = drill::run_drill(run, &drill).await?;
         return Ok((figures, reference_ms, Some(played)));
     }
     if run.experiment.takeover {
-        figures.takeover_s = run.end_leader(0).await?;
+        figures.takeover_s = run.kill_leader(0).await?;
     }
     Ok((figures, reference_ms, None))
 }
--- a/crates/load-test/src/rules.rs
+++ b/crates/load-test/src/invariants.rs
@@ -8,18 +8,18 @@
 };
 
 use dalelb::protocol::ids::{JobId, TaskId};
-use dalelb_emulators::machine::{TaskEvent, TaskSpec, Tasks};
+use dalelb_emulators::worker_emulator::{TaskEvent, TaskModel, TaskSpec};
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-/// Rules that are told of by name; more are only counted.
-const TOLD: usize = 20;
+/// InvariantChecker that are told of by name; more are only counted.
+const MAX_REPORTED_VIOLATIONS: usize = 20;
 /// Sums of decimal amounts may miss a whole by a rounding error.
 const EPSILON: f64 = 1e-6;
 
 /// A job as its user knows it.
 #[derive(Clone, Debug)]
-pub struct JobFacts {
+pub struct ExpectedJob {
     /// Its team.
     pub team: String,
     /// What each of its tasks takes, and how long it runs.
@@ -32,8 +32,8 @@
 
 /// How long tasks took from their job's acceptance to the start command at the worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct StartTimes {
-    /// Tasks.
+pub struct StartLatencies {
+    /// TaskModel.
     pub count: u64,
     /// Milliseconds.
     pub median_ms: u64,
@@ -43,9 +43,9 @@
     pub worst_ms: u64,
 }
 
-impl StartTimes {
+impl StartLatencies {
     fn of(histogram: &Histogram<u64>) -> Self {
-        StartTimes {
+        StartLatencies {
             count: histogram.len(),
             median_ms: histogram.value_at_quantile(0.5),
             p99_ms: histogram.value_at_quantile(0.99),
@@ -54,26 +54,26 @@
     }
 }
 
-struct Job {
-    facts: JobFacts,
+struct TrackedJob {
+    facts: ExpectedJob,
     accepted: Option<Instant>,
     cancelled: Option<Instant>,
-    /// Tasks that are on a machine.
-    on: u32,
+    /// TaskModel that are on a machine.
+    running_tasks: u32,
 }
 
-struct Inner {
-    jobs: HashMap<JobId, Job>,
+struct CheckerState {
+    jobs: HashMap<JobId, TrackedJob>,
     /// Where each task is that is on a machine.
-    on: HashMap<TaskId, String>,
+    placements: HashMap<TaskId, String>,
     started: HashMap<TaskId, ()>,
     used: BTreeMap<String, f64>,
     limits: BTreeMap<String, f64>,
     starts: u64,
     urgent: Histogram<u64>,
     other: Histogram<u64>,
-    broken: Vec<String>,
-    broken_count: u64,
+    violations: Vec<String>,
+    violation_count: u64,
 }
 
 /// Records a value of any size.
@@ -83,28 +83,28 @@
 }
 
 /// All jobs, and the rules that are checked at every start.
-pub struct Rules {
-    inner: Mutex<Inner>,
-    cancel: Duration,
+pub struct InvariantChecker {
+    inner: Mutex<CheckerState>,
+    cancellation_bound: Duration,
 }
 
-impl Inner {
-    fn broke(&mut self, what: String) {
-        self.broken_count += 1;
-        if self.broken.len() < TOLD {
-            self.broken.push(what);
+impl CheckerState {
+    fn record_violation(&mut self, what: String) {
+        self.violation_count += 1;
+        if self.violations.len() < MAX_REPORTED_VIOLATIONS {
+            self.violations.push(what);
         }
     }
 
-    fn start(&mut self, machine: &str, task: TaskId, cancel: Duration) {
+    fn on_start(&mut self, machine: &str, task: TaskId, cancel: Duration) {
         self.starts += 1;
-        if let Some(other) = self.on.insert(task, machine.to_owned()) {
-            self.broke(format!("ran_twice: {task} on {machine} and {other}"));
+        if let Some(other) = self.placements.insert(task, machine.to_owned()) {
+            self.record_violation(format!("ran_twice: {task} on {machine} and {other}"));
         }
         let Some(job) = self.jobs.get_mut(&task.job) else {
-            return self.broke(format!("{task}: nobody submitted it"));
+            return self.record_violation(format!("{task}: nobody submitted it"));
         };
-        job.on += 1;
+        job.running_tasks += 1;
         let late = job.cancelled.is_some_and(|at| at.elapsed() > cancel);
         let (team, cpus) = (job.facts.team.clone(), job.facts.spec.cpus);
         let waited = job.accepted.map_or(Duration::ZERO, |at| at.elapsed());
@@ -118,136 +118,142 @@
             record(times, waited.as_millis() as u64);
         }
         if late {
-            self.broke(format!("ran_cancelled: {task} starts on {machine}"));
+            self.record_violation(format!("ran_cancelled: {task} starts on {machine}"));
         }
         let used = self.used.entry(team.clone()).or_default();
         *used += cpus;
         let (used, limit) = (*used, self.limits.get(&team).copied().unwrap_or(0.0));
         if limit > 0.0 && used > limit + EPSILON {
-            self.broke(format!("quota: {team} uses {used} of {limit} CPUs"));
+            self.record_violation(format!("quota: {team} uses {used} of {limit} CPUs"));
         }
     }
 
-    fn leave(&mut self, machine: &str, task: TaskId) {
-        if self.on.get(&task).is_some_and(|on| on == machine) {
-            self.on.remove(&task);
+    fn on_leave(&mut self, machine: &str, task: TaskId) {
+        if self.placements.get(&task).is_some_and(|on| on == machine) {
+            self.placements.remove(&task);
         }
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.on = job.on.saturating_sub(1);
+            job.running_tasks = job.running_tasks.saturating_sub(1);
             *self.used.entry(job.facts.team.clone()).or_default() -= job.facts.spec.cpus;
         }
     }
 }
 
-impl Rules {
+impl InvariantChecker {
     /// Cancelled tasks have to be gone after `cancel`.
     pub fn new(cancel: Duration) -> Self {
         let histogram = || Histogram::new(3).expect("three digits are allowed");
-        Rules {
-            inner: Mutex::new(Inner {
+        InvariantChecker {
+            inner: Mutex::new(CheckerState {
                 jobs: HashMap::new(),
-                on: HashMap::new(),
+                placements: HashMap::new(),
                 started: HashMap::new(),
                 used: BTreeMap::new(),
                 limits: BTreeMap::new(),
                 starts: 0,
                 urgent: histogram(),
                 other: histogram(),
-                broken: Vec::new(),
-                broken_count: 0,
+                violations: Vec::new(),
+                violation_count: 0,
             }),
-            cancel,
+            cancellation_bound: cancel,
         }
     }
 
-    fn inner(&self) -> MutexGuard<'_, Inner> {
+    fn lock_state(&self) -> MutexGuard<'_, CheckerState> {
         self.inner.lock().expect("the rules' lock")
     }
 
     /// From now on the team may use that many CPUs at once; 0: any number.
-    pub fn limit(&self, team: &str, cpus: f64) {
-        self.inner().limits.insert(team.to_owned(), cpus);
+    pub fn set_limit(&self, team: &str, cpus: f64) {
+        self.lock_state().limits.insert(team.to_owned(), cpus);
     }
 
     /// A user is about to submit the job.
-    pub fn submitted(&self, id: JobId, facts: JobFacts) {
-        let job = Job {
+    pub fn on_submitted(&self, id: JobId, facts: ExpectedJob) {
+        let job = TrackedJob {
             facts,
             accepted: None,
             cancelled: None,
-            on: 0,
+            running_tasks: 0,
         };
-        self.inner().jobs.insert(id, job);
+        self.lock_state().jobs.insert(id, job);
     }
 
     /// A user was told that the job is accepted.
-    pub fn accepted(&self, id: JobId) {
-        if let Some(job) = self.inner().jobs.get_mut(&id) {
+    pub fn on_accepted(&self, id: JobId) {
+        if let Some(job) = self.lock_state().jobs.get_mut(&id) {
             job.accepted.get_or_insert_with(Instant::now);
         }
     }
 
     /// A user was told that the job is cancelled.
-    pub fn cancelled(&self, id: JobId) {
-        if let Some(job) = self.inner().jobs.get_mut(&id) {
+    pub fn on_cancelled(&self, id: JobId) {
+        if let Some(job) = self.lock_state().jobs.get_mut(&id) {
             job.cancelled.get_or_insert_with(Instant::now);
         }
     }
 
-    /// Looks for tasks of cancelled jobs that go on for too long.
-    pub fn check(&self) {
-        let mut inner = self.inner();
+    /// CandidateCache for tasks of cancelled jobs that go on for too long.
+    pub fn check_cancellations(&self) {
+        let mut inner = self.lock_state();
         let jobs = inner.jobs.iter();
         let late = jobs.filter(|(_, job)| {
-            job.on > 0 && job.cancelled.is_some_and(|at| at.elapsed() > self.cancel)
+            job.running_tasks > 0
+                && job
+                    .cancelled
+                    .is_some_and(|at| at.elapsed() > self.cancellation_bound)
         });
         let late: Vec<JobId> = late.map(|(id, _)| *id).collect();
         for id in late {
-            inner.broke(format!("ran_cancelled: tasks of {id} go on"));
+            inner.record_violation(format!("ran_cancelled: tasks of {id} go on"));
         }
     }
 
     /// Starts so far.
-    pub fn starts(&self) -> u64 {
-        self.inner().starts
+    pub fn start_count(&self) -> u64 {
+        self.lock_state().starts
     }
 
-    /// Tasks that are on machines.
-    pub fn running(&self) -> usize {
-        self.inner().on.len()
+    /// TaskModel that are on machines.
+    pub fn running_count(&self) -> usize {
+        self.lock_state().placements.len()
     }
 
     /// Forgets the times taken so far.
-    pub fn reset_times(&self) {
-        let mut inner = self.inner();
+    pub fn reset_latencies(&self) {
+        let mut inner = self.lock_state();
         inner.urgent.reset();
         inner.other.reset();
     }
 
-    /// Times of urgent work and of other work.
-    pub fn times(&self) -> (StartTimes, StartTimes) {
-        let inner = self.inner();
-        (StartTimes::of(&inner.urgent), StartTimes::of(&inner.other))
+    /// Timeouts of urgent work and of other work.
+    pub fn start_latencies(&self) -> (StartLatencies, StartLatencies) {
+        let inner = self.lock_state();
+        (
+            StartLatencies::of(&inner.urgent),
+            StartLatencies::of(&inner.other),
+        )
     }
 
     /// Which rules were broken, and how often.
-    pub fn broken(&self) -> (u64, Vec<String>) {
-        let inner = self.inner();
-        (inner.broken_count, inner.broken.clone())
+    pub fn violations(&self) -> (u64, Vec<String>) {
+        let inner = self.lock_state();
+        (inner.violation_count, inner.violations.clone())
     }
 }
 
-impl Tasks for Rules {
+impl TaskModel for InvariantChecker {
     fn describe(&self, task: TaskId) -> Option<TaskSpec> {
-        let inner = self.inner();
+        let inner = self.lock_state();
         inner.jobs.get(&task.job).map(|job| job.facts.spec)
     }
 
-    fn happened(&self, machine: &str, task: TaskId, event: TaskEvent) {
-        let mut inner = self.inner();
+    fn on_task_event(&self, machine: &str, task: TaskId, event: TaskEvent) {
+        let mut inner = self.lock_state();
         match event {
-            TaskEvent::Started => inner.start(machine, task, self.cancel),
-            TaskEvent::Left => inner.leave(machine, task),
+            TaskEvent::Started => inner.on_start(machine, task, self.cancellation_bound),
+            TaskEvent::Removed => inner.on_leave(machine, task),
         }
     }
 }
--- a/crates/load-test/src/fit.rs
+++ b/crates/load-test/src/linear_fit.rs
@@ -2,8 +2,8 @@
 
 /// A least-squares line through points.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Line {
-    /// Growth for each unit of what was varied.
+pub struct LinearFit {
+    /// FittedGrowth for each unit of what was varied.
     pub slope: f64,
     /// The value at 0.
     pub intercept: f64,
@@ -12,11 +12,11 @@
 }
 
 /// A residual beyond this part of the largest value says that the points are no line.
-const NO_LINE: f64 = 0.1;
+const MAX_RELATIVE_RESIDUAL: f64 = 0.1;
 
-impl Line {
+impl LinearFit {
     /// `None`: fewer than two different places.
-    pub fn through(points: &[(f64, f64)]) -> Option<Self> {
+    pub fn fit(points: &[(f64, f64)]) -> Option<Self> {
         let count = points.len() as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
         let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
@@ -27,29 +27,29 @@
         let together = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y));
         let slope = together.sum::<f64>() / spread;
         let intercept = mean_y - slope * mean_x;
-        let line = Line {
+        let line = LinearFit {
             slope,
             intercept,
             residual: 0.0,
         };
-        let distances = points.iter().map(|(x, y)| (y - line.at(*x)).abs());
+        let distances = points.iter().map(|(x, y)| (y - line.evaluate(*x)).abs());
         let largest = points.iter().map(|(_, y)| y.abs()).fold(0.0, f64::max);
         let residual = if largest > 0.0 {
             distances.fold(0.0, f64::max) / largest
         } else {
             0.0
         };
-        Some(Line { residual, ..line })
+        Some(LinearFit { residual, ..line })
     }
 
     /// The line's value at `x`.
-    pub fn at(&self, x: f64) -> f64 {
+    pub fn evaluate(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
 
     /// Whether the points lie on it, given that runs alike differ by `spread` of their mean.
-    pub fn holds(&self, spread: f64) -> bool {
-        self.residual <= NO_LINE.max(spread)
+    pub fn is_linear(&self, spread: f64) -> bool {
+        self.residual <= MAX_RELATIVE_RESIDUAL.max(spread)
     }
 }
 
--- a/crates/load-test/src/main.rs
+++ b/crates/load-test/src/main.rs
@@ -1,16 +1,16 @@
 //! Runs real dalelb controllers on loopback against hollow workers, users, a state service and a cloud, and
 //! measures how what they use grows with what is varied.
 
+mod controller_process;
 mod drill;
 mod experiment;
-mod fit;
+mod invariants;
+mod linear_fit;
 mod measure;
-mod page;
-mod process;
 mod region;
-mod rules;
+mod report_page;
 mod settings;
-mod users;
+mod user_load;
 
 use std::{
     io::IsTerminal,
@@ -20,25 +20,25 @@
 };
 
 use clap::{Parser, Subcommand};
-use experiment::Places;
+use experiment::RunPaths;
 use measure::Point;
 use region::RunError;
 use serde::{Deserialize, Serialize};
 use settings::{Plan, Settings};
 
 /// The arguments, the settings file or a result can't be used.
-const BAD_INPUT: u8 = 2;
+const EXIT_BAD_INPUT: u8 = 2;
 /// An experiment could not be run to its end.
-const FAILED: u8 = 3;
+const EXIT_FAILED: u8 = 3;
 /// A rule of the protocol was broken.
-const BROKEN: u8 = 4;
+const EXIT_INVARIANT_VIOLATED: u8 = 4;
 /// The page does not show what was measured.
-const OUTDATED: u8 = 5;
+const EXIT_OUTDATED_PAGE: u8 = 5;
 /// Stopped by the user.
-const INTERRUPTED: u8 = 130;
+const EXIT_INTERRUPTED: u8 = 130;
 
 /// How long hollow workers have to come to a point at which they can be dropped.
-const SHUTDOWN: Duration = Duration::from_secs(5);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Measures how dalelb's controllers grow.
 ///
@@ -79,7 +79,7 @@
         /// The page, whose part between the two marks is made anew.
         #[arg(long, value_name = "FILE")]
         page: PathBuf,
-        /// Change nothing; fail if the page shows something else.
+        /// RegistryChange nothing; fail if the page shows something else.
         #[arg(long)]
         check: bool,
     },
@@ -138,7 +138,7 @@
 fn run(settings: &Path, result: &Path, dalelb: Option<PathBuf>, dry_run: bool) -> ExitCode {
     let settings = match Settings::load(settings) {
         Ok(settings) => settings,
-        Err(error) => return fail(&error, BAD_INPUT),
+        Err(error) => return fail(&error, EXIT_BAD_INPUT),
     };
     let plans = settings.plans();
     if dry_run {
@@ -151,13 +151,16 @@
     let program = dalelb.unwrap_or(beside.unwrap_or_default());
     if !program.is_file() {
         let missing = format!("{}: no such program", program.display());
-        return fail(&missing, BAD_INPUT);
+        return fail(&missing, EXIT_BAD_INPUT);
     }
     match run_all(&plans, result, program) {
         Ok(0) => ExitCode::SUCCESS,
-        Ok(broken) => fail(&format!("{broken} rules broken, see the result"), BROKEN),
-        Err(RunError::Interrupted) => fail(&RunError::Interrupted, INTERRUPTED),
-        Err(error) => fail(&error, FAILED),
+        Ok(broken) => fail(
+            &format!("{broken} rules broken, see the result"),
+            EXIT_INVARIANT_VIOLATED,
+        ),
+        Err(RunError::Interrupted) => fail(&RunError::Interrupted, EXIT_INTERRUPTED),
+        Err(error) => fail(&error, EXIT_FAILED),
     }
 }
 
@@ -172,8 +175,8 @@
         experiment.regions,
         experiment.workers,
         experiment.starts_per_s,
-        experiment.processes(),
-        experiment.memory() as f64 / 1e9
+        experiment.process_count(),
+        experiment.estimated_memory_bytes() as f64 / 1e9
     )
 }
 
@@ -182,7 +185,7 @@
     let mut results = Results::default();
     results.save(result)?;
     let directory = experiment::work_directory(&std::env::temp_dir())?;
-    let places = Places { program, directory };
+    let places = RunPaths { program, directory };
     let (mut broken, began) = (0, Instant::now());
     for (number, plan) in plans.iter().enumerate() {
         progress(number, plans.len(), began, &described(plan));
@@ -201,16 +204,16 @@
 }
 
 /// Runs one plan on a runtime of its own: with that its listeners and workers are gone.
-fn play(plan: &Plan, places: &Places) -> Result<Point, RunError> {
+fn play(plan: &Plan, places: &RunPaths) -> Result<Point, RunError> {
     let runtime = tokio::runtime::Runtime::new().map_err(RunError::Runtime)?;
     let played = runtime.block_on(async {
         // Dropped when the user stops it: that ends the controllers.
         tokio::select! {
-            played = experiment::play(plan, places) => played,
+            played = experiment::run_plan(plan, places) => played,
             () = stopped() => Err(RunError::Interrupted),
         }
     });
-    runtime.shutdown_timeout(SHUTDOWN);
+    runtime.shutdown_timeout(SHUTDOWN_TIMEOUT);
     played
 }
 
@@ -243,26 +246,29 @@
     for path in results {
         match Results::load(path) {
             Ok(results) => points.push(results.points),
-            Err(error) => return fail(&error, BAD_INPUT),
+            Err(error) => return fail(&error, EXIT_BAD_INPUT),
         }
     }
     let shown = page.display();
     let text = match std::fs::read_to_string(page) {
         Ok(text) => text,
-        Err(error) => return fail(&format!("{shown}: {error}"), BAD_INPUT),
+        Err(error) => return fail(&format!("{shown}: {error}"), EXIT_BAD_INPUT),
     };
-    let renewed = match page::renew(&text, &points) {
+    let renewed = match report_page::update_page(&text, &points) {
         Ok(renewed) => renewed,
-        Err(error) => return fail(&format!("{shown}: {error}"), BAD_INPUT),
+        Err(error) => return fail(&format!("{shown}: {error}"), EXIT_BAD_INPUT),
     };
     if renewed == text {
         return ExitCode::SUCCESS;
     }
     if check {
-        return fail(&format!("{shown} does not show these results"), OUTDATED);
+        return fail(
+            &format!("{shown} does not show these results"),
+            EXIT_OUTDATED_PAGE,
+        );
     }
     match std::fs::write(page, renewed) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => fail(&format!("{shown}: {error}"), BAD_INPUT),
+        Err(error) => fail(&format!("{shown}: {error}"), EXIT_BAD_INPUT),
     }
 }
--- a/crates/load-test/src/measure.rs
+++ b/crates/load-test/src/measure.rs
@@ -7,27 +7,27 @@
     ids::{JobId, TaskId},
     worker::{Report, TaskReport, TaskState},
 };
-use dalelb_emulators::state_service::Counters;
+use dalelb_emulators::state_service::RequestCounters;
 use serde::{Deserialize, Serialize};
 
 use crate::{
+    controller_process::Usage,
     drill::DrillFigures,
-    process::Usage,
+    invariants::{InvariantChecker, StartLatencies},
     region::Region,
-    rules::{Rules, StartTimes},
-    settings::{Experiment, Varied},
+    settings::{Experiment, SweepParameter},
 };
 
 /// Reports that the reference work encodes and decodes.
 const REFERENCE_REPORTS: usize = 4000;
-/// Tasks of each of them.
+/// TaskModel of each of them.
 const REFERENCE_TASKS: u32 = 8;
 
 /// One run of one experiment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Point {
     /// What was varied; none: nothing.
-    pub vary: Option<Varied>,
+    pub vary: Option<SweepParameter>,
     /// Its value.
     pub value: f64,
     /// Its value in the base of the settings file.
@@ -43,7 +43,7 @@
     /// What a drill came to, if there was one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub drill: Option<DrillFigures>,
-    /// Rules that were broken, in all regions.
+    /// InvariantChecker that were broken, in all regions.
     pub broken: u64,
     /// The first of them.
     pub broken_first: Vec<String>,
@@ -90,20 +90,20 @@
     pub mesh_bytes: f64,
     /// Bytes of users' connections.
     pub user_bytes: f64,
-    /// Tasks that started.
+    /// TaskModel that started.
     pub starts: f64,
-    /// Tasks that ran at the end.
+    /// TaskModel that ran at the end.
     pub running: f64,
     /// Submissions that were accepted.
     pub accepted: f64,
-    /// Times that a user was sent away for a while.
+    /// Timeouts that a user was sent away for a while.
     pub sent_away: f64,
     /// Sessions of workers that ended for want of an answer, in the whole run.
     pub sessions_lost: f64,
     /// From acceptance to the start command, urgent work.
-    pub urgent: StartTimes,
+    pub urgent: StartLatencies,
     /// The same for other work.
-    pub other: StartTimes,
+    pub other: StartLatencies,
     /// Seconds from the first controller's start until it was ready.
     pub ready_s: f64,
     /// Seconds from the leader's end until a successor knew nine tenths of the workers; none: not tried, or not
@@ -111,7 +111,7 @@
     pub takeover_s: Option<f64>,
 }
 
-/// Totals at one moment.
+/// CounterTotals at one moment.
 pub struct Snapshot {
     at: Instant,
     leader: usize,
@@ -119,7 +119,7 @@
     reports: (u64, u64),
     commands: (u64, u64),
     users: (u64, u64),
-    state: Counters,
+    state: RequestCounters,
     mesh: u64,
     starts: u64,
     accepted: u64,
@@ -128,25 +128,34 @@
 
 impl Snapshot {
     /// Of this region now.
-    pub fn of(region: &Region, leader: usize, rules: &Rules, users: &crate::users::Counts) -> Self {
+    pub fn of(
+        region: &Region,
+        leader: usize,
+        rules: &InvariantChecker,
+        users: &crate::user_load::SubmissionCounts,
+    ) -> Self {
         let traffic = region.fleet.traffic();
         Snapshot {
             at: Instant::now(),
             leader,
             usages: region.controllers.iter().map(|each| each.usage()).collect(),
-            reports: traffic.reports.so_far(),
-            commands: traffic.commands.so_far(),
-            users: region.users.so_far(),
+            reports: traffic.reports.totals(),
+            commands: traffic.commands.totals(),
+            users: region.user_traffic.totals(),
             state: region.state.counters(),
-            mesh: region.links.iter().map(|link| link.traffic().1).sum(),
-            starts: rules.starts(),
+            mesh: region
+                .links
+                .iter()
+                .map(|link| link.connections_and_bytes().1)
+                .sum(),
+            starts: rules.start_count(),
             accepted: users.accepted.load(Ordering::Relaxed),
             sent_away: users.sent_away.load(Ordering::Relaxed),
         }
     }
 
     /// What was done from `self` to `end`.
-    pub fn until(&self, end: &Snapshot, region: &Region, rules: &Rules) -> Figures {
+    pub fn until(&self, end: &Snapshot, region: &Region, rules: &InvariantChecker) -> Figures {
         let seconds = end.at.duration_since(self.at).as_secs_f64();
         let rate = |from: u64, to: u64| to.saturating_sub(from) as f64 / seconds;
         let cpu = |node: usize| (end.usages[node].cpu_ms - self.usages[node].cpu_ms) / seconds;
@@ -159,9 +168,9 @@
         };
         let megabytes = |node: usize| end.usages[node].memory as f64 / 1e6;
         let sockets = |node: usize| end.usages[node].sockets as f64;
-        let (keys, bytes) = region.state.stored();
-        let (urgent, other) = rules.times();
-        let expired = &region.fleet.traffic().expired;
+        let (keys, bytes) = region.state.stored_keys_and_bytes();
+        let (urgent, other) = rules.start_latencies();
+        let expired = &region.fleet.traffic().expired_leases;
         Figures {
             seconds,
             leader_cpu_ms: cpu(end.leader),
@@ -177,13 +186,13 @@
             state_requests: rate(self.state.total(), end.state.total()),
             state_writes: rate(self.state.writes, end.state.writes),
             state_txn_bytes: rate(self.state.txn_bytes, end.state.txn_bytes),
-            state_refused: rate(self.state.refused, end.state.refused),
+            state_refused: rate(self.state.rate_limited, end.state.rate_limited),
             state_keys: keys as f64,
             state_bytes: bytes as f64,
             mesh_bytes: rate(self.mesh, end.mesh),
             user_bytes: rate(self.users.1, end.users.1),
             starts: rate(self.starts, end.starts),
-            running: region.fleet.running() as f64,
+            running: region.fleet.running_count() as f64,
             accepted: rate(self.accepted, end.accepted),
             sent_away: rate(self.sent_away, end.sent_away),
             sessions_lost: expired.load(Ordering::Relaxed) as f64,
@@ -214,7 +223,7 @@
         type_name: "c8".into(),
         zone: "z0".into(),
         spot: false,
-        session: 1,
+        incarnation: 1,
         seq: 1,
         token: 1,
         notice_s: None,
--- a/crates/load-test/src/region.rs
+++ b/crates/load-test/src/region.rs
@@ -12,20 +12,20 @@
     storage::{self, JobRecord},
 };
 use dalelb_emulators::{
-    cloud::{Cloud, machine_type},
-    fleet::{Fleet, FleetSettings},
-    link::{Link, Traffic},
-    relay::Relay,
-    reply::listen,
-    state_service::{Pace, StateService},
-    store::Limits,
+    cloud_emulator::{Cloud, machine_type},
+    http_connection::{HttpConnection, Traffic},
+    link_emulator::EmulatedLink,
+    responses::bind,
+    state_service::{ServiceRates, StateService},
+    state_store::StoreLimits,
+    worker_fleet::{Fleet, FleetSettings},
 };
 use http::Method;
 use serde_json::{Value, json};
 
 use crate::{
-    process::{Address, Controller},
-    rules::Rules,
+    controller_process::{Address, Controller},
+    invariants::InvariantChecker,
     settings::Experiment,
 };
 
@@ -36,20 +36,20 @@
 const MESH_PORT: u16 = 3;
 const FLEET_PORT: u16 = 4;
 /// The first of the last numbers of controllers' addresses, and of the relays to them.
-const FIRST_NODE: u8 = 10;
-const FIRST_RELAY: u8 = 100;
+const FIRST_NODE_OCTET: u8 = 10;
+const FIRST_LINK_OCTET: u8 = 100;
 /// The second number of the first region's workers' addresses.
 const FIRST_SUBNET: u8 = 100;
 /// The second number of the addresses of links between regions is this and the number of the region they lead to.
-const FAR_SUBNET: u8 = 50;
+const INTER_REGION_SUBNET: u8 = 50;
 /// The limits of a transaction.
 const TXN_OPS: u32 = 48;
 const VALUE_KB: f64 = 16.0;
 const CLOUD_RPS: f64 = 20.0;
 /// Ids of jobs that had ended before.
-const FINISHED_IDS: u64 = 900_000_000;
+const FIRST_FINISHED_JOB_ID: u64 = 900_000_000;
 /// Guarantees are a part of this many CPUs for each worker's one.
-const GUARANTEED: f64 = 0.3;
+const GUARANTEED_FRACTION: f64 = 0.3;
 
 /// Something that an experiment can't begin or go on without.
 #[derive(Debug, thiserror::Error)]
@@ -72,7 +72,7 @@
     },
     /// A controller ended by itself.
     #[error("controller {label} of region {region} ended by itself ({status}); it said: {said}")]
-    Ended {
+    ControllerExited {
         /// Its label.
         label: String,
         /// Its region, from 0.
@@ -84,7 +84,7 @@
     },
     /// Something took too long.
     #[error("not within {seconds} s: {what}")]
-    Late {
+    TimedOut {
         /// What was waited for.
         what: String,
         /// For how long.
@@ -127,11 +127,11 @@
     /// Its cloud.
     pub cloud: Cloud,
     /// Bytes of users' connections.
-    pub users: Arc<Traffic>,
+    pub user_traffic: Arc<Traffic>,
     /// Links from other controllers of the region to each.
-    pub links: Vec<Relay>,
+    pub links: Vec<EmulatedLink>,
     /// Links from this region's controllers to those of each other region.
-    pub far_links: Vec<(usize, Relay)>,
+    pub inter_region_links: Vec<(usize, EmulatedLink)>,
     arguments: Vec<String>,
     /// Its controllers' settings files.
     pub files: SettingsFiles,
@@ -161,7 +161,7 @@
         1
     };
     let all = (regions * experiment.workers) as f64 * experiment.worker_cpus;
-    let guarantee = (all * GUARANTEED / experiment.teams as f64).floor();
+    let guarantee = (all * GUARANTEED_FRACTION / experiment.teams as f64).floor();
     (guarantee, all.ceil())
 }
 
@@ -230,7 +230,7 @@
     pub fn start(
         index: usize,
         experiment: &Experiment,
-        rules: &Arc<Rules>,
+        rules: &Arc<InvariantChecker>,
         program: &Path,
         directory: &Path,
     ) -> Result<Self, RunError> {
@@ -241,10 +241,10 @@
         let fleet = start_fleet(index, experiment, rules, &addresses)?;
         let cloud = start_cloud(index, experiment, rules, &fleet)?;
         let links = start_links(index, experiment, &addresses)?;
-        let (far_links, arguments) = start_far_links(index, experiment)?;
+        let (far_links, arguments) = start_inter_region_links(index, experiment)?;
         for address in &addresses {
             for listens in [address.listen, address.mesh] {
-                free(listens)?;
+                check_addr_free(listens)?;
             }
         }
         let mut region = Region {
@@ -253,9 +253,9 @@
             fleet,
             state,
             cloud,
-            users: Arc::new(Traffic::default()),
+            user_traffic: Arc::new(Traffic::default()),
             links,
-            far_links,
+            inter_region_links: far_links,
             arguments,
             files: SettingsFiles {
                 region: index,
@@ -289,14 +289,14 @@
     }
 
     /// An error if a controller has ended by itself.
-    pub fn alive(&mut self) -> Result<(), RunError> {
+    pub fn check_controllers_alive(&mut self) -> Result<(), RunError> {
         let region = self.index;
         for controller in &mut self.controllers {
             if let Some(status) = controller.ended() {
                 let log = std::fs::read_to_string(&controller.log).unwrap_or_default();
                 let said = log.lines().last().unwrap_or("nothing").to_owned();
                 let label = controller.address.label.clone();
-                return Err(RunError::Ended {
+                return Err(RunError::ControllerExited {
                     label,
                     region,
                     status,
@@ -310,7 +310,7 @@
     /// What a controller's metrics say; `None`: it does not answer.
     pub async fn metrics(&self, node: usize) -> Option<Metrics> {
         let traffic = Arc::new(Traffic::default());
-        let mut link = Link::new(self.controllers[node].address.listen, traffic);
+        let mut link = HttpConnection::new(self.controllers[node].address.listen, traffic);
         let second = Duration::from_secs(1);
         let answer = link.call(Method::GET, "/metrics", Vec::new(), second);
         let (status, body) = answer.await?;
@@ -321,7 +321,7 @@
     /// Whether a controller takes users' requests.
     pub async fn ready(&self, node: usize) -> bool {
         let traffic = Arc::new(Traffic::default());
-        let mut link = Link::new(self.controllers[node].address.listen, traffic);
+        let mut link = HttpConnection::new(self.controllers[node].address.listen, traffic);
         let second = Duration::from_secs(1);
         let answer = link.call(Method::GET, "/ready", Vec::new(), second);
         answer.await.is_some_and(|(status, _)| status == 200)
@@ -339,7 +339,7 @@
     }
 
     /// Where users reach the controllers.
-    pub fn listens(&self) -> Vec<SocketAddr> {
+    pub fn listen_addrs(&self) -> Vec<SocketAddr> {
         let controllers = self.controllers.iter();
         controllers.map(|each| each.address.listen).collect()
     }
@@ -388,7 +388,7 @@
 }
 
 fn address(region: usize, node: usize, experiment: &Experiment) -> Address {
-    let ip = region_ip(region, FIRST_NODE + node as u8);
+    let ip = region_ip(region, FIRST_NODE_OCTET + node as u8);
     Address {
         label: format!("n{node}"),
         zone: format!("z{}", node % experiment.zones),
@@ -398,7 +398,7 @@
 }
 
 fn relay_addr(region: usize, node: usize, experiment: &Experiment) -> SocketAddr {
-    let ip = region_ip(region, FIRST_RELAY + node as u8);
+    let ip = region_ip(region, FIRST_LINK_OCTET + node as u8);
     SocketAddr::new(ip, experiment.port + MESH_PORT)
 }
 
@@ -408,7 +408,7 @@
 }
 
 /// An error if somebody listens there.
-fn free(addr: SocketAddr) -> Result<(), RunError> {
+fn check_addr_free(addr: SocketAddr) -> Result<(), RunError> {
     let listener = TcpListener::bind(addr);
     listener
         .map(drop)
@@ -416,18 +416,18 @@
 }
 
 fn listener(addr: SocketAddr) -> Result<tokio::net::TcpListener, RunError> {
-    let listener = listen(&addr.to_string());
+    let listener = bind(&addr.to_string());
     let (listener, _) = listener.map_err(|source| listen_error(addr, source))?;
     Ok(listener)
 }
 
 fn start_state(region: usize, experiment: &Experiment) -> Result<StateService, RunError> {
     let addr = SocketAddr::new(region_ip(region, 1), experiment.port + STATE_PORT);
-    let limits = Limits {
+    let limits = StoreLimits {
         txn_ops: TXN_OPS,
         value_kb: VALUE_KB,
     };
-    let pace = Pace {
+    let pace = ServiceRates {
         rps: Some(experiment.state_rps),
         write_rps: Some(experiment.state_write_rps),
         latency: Duration::from_millis(experiment.state_latency_ms),
@@ -437,7 +437,8 @@
         at_ms: Some(1_700_000_000_000),
     };
     let ended = storage::to_value(&ended);
-    let ids = (0..experiment.finished_jobs as u64).map(|number| JobId(FINISHED_IDS + number));
+    let ids =
+        (0..experiment.finished_jobs as u64).map(|number| JobId(FIRST_FINISHED_JOB_ID + number));
     state.preload(ids.map(|id| (storage::job_key(id), ended.clone())));
     Ok(state)
 }
@@ -445,7 +446,7 @@
 fn start_fleet(
     region: usize,
     experiment: &Experiment,
-    rules: &Arc<Rules>,
+    rules: &Arc<InvariantChecker>,
     addresses: &[Address],
 ) -> Result<Fleet, RunError> {
     let nodes = addresses.iter();
@@ -455,11 +456,11 @@
         port: experiment.port + FLEET_PORT + region as u16,
         cpus: experiment.worker_cpus,
         zones: zones(experiment),
-        nodes: nodes
+        controllers: nodes
             .map(|node| (node.label.clone(), node.listen))
             .collect(),
-        report: Duration::from_secs_f64(experiment.report_s),
-        lease: Duration::from_secs_f64(experiment.lease_s),
+        report_interval: Duration::from_secs_f64(experiment.report_s),
+        lease_ttl: Duration::from_secs_f64(experiment.lease_s),
     };
     let port = settings.port;
     Fleet::start(settings, rules.clone()).map_err(|source| RunError::Listen {
@@ -472,35 +473,43 @@
 fn start_cloud(
     region: usize,
     experiment: &Experiment,
-    rules: &Arc<Rules>,
+    rules: &Arc<InvariantChecker>,
     fleet: &Fleet,
 ) -> Result<Cloud, RunError> {
     let addr = SocketAddr::new(region_ip(region, 1), experiment.port + CLOUD_PORT);
     let kind = machine_type(experiment.worker_cpus, 1000.0, &zones(experiment));
     let (rules, workers) = (rules.clone(), fleet.clone());
     let deleted = move |names: &[String]| {
-        workers.end(names, &*rules);
+        workers.delete_workers(names, &*rules);
     };
-    Ok(Cloud::start(listener(addr)?, kind, fleet.listed(), deleted))
+    Ok(Cloud::start(
+        listener(addr)?,
+        kind,
+        fleet.listed_machines(),
+        deleted,
+    ))
 }
 
 fn start_links(
     region: usize,
     experiment: &Experiment,
     addresses: &[Address],
-) -> Result<Vec<Relay>, RunError> {
+) -> Result<Vec<EmulatedLink>, RunError> {
     let links = addresses.iter().enumerate().map(|(node, address)| {
         let listener = listener(relay_addr(region, node, experiment))?;
-        Ok(Relay::start(listener, address.mesh, Duration::ZERO))
+        Ok(EmulatedLink::start(listener, address.mesh, Duration::ZERO))
     });
     links.collect()
 }
 
 /// Links to other regions, by the region that they lead to, and a controller's arguments that name them.
-type FarLinks = (Vec<(usize, Relay)>, Vec<String>);
+type InterRegionLinks = (Vec<(usize, EmulatedLink)>, Vec<String>);
 
 /// Links to all other regions' controllers, and the arguments that name them; nothing where regions stand alone.
-fn start_far_links(region: usize, experiment: &Experiment) -> Result<FarLinks, RunError> {
+fn start_inter_region_links(
+    region: usize,
+    experiment: &Experiment,
+) -> Result<InterRegionLinks, RunError> {
     let Some(drill) = &experiment.drill else {
         return Ok(Default::default());
     };
@@ -512,13 +521,13 @@
         for node in 0..experiment.nodes {
             let ip = Ipv4Addr::new(
                 127,
-                FAR_SUBNET + other as u8,
+                INTER_REGION_SUBNET + other as u8,
                 region as u8 + 1,
-                FIRST_NODE + node as u8,
+                FIRST_NODE_OCTET + node as u8,
             );
             let addr = SocketAddr::from((ip, experiment.port + MESH_PORT));
             let to = address(other, node, experiment).mesh;
-            links.push((other, Relay::start(listener(addr)?, to, delay)));
+            links.push((other, EmulatedLink::start(listener(addr)?, to, delay)));
             addrs.push(addr.to_string());
         }
         arguments.push("--peer-cell".to_owned());
--- a/crates/load-test/src/page/tests.rs
+++ b/crates/load-test/src/report_page/tests.rs
@@ -3,11 +3,11 @@
 
 fn point(workers: usize, leader_mb: f64) -> Point {
     Point {
-        vary: Some(Varied::Workers),
+        vary: Some(SweepParameter::Workers),
         value: workers as f64,
         base: 1000.0,
         run: 1,
-        experiment: Experiment::default().with(Varied::Workers, workers as f64),
+        experiment: Experiment::default().with(SweepParameter::Workers, workers as f64),
         reference_ms: 10.0,
         figures: Figures {
             leader_mb,
@@ -21,10 +21,10 @@
 }
 
 #[test]
-fn a_line_leads_to_the_target_and_says_that_it_goes_beyond() {
+fn extrapolation_reaches_the_target_and_is_marked() {
     let points = [vec![point(500, 30.0), point(1000, 40.0), point(2000, 60.0)]];
     let page = format!("head\n{BEGIN}\nwhat stood here\n{END}\ntail\n");
-    let renewed = renew(&page, &points).unwrap();
+    let renewed = update_page(&page, &points).unwrap();
     assert!(renewed.starts_with("head\n") && renewed.ends_with("\ntail\n"));
     assert!(!renewed.contains("what stood here"));
     // 20 MB and 20 MB for each 1,000 workers; 4,143 of them.
@@ -34,18 +34,18 @@
         renewed.contains("| follower, memory | MB | 20 | 20 |  |  | not run |"),
         "{renewed}"
     );
-    assert_eq!(renew(&renewed, &points).unwrap(), renewed);
+    assert_eq!(update_page(&renewed, &points).unwrap(), renewed);
 }
 
 #[test]
-fn what_bends_is_marked() {
+fn nonlinear_growth_is_marked() {
     let points = [vec![
         point(1000, 10.0),
         point(2000, 20.0),
         point(3000, 80.0),
         point(4143, 400.0),
     ]];
-    let page = renew(&format!("{BEGIN}{END}"), &points).unwrap();
+    let page = update_page(&format!("{BEGIN}{END}"), &points).unwrap();
     let row = page
         .lines()
         .find(|line| line.starts_with("| leader, memory | MB | workers"));
@@ -53,12 +53,12 @@
 }
 
 #[test]
-fn a_page_without_marks_is_left_alone() {
-    assert_eq!(renew("nothing", &[]), Err(PageError::NoMarks));
+fn page_without_markers_is_rejected() {
+    assert_eq!(update_page("nothing", &[]), Err(PageError::NoMarks));
 }
 
 #[test]
-fn numbers_have_three_digits_that_count() {
+fn numbers_are_rounded_to_three_significant_digits() {
     let shown: Vec<String> = [0.0, 0.01234, 1.5, 12.0, 123.4, 98_765.0, -1_234_567.0]
         .into_iter()
         .map(number)
--- a/crates/load-test/src/settings.rs
+++ b/crates/load-test/src/settings.rs
@@ -5,9 +5,9 @@
 use serde::{Deserialize, Serialize};
 
 /// The most that the tool and the controllers may hold together, in bytes.
-pub const MOST_MEMORY: u64 = 11 << 30;
+pub const MAX_MEMORY_BYTES: u64 = 11 << 30;
 /// The most processes that the tool may start.
-pub const MOST_PROCESSES: usize = 300;
+pub const MAX_PROCESSES: usize = 300;
 
 /// What a controller is taken to hold before it is measured: at rest, for each worker, each running task
 /// and each finished job, in bytes. The tool's own share of a worker is in the second.
@@ -16,9 +16,9 @@
 const TASK_BYTES: u64 = 2 << 10;
 const FINISHED_BYTES: u64 = 1 << 10;
 /// Workers of one region have addresses in one /16.
-const MOST_WORKERS: usize = 60_000;
+const MAX_WORKERS: usize = 60_000;
 /// Second numbers of addresses are 100 + region.
-const MOST_REGIONS: usize = 100;
+const MAX_REGIONS: usize = 100;
 
 /// A settings file.
 #[derive(Clone, Debug, Deserialize)]
@@ -50,7 +50,7 @@
     pub teams: usize,
     /// Array tasks that are to start each second.
     pub starts_per_s: f64,
-    /// Tasks of an array.
+    /// TaskModel of an array.
     pub tasks_per_job: u32,
     /// How long an array's task runs, in seconds.
     pub run_s: f64,
@@ -164,7 +164,7 @@
 /// What a sweep varies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Varied {
+pub enum SweepParameter {
     /// Workers of a region.
     Workers,
     /// Array tasks that start each second.
@@ -177,15 +177,15 @@
     FinishedJobs,
 }
 
-impl Varied {
+impl SweepParameter {
     /// Its name in the settings file.
     pub fn name(self) -> &'static str {
         match self {
-            Varied::Workers => "workers",
-            Varied::StartsPerS => "starts_per_s",
-            Varied::RunS => "run_s",
-            Varied::Teams => "teams",
-            Varied::FinishedJobs => "finished_jobs",
+            SweepParameter::Workers => "workers",
+            SweepParameter::StartsPerS => "starts_per_s",
+            SweepParameter::RunS => "run_s",
+            SweepParameter::Teams => "teams",
+            SweepParameter::FinishedJobs => "finished_jobs",
         }
     }
 }
@@ -195,18 +195,18 @@
 #[serde(deny_unknown_fields)]
 pub struct Sweep {
     /// Which.
-    pub vary: Varied,
+    pub vary: SweepParameter,
     /// Its values.
     pub values: Vec<f64>,
     /// The value that is run several times, for the spread.
     #[serde(default)]
     pub repeat_at: Option<f64>,
     /// How often that is.
-    #[serde(default = "three")]
+    #[serde(default = "default_repeats")]
     pub repeats: usize,
 }
 
-fn three() -> usize {
+fn default_repeats() -> usize {
     3
 }
 
@@ -214,7 +214,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     /// What is varied, its value, and its value in the base.
-    pub varied: Option<(Varied, f64, f64)>,
+    pub varied: Option<(SweepParameter, f64, f64)>,
     /// The number of the run at this value, from 1.
     pub run: usize,
     /// What is run.
@@ -262,7 +262,7 @@
             path: shown.clone(),
             reason: one_line(&error, &text),
         })?;
-        let problems = settings.problems();
+        let problems = settings.validation_errors();
         if problems.is_empty() {
             return Ok(settings);
         }
@@ -285,8 +285,8 @@
         sweeps.flat_map(|sweep| sweep.plans(&self.base)).collect()
     }
 
-    fn problems(&self) -> Vec<String> {
-        let mut found = self.base.problems("base");
+    fn validation_errors(&self) -> Vec<String> {
+        let mut found = self.base.validation_errors("base");
         for (number, sweep) in self.sweep.iter().enumerate() {
             let place = format!("sweep {} ({})", number + 1, sweep.vary.name());
             if sweep.values.is_empty() {
@@ -300,7 +300,7 @@
                 found.push(format!("{place}: repeat_at: {at} is not among the values"));
             }
             for plan in sweep.plans(&self.base).iter().filter(|plan| plan.run == 1) {
-                found.extend(plan.experiment.problems(&place));
+                found.extend(plan.experiment.validation_errors(&place));
             }
         }
         found.sort();
@@ -339,36 +339,36 @@
 
 impl Experiment {
     /// The same with one thing changed.
-    pub fn with(&self, varied: Varied, value: f64) -> Self {
+    pub fn with(&self, varied: SweepParameter, value: f64) -> Self {
         let mut changed = self.clone();
         match varied {
-            Varied::Workers => changed.workers = value as usize,
-            Varied::StartsPerS => changed.starts_per_s = value,
-            Varied::RunS => changed.run_s = value,
-            Varied::Teams => changed.teams = value as usize,
-            Varied::FinishedJobs => changed.finished_jobs = value as usize,
+            SweepParameter::Workers => changed.workers = value as usize,
+            SweepParameter::StartsPerS => changed.starts_per_s = value,
+            SweepParameter::RunS => changed.run_s = value,
+            SweepParameter::Teams => changed.teams = value as usize,
+            SweepParameter::FinishedJobs => changed.finished_jobs = value as usize,
         }
         changed
     }
 
     /// The value of what may be varied.
-    pub fn value(&self, varied: Varied) -> f64 {
+    pub fn value(&self, varied: SweepParameter) -> f64 {
         match varied {
-            Varied::Workers => self.workers as f64,
-            Varied::StartsPerS => self.starts_per_s,
-            Varied::RunS => self.run_s,
-            Varied::Teams => self.teams as f64,
-            Varied::FinishedJobs => self.finished_jobs as f64,
+            SweepParameter::Workers => self.workers as f64,
+            SweepParameter::StartsPerS => self.starts_per_s,
+            SweepParameter::RunS => self.run_s,
+            SweepParameter::Teams => self.teams as f64,
+            SweepParameter::FinishedJobs => self.finished_jobs as f64,
         }
     }
 
     /// Processes that it starts.
-    pub fn processes(&self) -> usize {
+    pub fn process_count(&self) -> usize {
         self.regions * self.nodes
     }
 
-    /// Tasks that run at once in a region.
-    pub fn running(&self) -> f64 {
+    /// TaskModel that run at once in a region.
+    pub fn running_tasks(&self) -> f64 {
         let replicas = if self.replica_cpus > 0.0 {
             self.workers as f64
         } else {
@@ -378,16 +378,16 @@
     }
 
     /// What it is expected to hold at the most, with the tool itself, in bytes.
-    pub fn memory(&self) -> u64 {
-        let nodes = self.processes() as u64;
+    pub fn estimated_memory_bytes(&self) -> u64 {
+        let nodes = self.process_count() as u64;
         let per_region = self.workers as u64 * WORKER_BYTES
-            + self.running() as u64 * TASK_BYTES
+            + self.running_tasks() as u64 * TASK_BYTES
             + self.finished_jobs as u64 * FINISHED_BYTES;
         // The tool holds a region once, and so does each of its controllers.
         nodes * CONTROLLER_BYTES + (nodes + self.regions as u64) * per_region
     }
 
-    fn problems(&self, place: &str) -> Vec<String> {
+    fn validation_errors(&self, place: &str) -> Vec<String> {
         let mut found = Vec::new();
         let mut check = |holds: bool, what: &str| {
             if !holds {
@@ -395,13 +395,13 @@
             }
         };
         check(
-            (1..=MOST_REGIONS).contains(&self.regions),
+            (1..=MAX_REGIONS).contains(&self.regions),
             "regions: must be 1 to 100",
         );
         check((1..=64).contains(&self.zones), "zones: must be 1 to 64");
         check((1..=50).contains(&self.nodes), "nodes: must be 1 to 50");
         check(
-            (1..=MOST_WORKERS).contains(&self.workers),
+            (1..=MAX_WORKERS).contains(&self.workers),
             "workers: must be 1 to 60000",
         );
         check(
@@ -471,18 +471,18 @@
             "port: too high",
         );
         check(
-            self.processes() <= MOST_PROCESSES,
+            self.process_count() <= MAX_PROCESSES,
             &format!(
-                "nodes: {} processes, {MOST_PROCESSES} at most",
-                self.processes()
+                "nodes: {} processes, {MAX_PROCESSES} at most",
+                self.process_count()
             ),
         );
         check(
-            self.memory() <= MOST_MEMORY,
+            self.estimated_memory_bytes() <= MAX_MEMORY_BYTES,
             &format!(
                 "workers: {:.1} GB of memory expected, {:.1} at most",
-                self.memory() as f64 / 1e9,
-                MOST_MEMORY as f64 / 1e9
+                self.estimated_memory_bytes() as f64 / 1e9,
+                MAX_MEMORY_BYTES as f64 / 1e9
             ),
         );
         found
--- a/crates/load-test/src/settings/tests.rs
+++ b/crates/load-test/src/settings/tests.rs
@@ -5,23 +5,26 @@
 }
 
 #[test]
-fn a_sweep_varies_one_thing_and_repeats_one_value() {
+fn sweep_varies_one_parameter_and_repeats_one_value() {
     let settings = parsed(
         "[base]\nworkers = 500\n[[sweep]]\nvary = \"workers\"\nvalues = [250, 500]\nrepeat_at = 500",
     );
-    assert!(settings.problems().is_empty());
+    assert!(settings.validation_errors().is_empty());
     let plans = settings.plans();
     let workers: Vec<usize> = plans.iter().map(|plan| plan.experiment.workers).collect();
     assert_eq!(workers, [250, 500, 500, 500]);
     assert_eq!(plans[3].run, 3);
-    assert_eq!(plans[0].varied, Some((Varied::Workers, 250.0, 500.0)));
+    assert_eq!(
+        plans[0].varied,
+        Some((SweepParameter::Workers, 250.0, 500.0))
+    );
     assert_eq!(plans[0].experiment.teams, Experiment::default().teams);
 }
 
 #[test]
-fn every_mistake_is_named() {
+fn every_settings_error_is_reported() {
     let settings = parsed("[base]\nworkers = 0\nurgent_share = 2.0\ncancel_s = 1.0");
-    let problems = settings.problems();
+    let problems = settings.validation_errors();
     for field in ["workers", "urgent_share", "cancel_s"] {
         let named = problems.iter().any(|problem| problem.contains(field));
         assert!(named, "{field}: {problems:?}");
@@ -29,14 +32,14 @@
 }
 
 #[test]
-fn what_needs_too_much_is_refused_before_it_starts() {
+fn oversized_experiment_is_rejected_before_start() {
     let many = Experiment {
         regions: 7,
         nodes: 43,
         ..Experiment::default()
     };
     assert!(
-        many.problems("base")
+        many.validation_errors("base")
             .iter()
             .any(|problem| problem.contains("301 processes"))
     );
@@ -45,17 +48,17 @@
         workers: 20_000,
         ..Experiment::default()
     };
-    assert!(large.memory() > MOST_MEMORY);
+    assert!(large.estimated_memory_bytes() > MAX_MEMORY_BYTES);
     assert!(
         large
-            .problems("base")
+            .validation_errors("base")
             .iter()
             .any(|problem| problem.contains("memory"))
     );
 }
 
 #[test]
-fn an_unknown_field_is_named_on_one_line() {
+fn unknown_field_is_reported_on_one_line() {
     let text = "[base]\nwrokers = 3";
     let error = toml::from_str::<Settings>(text).unwrap_err();
     let line = one_line(&error, text);
--- a/crates/load-test/src/users.rs
+++ b/crates/load-test/src/user_load.rs
@@ -1,4 +1,4 @@
-//! Users: they submit, repeat what was refused, poll, and cancel.
+//! UserLoad: they submit, repeat what was refused, poll, and cancel.
 
 use std::{
     net::SocketAddr,
@@ -11,49 +11,49 @@
 
 use dalelb::protocol::{self, ids::JobId, job::*};
 use dalelb_emulators::{
-    link::{Link, Traffic},
-    machine::TaskSpec,
+    http_connection::{HttpConnection, Traffic},
+    worker_emulator::TaskSpec,
 };
 use http::Method;
 use rand::Rng;
 
 use crate::{
+    invariants::{ExpectedJob, InvariantChecker},
     region::{Region, team_name},
-    rules::{JobFacts, Rules},
     settings::Experiment,
 };
 
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(5);
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
-const POLL_EVERY: Duration = Duration::from_secs(5);
+const POLL_INTERVAL: Duration = Duration::from_secs(5);
 /// After a refusal.
-const RETRY: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 /// A submission is tried again for that long.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// Users who call a job off do so this long after it was accepted.
-const CANCEL_AFTER: Duration = Duration::from_secs(2);
+const SUBMIT_GIVE_UP_AFTER: Duration = Duration::from_secs(60);
+/// UserLoad who call a job off do so this long after it was accepted.
+const CANCEL_DELAY: Duration = Duration::from_secs(2);
 /// Replicas of one service, at the most.
-const REPLICAS: u32 = 200;
-/// Users who submit one service after another at the start.
-const SERVICE_USERS: u64 = 8;
+const MAX_REPLICAS_PER_SERVICE: u32 = 200;
+/// UserLoad who submit one service after another at the start.
+const CONCURRENT_SERVICE_SUBMITTERS: u64 = 8;
 /// Ids of one region's jobs.
-const IDS: u64 = 100_000_000;
+const JOB_IDS_PER_REGION: u64 = 100_000_000;
 
 /// The users of one region.
 #[derive(Clone)]
-pub struct Users {
+pub struct UserLoad {
     nodes: Arc<Vec<SocketAddr>>,
     traffic: Arc<Traffic>,
-    rules: Arc<Rules>,
+    rules: Arc<InvariantChecker>,
     experiment: Arc<Experiment>,
     next_id: Arc<AtomicU64>,
-    over: Arc<AtomicBool>,
-    counts: Arc<Counts>,
+    is_stopped: Arc<AtomicBool>,
+    counts: Arc<SubmissionCounts>,
 }
 
 /// What became of submissions.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct SubmissionCounts {
     /// Accepted.
     pub accepted: AtomicU64,
     /// Given up without an acceptance.
@@ -63,8 +63,8 @@
 }
 
 /// What a user submits.
-struct Wanted {
-    kind: Kind,
+struct JobTemplate {
+    kind: JobKind,
     class: &'static str,
     priority: Priority,
     tasks: u32,
@@ -72,40 +72,42 @@
     run_s: Option<f64>,
 }
 
-impl Users {
-    /// Users of this region, who do nothing yet.
-    pub fn new(region: &Region, experiment: &Experiment, rules: &Arc<Rules>) -> Self {
-        Users {
-            nodes: Arc::new(region.listens()),
-            traffic: region.users.clone(),
+impl UserLoad {
+    /// UserLoad of this region, who do nothing yet.
+    pub fn new(region: &Region, experiment: &Experiment, rules: &Arc<InvariantChecker>) -> Self {
+        UserLoad {
+            nodes: Arc::new(region.listen_addrs()),
+            traffic: region.user_traffic.clone(),
             rules: rules.clone(),
             experiment: Arc::new(experiment.clone()),
-            next_id: Arc::new(AtomicU64::new(IDS * (region.index as u64 + 1))),
-            over: Arc::new(AtomicBool::new(false)),
-            counts: Arc::new(Counts::default()),
+            next_id: Arc::new(AtomicU64::new(
+                JOB_IDS_PER_REGION * (region.index as u64 + 1),
+            )),
+            is_stopped: Arc::new(AtomicBool::new(false)),
+            counts: Arc::new(SubmissionCounts::default()),
         }
     }
 
     /// What became of submissions so far.
-    pub fn counts(&self) -> &Counts {
+    pub fn counts(&self) -> &SubmissionCounts {
         &self.counts
     }
 
     /// Nobody submits anything more.
     pub fn stop(&self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.is_stopped.store(true, Ordering::Relaxed);
     }
 
     /// Submits services whose replicas fill a part of each worker; returns when all are accepted.
-    pub async fn fill(&self) {
+    pub async fn submit_services(&self) {
         let experiment = &self.experiment;
         if experiment.replica_cpus <= 0.0 {
             return;
         }
-        let services = (experiment.workers as u32).div_ceil(self.replicas());
+        let services = (experiment.workers as u32).div_ceil(self.replicas_per_service());
         let next = Arc::new(AtomicU64::new(0));
-        let users: Vec<_> = (0..SERVICE_USERS)
-            .map(|_| tokio::spawn(self.clone().fill_in_turn(next.clone(), services)))
+        let users: Vec<_> = (0..CONCURRENT_SERVICE_SUBMITTERS)
+            .map(|_| tokio::spawn(self.clone().submit_next_services(next.clone(), services)))
             .collect();
         for user in users {
             let _ = user.await;
@@ -113,28 +115,28 @@
     }
 
     /// Replicas of one service: where teams have limits, each has as many of them.
-    fn replicas(&self) -> u32 {
+    fn replicas_per_service(&self) -> u32 {
         let experiment = &self.experiment;
         let each = (experiment.workers as u32).div_ceil(experiment.teams as u32);
         if experiment.drill.is_some() {
-            each.min(REPLICAS)
+            each.min(MAX_REPLICAS_PER_SERVICE)
         } else {
-            REPLICAS
+            MAX_REPLICAS_PER_SERVICE
         }
     }
 
-    async fn fill_in_turn(self, next: Arc<AtomicU64>, services: u32) {
+    async fn submit_next_services(self, next: Arc<AtomicU64>, services: u32) {
         loop {
             let number = next.fetch_add(1, Ordering::Relaxed) as u32;
             if number >= services {
                 return;
             }
-            let left = self.experiment.workers as u32 - number * self.replicas();
-            let wanted = Wanted {
-                kind: Kind::Service,
+            let left = self.experiment.workers as u32 - number * self.replicas_per_service();
+            let wanted = JobTemplate {
+                kind: JobKind::Service,
                 class: "replica",
                 priority: Priority::Production,
-                tasks: left.min(self.replicas()),
+                tasks: left.min(self.replicas_per_service()),
                 cpus: self.experiment.replica_cpus,
                 run_s: None,
             };
@@ -143,14 +145,14 @@
     }
 
     /// Submits arrays at the experiment's rate until stopped.
-    pub async fn load(self) {
+    pub async fn run_load(self) {
         let experiment = self.experiment.clone();
         if experiment.starts_per_s <= 0.0 {
             return;
         }
         let jobs_per_s = experiment.starts_per_s / f64::from(experiment.tasks_per_job);
         let mut clock = tokio::time::interval(Duration::from_secs_f64(1.0 / jobs_per_s));
-        while !self.over.load(Ordering::Relaxed) {
+        while !self.is_stopped.load(Ordering::Relaxed) {
             clock.tick().await;
             let urgent = rand::rng().random_bool(experiment.urgent_share);
             let (class, priority) = if urgent {
@@ -158,8 +160,8 @@
             } else {
                 ("other", Priority::Normal)
             };
-            let wanted = Wanted {
-                kind: Kind::Array,
+            let wanted = JobTemplate {
+                kind: JobKind::Array,
                 class,
                 priority,
                 tasks: experiment.tasks_per_job,
@@ -171,16 +173,16 @@
         }
     }
 
-    async fn submit_and_poll(&self, wanted: &Wanted) {
+    async fn submit_and_poll(&self, wanted: &JobTemplate) {
         let Some((id, mut link)) = self.submit(wanted).await else {
             return;
         };
         if rand::rng().random_bool(self.experiment.cancelled_share) {
-            tokio::time::sleep(CANCEL_AFTER).await;
+            tokio::time::sleep(CANCEL_DELAY).await;
             return self.cancel(id, &mut link).await;
         }
-        while !self.over.load(Ordering::Relaxed) {
-            tokio::time::sleep(POLL_EVERY).await;
+        while !self.is_stopped.load(Ordering::Relaxed) {
+            tokio::time::sleep(POLL_INTERVAL).await;
             let path = format!("/v2/runs/{id}");
             let answer = link.call(Method::GET, &path, Vec::new(), POLL_TIMEOUT);
             let view = match answer.await {
@@ -195,25 +197,25 @@
     }
 
     /// Calls a job off until a node confirms it.
-    async fn cancel(&self, id: JobId, link: &mut Link) {
+    async fn cancel(&self, id: JobId, link: &mut HttpConnection) {
         let path = format!("/v2/runs/{id}/abort");
-        while !self.over.load(Ordering::Relaxed) {
+        while !self.is_stopped.load(Ordering::Relaxed) {
             let answer = link.call(Method::POST, &path, Vec::new(), SUBMIT_TIMEOUT);
             if let Some((200, body)) = answer.await {
                 let view = protocol::decode::<JobView>(&body).ok();
                 if view.is_some_and(|view| view.status == JobStatus::Cancelled) {
-                    self.rules.cancelled(id);
+                    self.rules.on_cancelled(id);
                 }
                 return;
             }
             let node = rand::rng().random_range(0..self.nodes.len());
-            link.turn_to(self.nodes[node]);
-            tokio::time::sleep(RETRY).await;
+            link.redirect_to(self.nodes[node]);
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
     /// Submits until it is accepted; the connection that it was accepted on.
-    async fn submit(&self, wanted: &Wanted) -> Option<(JobId, Link)> {
+    async fn submit(&self, wanted: &JobTemplate) -> Option<(JobId, HttpConnection)> {
         let id = JobId(self.next_id.fetch_add(1, Ordering::Relaxed));
         let team = team_name(id.0 as usize % self.experiment.teams);
         let submission = self.submission(id, &team, wanted);
@@ -221,34 +223,34 @@
             cpus: wanted.cpus,
             run_ms: wanted.run_s.map(|run_s| (run_s * 1000.0) as u64),
         };
-        let facts = JobFacts {
+        let facts = ExpectedJob {
             team,
             spec,
             urgent: wanted.priority <= Priority::High,
-            measured: wanted.kind == Kind::Array,
+            measured: wanted.kind == JobKind::Array,
         };
-        self.rules.submitted(id, facts);
+        self.rules.on_submitted(id, facts);
         let body = protocol::encode(&submission);
         let began = Instant::now();
         let mut node = rand::rng().random_range(0..self.nodes.len());
-        let mut link = Link::new(self.nodes[node], self.traffic.clone());
-        while began.elapsed() < PATIENCE && !self.over.load(Ordering::Relaxed) {
+        let mut link = HttpConnection::new(self.nodes[node], self.traffic.clone());
+        while began.elapsed() < SUBMIT_GIVE_UP_AFTER && !self.is_stopped.load(Ordering::Relaxed) {
             let answer = link.call(Method::POST, "/v2/runs", body.clone(), SUBMIT_TIMEOUT);
             if let Some((200 | 201, _)) = answer.await {
-                self.rules.accepted(id);
+                self.rules.on_accepted(id);
                 self.counts.accepted.fetch_add(1, Ordering::Relaxed);
                 return Some((id, link));
             }
             self.counts.sent_away.fetch_add(1, Ordering::Relaxed);
             node = (node + 1) % self.nodes.len();
-            link.turn_to(self.nodes[node]);
-            tokio::time::sleep(RETRY).await;
+            link.redirect_to(self.nodes[node]);
+            tokio::time::sleep(RETRY_DELAY).await;
         }
         self.counts.given_up.fetch_add(1, Ordering::Relaxed);
         None
     }
 
-    fn submission(&self, id: JobId, team: &str, wanted: &Wanted) -> Submission {
+    fn submission(&self, id: JobId, team: &str, wanted: &JobTemplate) -> Submission {
         Submission {
             id,
             class: wanted.class.into(),
@@ -270,7 +272,7 @@
             checkpoint_s: 0.0,
             save_s: 0.0,
             deadline_s: None,
-            awaits: Vec::new(),
+            dependencies: Vec::new(),
         }
     }
 }
--- a/crates/load-test/tests/drill.rs
+++ b/crates/load-test/tests/drill.rs
@@ -37,7 +37,7 @@
 "#;
 
 #[test]
-fn cells_keep_every_limit_while_troubles_come() {
+fn cells_keep_quotas_under_faults() {
     let name = |end: &str| {
         let name = format!("dalelb-drill-{}.{end}", std::process::id());
         std::env::temp_dir().join(name)
--- a/crates/load-test/tests/ends.rs
+++ b/crates/load-test/tests/ends.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_port_that_is_taken_is_named() {
+fn occupied_port_is_reported() {
     let _taken = TcpListener::bind("127.0.1.1:27000").expect("a free port");
     let files = Files::new(27_000);
     let output = files
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_controller_that_ends_by_itself_is_named() {
+fn unexpected_controller_exit_is_reported() {
     let files = Files::new(27_100);
     let child = files.start(Path::new("/bin/false"));
     let output = child.wait_with_output().expect("it ends");
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn an_interrupted_run_leaves_no_controller_behind() {
+fn interrupted_run_stops_all_controllers() {
     let files = Files::new(27_200);
     let child = files.start(&controller());
     let run = child.id();
--- a/crates/load-test/tests/page.rs
+++ b/crates/load-test/tests/page.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_page_shows_what_its_results_hold() {
+fn page_matches_its_results() {
     let mut arguments = page_command();
     arguments.push("--check".into());
     let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_page_that_shows_something_else_is_found_out() {
+fn outdated_page_fails_the_check() {
     let page = fs::read_to_string(root().join("docs/CAPACITY.md")).expect("the page");
     let changed = page.replacen(" yes |", " no |", 1);
     assert_ne!(changed, page);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_mistake_is_told_on_one_line_with_code_2() {
+fn invalid_input_prints_one_line_and_exits_with_2() {
     let path = std::env::temp_dir().join(format!("dalelb-load-test-{}.toml", std::process::id()));
     for (text, named) in [
         ("[base]\nworkers = 0\n", "workers"),
--- a/crates/mutants/src/main.rs
+++ b/crates/mutants/src/main.rs
@@ -36,7 +36,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct List {
+struct MutantList {
     mutant: Vec<Mutant>,
 }
 
@@ -74,7 +74,7 @@
     Command(&'static str, io::Error),
 }
 
-fn at(path: &Path) -> impl FnOnce(io::Error) -> Error + '_ {
+fn io_error_at(path: &Path) -> impl FnOnce(io::Error) -> Error + '_ {
     move |source| Error::File {
         path: path.to_owned(),
         source,
@@ -83,7 +83,7 @@
 
 impl Mutant {
     /// The file as the change leaves it.
-    fn applied(&self, text: &str) -> Result<String, Error> {
+    fn apply(&self, text: &str) -> Result<String, Error> {
         match text.matches(&self.find).count() {
             1 => Ok(text.replacen(&self.find, &self.replace, 1)),
             times => Err(Error::Stale {
@@ -124,21 +124,21 @@
 /// Brings a copy up to date. Files that are the same are left alone, so that little is built anew.
 fn copy(files: &[PathBuf], to: &Path) -> Result<(), Error> {
     for file in files {
-        let text = fs::read(file).map_err(at(file))?;
+        let text = fs::read(file).map_err(io_error_at(file))?;
         let target = to.join(file);
         if fs::read(&target).is_ok_and(|known| known == text) {
             continue;
         }
         if let Some(parent) = target.parent() {
-            fs::create_dir_all(parent).map_err(at(parent))?;
+            fs::create_dir_all(parent).map_err(io_error_at(parent))?;
         }
-        fs::write(&target, text).map_err(at(&target))?;
+        fs::write(&target, text).map_err(io_error_at(&target))?;
     }
     Ok(())
 }
 
 /// The names of failed tests in what `cargo test` prints.
-fn failed(output: &str) -> Vec<String> {
+fn failed_tests(output: &str) -> Vec<String> {
     let mut names: Vec<String> = output
         .lines()
         .filter_map(|line| line.strip_prefix("test ")?.strip_suffix(" ... FAILED"))
@@ -152,7 +152,7 @@
 /// Runs the tests of a copy.
 fn test(copy: &Path, timeout: Duration) -> Result<Verdict, Error> {
     let said = copy.join("target-said.txt");
-    let file = fs::File::create(&said).map_err(at(&said))?;
+    let file = fs::File::create(&said).map_err(io_error_at(&said))?;
     let mut child = Command::new("cargo")
         .args(["test", "--locked", "--no-fail-fast"])
         .current_dir(copy)
@@ -175,8 +175,8 @@
             Err(error) => return Err(Error::Command("cargo", error)),
         }
     };
-    let output = fs::read_to_string(&said).map_err(at(&said))?;
-    let names = failed(&output);
+    let output = fs::read_to_string(&said).map_err(io_error_at(&said))?;
+    let names = failed_tests(&output);
     Ok(match (status.success(), output.contains("test result:")) {
         (true, _) => Verdict::Unnoticed,
         (false, false) => Verdict::DoesNotBuild,
@@ -185,8 +185,8 @@
 }
 
 fn run(args: &Args) -> Result<bool, Error> {
-    let text = fs::read_to_string(&args.list).map_err(at(&args.list))?;
-    let list: List = toml::from_str(&text).map_err(|source| Error::List {
+    let text = fs::read_to_string(&args.list).map_err(io_error_at(&args.list))?;
+    let list: MutantList = toml::from_str(&text).map_err(|source| Error::List {
         path: args.list.clone(),
         source,
     })?;
@@ -195,8 +195,8 @@
     };
     let mutants: Vec<Mutant> = list.mutant.into_iter().filter(asked).collect();
     for mutant in &mutants {
-        let text = fs::read_to_string(&mutant.file).map_err(at(&mutant.file))?;
-        mutant.applied(&text)?;
+        let text = fs::read_to_string(&mutant.file).map_err(io_error_at(&mutant.file))?;
+        mutant.apply(&text)?;
     }
     println!("{} changes, each applies", mutants.len());
     if args.dry_run {
@@ -212,8 +212,8 @@
             let Some(mutant) = next else { return Ok(()) };
             copy(&files, &place)?;
             let file = place.join(&mutant.file);
-            let text = fs::read_to_string(&file).map_err(at(&file))?;
-            fs::write(&file, mutant.applied(&text)?).map_err(at(&file))?;
+            let text = fs::read_to_string(&file).map_err(io_error_at(&file))?;
+            fs::write(&file, mutant.apply(&text)?).map_err(io_error_at(&file))?;
             let verdict = test(&place, Duration::from_secs(args.timeout_s))?;
             let Mutant { name, rule, .. } = mutant;
             match &verdict {
--- a/crates/mutants/src/tests.rs
+++ b/crates/mutants/src/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_change_applies_where_it_occurs_once() {
+fn mutant_applies_only_to_a_unique_match() {
     let mutant = Mutant {
         name: "n".into(),
         rule: "r".into(),
@@ -9,26 +9,26 @@
         find: "a < b".into(),
         replace: "true".into(),
     };
-    assert_eq!(mutant.applied("if a < b {").expect("once"), "if true {");
-    assert!(mutant.applied("if a > b {").is_err());
-    assert!(mutant.applied("a < b || a < b").is_err());
+    assert_eq!(mutant.apply("if a < b {").expect("once"), "if true {");
+    assert!(mutant.apply("if a > b {").is_err());
+    assert!(mutant.apply("a < b || a < b").is_err());
 }
 
 #[test]
-fn failed_tests_are_named_once() {
+fn failed_tests_are_listed_once() {
     let output = "test b ... FAILED\ntest a ... ok\ntest b ... FAILED\n\nfailures:\n    b\n";
-    assert_eq!(failed(output), ["b"]);
+    assert_eq!(failed_tests(output), ["b"]);
 }
 
 /// A change that no longer applies would test nothing.
 #[test]
-fn each_change_of_the_list_applies() {
+fn every_listed_mutant_applies() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let text = fs::read_to_string(root.join("crates/mutants/mutants.toml")).expect("the list");
-    let list: List = toml::from_str(&text).expect("a list of changes");
+    let list: MutantList = toml::from_str(&text).expect("a list of changes");
     assert!(list.mutant.len() >= 25);
     for mutant in list.mutant {
         let text = fs::read_to_string(root.join(&mutant.file)).expect("its file");
-        mutant.applied(&text).expect("it applies");
+        mutant.apply(&text).expect("it applies");
     }
 }
--- a/crates/service-report/src/log.rs
+++ b/crates/service-report/src/log.rs
@@ -9,10 +9,10 @@
 use regex::Regex;
 
 /// Replicas that were wanted for less long count for nothing: they may have been fetching their image.
-const WANTED_S: f64 = 30.0;
+const MIN_REPLICA_LIFETIME_S: f64 = 30.0;
 
 /// Team and class.
-pub type Name = (String, String);
+pub type ClassName = (String, String);
 
 static FIELD: LazyLock<Regex> = LazyLock::new(|| {
     Regex::new(r#"(\w+)=(?:"([^"]*)"|(\[[^\]]*\]|\S+))"#).expect("a valid expression")
@@ -20,28 +20,28 @@
 
 /// A count that begins anew with each process or leadership: the sum over all of them.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sum {
-    before: u64,
-    now: u64,
+struct MonotonicCounter {
+    total_of_past_leaders: u64,
+    current_value: u64,
 }
 
-impl Sum {
-    fn says(&mut self, value: u64) {
-        if value < self.now {
-            self.before += self.now;
+impl MonotonicCounter {
+    fn observe(&mut self, value: u64) {
+        if value < self.current_value {
+            self.total_of_past_leaders += self.current_value;
         }
-        self.now = value;
+        self.current_value = value;
     }
 
     fn total(self) -> u64 {
-        self.before + self.now
+        self.total_of_past_leaders + self.current_value
     }
 }
 
-/// One job, as it was accepted. Times are seconds.
+/// One job, as it was accepted. Timeouts are seconds.
 #[derive(Clone, Debug)]
 pub struct Job {
-    pub name: Name,
+    pub name: ClassName,
     pub service: bool,
     pub tasks: u64,
     /// Units of one task.
@@ -58,17 +58,17 @@
 pub struct Class {
     pub jobs: u64,
     pub tasks: u64,
-    /// Tasks of jobs that were not cancelled, and of those that were done.
-    wanted: u64,
-    finished: u64,
+    /// TaskModel of jobs that were not cancelled, and of those that were done.
+    requested_tasks: u64,
+    finished_tasks: u64,
     service: bool,
     /// Replicas that were asked for long enough, and those of them that were up at all; where the logs tell.
     replicas: Option<(u64, u64)>,
-    counts: HashMap<&'static str, Sum>,
+    counts: HashMap<&'static str, MonotonicCounter>,
 }
 
 /// Counts that the leader's `served` lines give.
-const COUNTS: [&str; 6] = [
+const COUNTER_NAMES: [&str; 6] = [
     "came",
     "sent_away",
     "given_up",
@@ -82,15 +82,15 @@
         self.counts.get(name).map_or(0, |sum| sum.total())
     }
 
-    pub fn came(&self) -> u64 {
+    pub fn submitted(&self) -> u64 {
         self.count("came").max(self.jobs)
     }
 
-    pub fn sent_away(&self) -> u64 {
+    pub fn rejected(&self) -> u64 {
         self.count("sent_away")
     }
 
-    pub fn given_up(&self) -> u64 {
+    pub fn abandoned(&self) -> u64 {
         self.count("given_up")
     }
 
@@ -102,41 +102,43 @@
         self.count("done")
     }
 
-    pub fn gave_way(&self) -> u64 {
+    pub fn preempted(&self) -> u64 {
         self.count("gave_way")
     }
 
     /// The part of what was asked for that was served, from 0 to 1: tasks of jobs that were done, of all arrays
     /// that were not cancelled; of services the replicas that ran at all, one by one at level `debug`, and with
     /// those counted again that were started again at `info`. Users who gave up asked for as much as others.
-    pub fn served(&self) -> f64 {
-        let let_in = self.jobs as f64 / (self.jobs + self.given_up()).max(1) as f64;
+    pub fn served_share(&self) -> f64 {
+        let let_in = self.jobs as f64 / (self.jobs + self.abandoned()).max(1) as f64;
         let part = if let Some((asked, up)) = self.replicas {
             up as f64 / asked.max(1) as f64
         } else if self.service {
             self.started() as f64 / self.tasks.max(1) as f64
         } else {
-            self.finished as f64 / self.wanted.max(1) as f64
+            self.finished_tasks as f64 / self.requested_tasks.max(1) as f64
         };
         let_in * part.min(1.0)
     }
 }
 
 #[derive(Default)]
-pub struct Run {
+pub struct LogSummary {
     pub jobs: HashMap<String, Job>,
-    classes: BTreeMap<Name, Class>,
-    /// Tasks that ran, by job; only debug lines tell.
-    ran: HashMap<String, HashSet<String>>,
+    classes: BTreeMap<ClassName, Class>,
+    /// TaskModel that ran, by job; only debug lines tell.
+    started_tasks: HashMap<String, HashSet<String>>,
     /// When the last line was written.
-    pub end: f64,
+    pub last_line_at: f64,
 }
 
-impl Run {
-    pub fn read(&mut self, text: &str) {
+impl LogSummary {
+    pub fn parse(&mut self, text: &str) {
         for line in text.lines() {
-            let Some(at) = time(line) else { continue };
-            self.end = self.end.max(at);
+            let Some(at) = timestamp_s(line) else {
+                continue;
+            };
+            self.last_line_at = self.last_line_at.max(at);
             let fields = || -> HashMap<&str, &str> {
                 let found = FIELD.captures_iter(line).map(|found| {
                     let value = found
@@ -152,22 +154,22 @@
                 if let Some((job, task)) =
                     fields().get("task").and_then(|task| task.split_once('/'))
                 {
-                    let ran = self.ran.entry(job.to_owned()).or_default();
+                    let ran = self.started_tasks.entry(job.to_owned()).or_default();
                     ran.insert(task.to_owned());
                 }
             } else if line.contains(": accepted job=") {
-                self.accepted(&fields(), at);
+                self.record_accepted(&fields(), at);
             } else if line.contains(": done job=") {
-                self.ended(&fields(), at, true);
+                self.record_ended(&fields(), at, true);
             } else if line.contains(": cancelled job=") || line.contains(": cancelled with a job") {
-                self.ended(&fields(), at, false);
+                self.record_ended(&fields(), at, false);
             } else if line.contains(": served team=") {
-                self.served(&fields());
+                self.record_replica_service(&fields());
             }
         }
     }
 
-    fn accepted(&mut self, fields: &HashMap<&str, &str>, at: f64) {
+    fn record_accepted(&mut self, fields: &HashMap<&str, &str>, at: f64) {
         let text = |name| fields.get(name).map(|value: &&str| value.to_string());
         let number = |name| fields.get(name).and_then(|value| value.parse::<f64>().ok());
         let (Some(id), Some(team), Some(class)) = (text("job"), text("team"), text("class")) else {
@@ -192,7 +194,7 @@
         self.jobs.entry(id).or_insert(job);
     }
 
-    fn ended(&mut self, fields: &HashMap<&str, &str>, at: f64, done: bool) {
+    fn record_ended(&mut self, fields: &HashMap<&str, &str>, at: f64, done: bool) {
         if let Some(job) = fields.get("job").and_then(|id| self.jobs.get_mut(*id)) {
             job.ended_at.get_or_insert(at);
             job.done |= done;
@@ -200,7 +202,7 @@
         }
     }
 
-    fn served(&mut self, fields: &HashMap<&str, &str>) {
+    fn record_replica_service(&mut self, fields: &HashMap<&str, &str>) {
         let (Some(team), Some(class)) = (fields.get("team"), fields.get("class")) else {
             return;
         };
@@ -208,35 +210,38 @@
             .classes
             .entry((team.to_string(), class.to_string()))
             .or_default();
-        for name in COUNTS {
+        for name in COUNTER_NAMES {
             if let Some(value) = fields.get(name).and_then(|value| value.parse().ok()) {
-                class.counts.entry(name).or_default().says(value);
+                class.counts.entry(name).or_default().observe(value);
             }
         }
     }
 
     /// All classes, with what their jobs came to.
-    pub fn classes(&self) -> BTreeMap<&Name, Class> {
-        let mut classes: BTreeMap<&Name, Class> = BTreeMap::new();
+    pub fn classes(&self) -> BTreeMap<&ClassName, Class> {
+        let mut classes: BTreeMap<&ClassName, Class> = BTreeMap::new();
         for (name, class) in &self.classes {
             classes.insert(name, class.clone());
         }
         for (id, job) in &self.jobs {
             let class = classes.entry(&job.name).or_default();
-            let wanted_s = job.ended_at.unwrap_or(self.end) - job.accepted_at;
-            if job.service && !self.ran.is_empty() && wanted_s >= WANTED_S {
+            let wanted_s = job.ended_at.unwrap_or(self.last_line_at) - job.accepted_at;
+            if job.service && !self.started_tasks.is_empty() && wanted_s >= MIN_REPLICA_LIFETIME_S {
                 let (asked, up) = class.replicas.get_or_insert((0, 0));
                 *asked += job.tasks;
-                *up += self.ran.get(id).map_or(0, |tasks| tasks.len() as u64);
+                *up += self
+                    .started_tasks
+                    .get(id)
+                    .map_or(0, |tasks| tasks.len() as u64);
             }
             class.jobs += 1;
             class.tasks += job.tasks;
             class.service |= job.service;
             if !job.cancelled {
-                class.wanted += job.tasks;
+                class.requested_tasks += job.tasks;
             }
             if job.done {
-                class.finished += job.tasks;
+                class.finished_tasks += job.tasks;
             }
         }
         classes
@@ -244,7 +249,7 @@
 }
 
 /// When a line was written, in seconds: a number in front, or a time of day.
-fn time(line: &str) -> Option<f64> {
+fn timestamp_s(line: &str) -> Option<f64> {
     let first = line.split_whitespace().next()?;
     if let Ok(seconds) = first.parse() {
         return Some(seconds);
--- a/crates/service-report/src/log/tests.rs
+++ b/crates/service-report/src/log/tests.rs
@@ -13,32 +13,40 @@
 "#;
 
 #[test]
-fn counts_go_on_across_leaders_and_shares_follow() {
-    let mut run = Run::default();
-    run.read(LOG);
+fn counters_accumulate_across_leader_changes() {
+    let mut run = LogSummary::default();
+    run.parse(LOG);
     let classes = run.classes();
     let thumbs = &classes[&("lab".to_string(), "thumbs".to_string())];
     assert_eq!(
-        (thumbs.started(), thumbs.done(), thumbs.gave_way()),
+        (thumbs.started(), thumbs.done(), thumbs.preempted()),
         (6, 4, 1)
     );
-    assert_eq!((thumbs.jobs, thumbs.tasks, thumbs.came()), (2, 8, 3));
+    assert_eq!((thumbs.jobs, thumbs.tasks, thumbs.submitted()), (2, 8, 3));
     // Half of the tasks, of half of those who asked.
-    assert!((thumbs.served() - 0.25).abs() < 1e-9, "{}", thumbs.served());
+    assert!(
+        (thumbs.served_share() - 0.25).abs() < 1e-9,
+        "{}",
+        thumbs.served_share()
+    );
     let front = &classes[&("web".to_string(), "front".to_string())];
-    assert!((front.served() - 0.5).abs() < 1e-9);
-    assert!(run.end > 1e9);
+    assert!((front.served_share() - 0.5).abs() < 1e-9);
+    assert!(run.last_line_at > 1e9);
 }
 
 /// One replica that was started twice, and one that never ran.
 #[test]
-fn a_replica_counts_once_however_often_it_was_started() {
-    let mut run = Run::default();
-    run.read(LOG);
-    run.read(
+fn restarted_replica_is_counted_once() {
+    let mut run = LogSummary::default();
+    run.parse(LOG);
+    run.parse(
         "60.0 n1 DEBUG dalelb::coordination::fleet: runs task=j-000003/1 attempt=1\n\
          70.0 n1 DEBUG dalelb::coordination::fleet: runs task=j-000003/1 attempt=2\n",
     );
     let front = &run.classes()[&("web".to_string(), "front".to_string())];
-    assert!((front.served() - 0.5).abs() < 1e-9, "{}", front.served());
+    assert!(
+        (front.served_share() - 0.5).abs() < 1e-9,
+        "{}",
+        front.served_share()
+    );
 }
