--- a/crates/service-report/src/main.rs
+++ b/crates/service-report/src/main.rs
@@ -1,8 +1,8 @@
 //! How each class of each team was served, from the logs of a run's nodes at level `info` or finer, and what
 //! would have been possible by an offline bound.
 
-mod bound;
 mod log;
+mod optimum;
 
 use std::{fs, path::PathBuf, process::ExitCode};
 
@@ -36,10 +36,10 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let mut run = log::Run::default();
+    let mut run = log::LogSummary::default();
     for path in &arguments.logs {
         match fs::read(path) {
-            Ok(bytes) => run.read(&String::from_utf8_lossy(&bytes)),
+            Ok(bytes) => run.parse(&String::from_utf8_lossy(&bytes)),
             Err(error) => {
                 eprintln!("{}: {error}", path.display());
                 return ExitCode::from(2);
@@ -49,7 +49,7 @@
     let limits = arguments.limit.iter().cloned().collect();
     let bounds = match arguments
         .units
-        .map(|units| bound::possible(&run, units, &limits))
+        .map(|units| optimum::max_achievable_service(&run, units, &limits))
     {
         Some(Ok(bounds)) => bounds,
         Some(Err(error)) => {
@@ -74,20 +74,20 @@
     );
     let mut poor = Vec::new();
     for (name, class) in run.classes() {
-        let served = class.served();
+        let served = class.served_share();
         let possible = bounds.get(name).copied();
         let shown = possible.map_or("-".into(), |part| format!("{part:.3}"));
         println!(
             "{:<32} {:>9} {:>9} {:>8} {:>8} {:>9} {:>9} {:>8} {:>8} {:>7.3} {:>8}",
             format!("{}/{}", name.0, name.1),
-            class.came(),
+            class.submitted(),
             class.jobs,
-            class.sent_away(),
-            class.given_up(),
+            class.rejected(),
+            class.abandoned(),
             class.tasks,
             class.started(),
             class.done(),
-            class.gave_way(),
+            class.preempted(),
             served,
             shown
         );
--- a/crates/service-report/src/bound.rs
+++ b/crates/service-report/src/optimum.rs
@@ -12,62 +12,64 @@
     variable,
 };
 
-use super::log::{Name, Run};
+use super::log::{ClassName, LogSummary};
 
 /// Slices of the whole run.
-const SLICES: usize = 40;
+const TIME_SLICES: usize = 40;
 
-struct Work {
+struct OfferedLoad {
     /// What comes in each slice, in unit seconds.
-    comes: Vec<f64>,
+    arrivals_by_slice: Vec<f64>,
 }
 
-impl Work {
-    fn whole(&self) -> f64 {
-        self.comes.iter().sum()
+impl OfferedLoad {
+    fn total(&self) -> f64 {
+        self.arrivals_by_slice.iter().sum()
     }
 }
 
 /// What some teams may use at a time, in units.
-pub type Limits = BTreeMap<String, f64>;
+pub type TeamLimits = BTreeMap<String, f64>;
 
 /// The part of each class's work that could have been done by the end, from 0 to 1. `units`: what the fleet holds.
-pub fn possible(
-    run: &Run,
+pub fn max_achievable_service(
+    run: &LogSummary,
     units: f64,
-    limits: &Limits,
-) -> Result<BTreeMap<Name, f64>, ResolutionError> {
+    limits: &TeamLimits,
+) -> Result<BTreeMap<ClassName, f64>, ResolutionError> {
     let begin = run
         .jobs
         .values()
         .map(|job| job.accepted_at)
         .fold(f64::INFINITY, f64::min);
-    let slice_s = ((run.end - begin) / SLICES as f64).max(1e-3);
-    let mut works: BTreeMap<Name, Work> = BTreeMap::new();
+    let slice_s = ((run.last_line_at - begin) / TIME_SLICES as f64).max(1e-3);
+    let mut works: BTreeMap<ClassName, OfferedLoad> = BTreeMap::new();
     for job in run.jobs.values() {
-        let work = works.entry(job.name.clone()).or_insert_with(|| Work {
-            comes: vec![0.0; SLICES],
-        });
-        let at = |time: f64| (((time - begin) / slice_s) as usize).min(SLICES - 1);
+        let work = works
+            .entry(job.name.clone())
+            .or_insert_with(|| OfferedLoad {
+                arrivals_by_slice: vec![0.0; TIME_SLICES],
+            });
+        let at = |time: f64| (((time - begin) / slice_s) as usize).min(TIME_SLICES - 1);
         let each = job.tasks as f64 * job.units;
         if job.service {
             // Wanted from when it came until it was cancelled, a slice at a time.
-            let until = job.ended_at.unwrap_or(run.end);
+            let until = job.ended_at.unwrap_or(run.last_line_at);
             for slice in at(job.accepted_at)..=at(until) {
                 let from = (begin + slice as f64 * slice_s).max(job.accepted_at);
                 let to = (begin + (slice + 1) as f64 * slice_s).min(until);
-                work.comes[slice] += each * (to - from).max(0.0);
+                work.arrivals_by_slice[slice] += each * (to - from).max(0.0);
             }
         } else if !job.cancelled {
-            work.comes[at(job.accepted_at)] += each * job.estimate_s;
+            work.arrivals_by_slice[at(job.accepted_at)] += each * job.estimate_s;
         }
     }
-    works.retain(|_, work| work.whole() > 0.0);
+    works.retain(|_, work| work.total() > 0.0);
     let room = units * slice_s;
     let limits = limits
         .iter()
         .map(|(team, limit)| (team.clone(), limit / units));
-    let limits: Limits = limits.collect();
+    let limits: TeamLimits = limits.collect();
     let least = solve(&works, room, &limits, None, 0.0)?;
     let mut possible = BTreeMap::new();
     for name in works.keys() {
@@ -79,20 +81,20 @@
 
 /// `limits`: in parts of the room. The largest part of `best`'s work, or of everybody's, that can be done while all have at least `least`.
 fn solve(
-    works: &BTreeMap<Name, Work>,
+    works: &BTreeMap<ClassName, OfferedLoad>,
     room: f64,
-    limits: &Limits,
-    best: Option<&Name>,
+    limits: &TeamLimits,
+    best: Option<&ClassName>,
     least: f64,
 ) -> Result<f64, ResolutionError> {
     let mut variables = ProblemVariables::new();
     let part = variables.add(variable().min(0.0).max(1.0));
     let done: Vec<Vec<Variable>> = works
         .values()
-        .map(|_| variables.add_vector(variable().min(0.0), SLICES))
+        .map(|_| variables.add_vector(variable().min(0.0), TIME_SLICES))
         .collect();
     let mut problem = variables.maximise(part).using(microlp);
-    for slice in 0..SLICES {
+    for slice in 0..TIME_SLICES {
         let all: Expression = done.iter().map(|class| class[slice]).sum();
         // In parts of the room, so that numbers stay near one.
         problem = problem.with(all.leq(1.0));
@@ -107,13 +109,13 @@
     }
     for ((name, work), class) in works.iter().zip(&done) {
         let mut come = 0.0;
-        for slice in 0..SLICES {
-            come += work.comes[slice] / room;
+        for slice in 0..TIME_SLICES {
+            come += work.arrivals_by_slice[slice] / room;
             let sum: Expression = class[..=slice].iter().sum();
             problem = problem.with(sum.leq(come));
         }
         let sum: Expression = class.iter().sum();
-        let whole = work.whole() / room;
+        let whole = work.total() / room;
         if best.is_none_or(|best| best == name) {
             problem = problem.with((sum.clone() - whole * part).geq(0.0));
         }
--- a/src/cells.rs
+++ b/src/cells.rs
@@ -5,10 +5,10 @@
 use crate::config::Team;
 
 /// More would not fit into a home's record.
-const MOST_CELLS: usize = 12;
-const LONGEST_NAME: usize = 40;
+const MAX_CELLS: usize = 12;
+const MAX_CELL_NAME_LEN: usize = 40;
 /// A team's name is part of keys.
-const LONGEST_TEAM: usize = 150;
+const MAX_TEAM_NAME_LEN: usize = 150;
 
 /// Another cell: its name and its controllers' addresses for other controllers.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -21,9 +21,9 @@
 
 /// This cell and the others.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Cells {
+pub struct CellTopology {
     /// This cell's name.
-    pub own: String,
+    pub own_cell: String,
     /// The others, by name.
     pub peers: BTreeMap<String, Vec<SocketAddrV4>>,
 }
@@ -35,17 +35,19 @@
     #[error("{0:?} is not NAME=ADDRESS:PORT[,ADDRESS:PORT...]")]
     Form(String),
     /// Empty, too long, or with other signs than letters, digits, `-`, `_` and `.`.
-    #[error("{0:?} is not the name of a cell (1 to {LONGEST_NAME} letters, digits, -, _ or .)")]
+    #[error(
+        "{0:?} is not the name of a cell (1 to {MAX_CELL_NAME_LEN} letters, digits, -, _ or .)"
+    )]
     Name(String),
     /// Two cells of one name.
     #[error("the cell {0:?} is named twice")]
     Twice(String),
     /// Too many.
-    #[error("{0} cells, {MOST_CELLS} at most")]
+    #[error("{0} cells, {MAX_CELLS} at most")]
     TooMany(usize),
     /// A team whose name can't be part of a key.
     #[error(
-        "the team {0:?} has a name that cells can't share (1 to {LONGEST_TEAM} bytes, no spaces)"
+        "the team {0:?} has a name that cells can't share (1 to {MAX_TEAM_NAME_LEN} bytes, no spaces)"
     )]
     Team(String),
 }
@@ -65,24 +67,24 @@
     }
 }
 
-impl Cells {
+impl CellTopology {
     /// Checks the names.
     pub fn new(own: &str, peers: &[PeerCell]) -> Result<Self, CellError> {
         let mut known = BTreeMap::new();
-        check_name(own)?;
+        validate_cell_name(own)?;
         for peer in peers {
-            check_name(&peer.name)?;
+            validate_cell_name(&peer.name)?;
             let twice = peer.name == own || known.contains_key(&peer.name);
             if twice {
                 return Err(CellError::Twice(peer.name.clone()));
             }
             known.insert(peer.name.clone(), peer.addrs.clone());
         }
-        if known.len() >= MOST_CELLS {
+        if known.len() >= MAX_CELLS {
             return Err(CellError::TooMany(known.len() + 1));
         }
-        Ok(Cells {
-            own: own.to_owned(),
+        Ok(CellTopology {
+            own_cell: own.to_owned(),
             peers: known,
         })
     }
@@ -90,15 +92,15 @@
     /// All names, in their order: the same list in each cell.
     pub fn names(&self) -> Vec<String> {
         let peers = self.peers.keys().cloned();
-        let mut names: Vec<String> = peers.chain([self.own.clone()]).collect();
+        let mut names: Vec<String> = peers.chain([self.own_cell.clone()]).collect();
         names.sort();
         names
     }
 
     /// Every team whose name can't be part of a key.
-    pub fn check_teams(teams: &[Team]) -> Result<(), CellError> {
+    pub fn validate_teams(teams: &[Team]) -> Result<(), CellError> {
         let unfit = |name: &str| {
-            name.is_empty() || name.len() > LONGEST_TEAM || name.contains(char::is_whitespace)
+            name.is_empty() || name.len() > MAX_TEAM_NAME_LEN || name.contains(char::is_whitespace)
         };
         match teams.iter().find(|team| unfit(&team.name)) {
             Some(team) => Err(CellError::Team(team.name.clone())),
@@ -107,9 +109,9 @@
     }
 }
 
-fn check_name(name: &str) -> Result<(), CellError> {
+fn validate_cell_name(name: &str) -> Result<(), CellError> {
     let sign = |sign: char| sign.is_ascii_alphanumeric() || "-_.".contains(sign);
-    let fits = !name.is_empty() && name.len() <= LONGEST_NAME && name.chars().all(sign);
+    let fits = !name.is_empty() && name.len() <= MAX_CELL_NAME_LEN && name.chars().all(sign);
     fits.then_some(())
         .ok_or_else(|| CellError::Name(name.to_owned()))
 }
--- a/src/cells/tests.rs
+++ b/src/cells/tests.rs
@@ -8,7 +8,7 @@
 fn cells_are_read_from_what_operators_write() {
     let peer = peer("north=10.0.0.1:8081,10.0.0.2:8081").unwrap();
     assert_eq!((peer.name.as_str(), peer.addrs.len()), ("north", 2));
-    let cells = Cells::new("south", &[peer]).unwrap();
+    let cells = CellTopology::new("south", &[peer]).unwrap();
     assert_eq!(cells.names(), ["north", "south"]);
 }
 
@@ -18,18 +18,21 @@
         assert_eq!(peer(wrong), Err(CellError::Form(wrong.into())));
     }
     let north = peer("north=10.0.0.1:1").unwrap();
-    let twice = Cells::new("south", &[north.clone(), north.clone()]);
+    let twice = CellTopology::new("south", &[north.clone(), north.clone()]);
     assert_eq!(twice, Err(CellError::Twice("north".into())));
     assert_eq!(
-        Cells::new("north", &[north]),
+        CellTopology::new("north", &[north]),
         Err(CellError::Twice("north".into()))
     );
-    assert_eq!(Cells::new("a b", &[]), Err(CellError::Name("a b".into())));
-    let many: Vec<PeerCell> = (0..MOST_CELLS)
+    assert_eq!(
+        CellTopology::new("a b", &[]),
+        Err(CellError::Name("a b".into()))
+    );
+    let many: Vec<PeerCell> = (0..MAX_CELLS)
         .map(|number| peer(&format!("c{number}=10.0.0.1:1")).unwrap())
         .collect();
     assert_eq!(
-        Cells::new("own", &many),
-        Err(CellError::TooMany(MOST_CELLS + 1))
+        CellTopology::new("own", &many),
+        Err(CellError::TooMany(MAX_CELLS + 1))
     );
 }
--- a/src/cluster/fault_attribution/tests.rs
+++ b/src/cluster/fault_attribution/tests.rs
@@ -3,14 +3,14 @@
 
 use super::*;
 use crate::{
-    cluster::TypeIx,
+    cluster::MachineTypeIndex,
     config::Settings,
     protocol::{cloud::MachineType, ids::JobId, job::Submission},
-    scheduling::{self, Whose},
+    scheduling::{self, PreemptionScope},
     storage::images_records,
 };
 
-fn fleet(machines: usize) -> Books {
+fn cluster_with_machines(machines: usize) -> ClusterState {
     let settings: Settings = serde_json::from_value(json!({
         "zones": ["a"], "teams": [{"name": "red", "cpus": 64.0}],
         "workers": {"report_s": 2.5, "lease_s": 14.0, "cancel_s": 34.0},
@@ -23,17 +23,17 @@
         "pull_gb_per_s": 1.0, "hourly": 1.0, "ready_s": 10.0, "yards": ["a"]
     }))
     .expect("a machine type");
-    let mut books = Books::new(&settings, &[kind]);
+    let mut cluster = ClusterState::new(&settings, &[kind]);
     for number in 0..machines {
         let name = format!("vm-{number}");
-        let zone = books.zone("a");
-        let on = books.add_machine(&name, TypeIx(0), zone, false, 0);
-        books.machines[on.at()].state = MachineState::Up;
+        let zone = cluster.intern_zone("a");
+        let on = cluster.add_machine(&name, MachineTypeIndex(0), zone, false, 0);
+        cluster.machines[on.as_usize()].state = MachineState::Up;
     }
-    books
+    cluster
 }
 
-fn submit(books: &mut Books, number: u64, tasks: u32) -> JobIx {
+fn submit(cluster: &mut ClusterState, number: u64, tasks: u32) -> JobIndex {
     let spec: Submission = serde_json::from_value(json!({
         "id": format!("j-{number:06}"), "lane": "any", "crew": "red", "shape": "array",
         "urgency": "standard", "pieces": tasks, "cpus": 2.0, "gpus": 0.0, "ram_gb": 1.0,
@@ -42,59 +42,61 @@
         "due_s": null
     }))
     .expect("a submission");
-    books.add_job(&spec, 0, 0).expect("a known team")
+    cluster.add_job(&spec, 0, 0).expect("a known team")
 }
 
 /// Plays generated fleets with jobs that have a mistake and machines that fail everything at once.
 /// Returns the jobs held to be at fault, the machines held to be faulty at any time and at the end,
 /// and how many starts the mistaken jobs had in the second half.
-fn play(seed: u64, faulty: usize, mistaken: u64) -> (Vec<u64>, Vec<usize>, usize) {
+fn simulate_failures(seed: u64, faulty: usize, mistaken: u64) -> (Vec<u64>, Vec<usize>, usize) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut books = fleet(30);
+    let mut cluster = cluster_with_machines(30);
     let mut late_starts = 0;
     for step in 0..240u64 {
         let now = step * 500;
         if step % 4 == 0 {
-            submit(&mut books, step / 4, 20);
+            submit(&mut cluster, step / 4, 20);
         }
-        scheduling::round(&mut books, now);
-        for on in (0..30).map(MachineIx) {
-            for at in (0..books.machine(on).attempts.len()).rev() {
-                let attempt = &books.machine(on).attempts[at];
+        scheduling::run_scheduling_cycle(&mut cluster, now);
+        for on in (0..30).map(MachineIndex) {
+            for at in (0..cluster.machine(on).attempts.len()).rev() {
+                let attempt = &cluster.machine(on).attempts[at];
                 let (job, task, number) = (attempt.job, attempt.task, attempt.attempt);
-                let fails = books.job(job).id.0 < mistaken || on.at() < faulty;
-                if books.job(job).id.0 < mistaken && step > 120 {
+                let fails = cluster.job(job).id.0 < mistaken || on.as_usize() < faulty;
+                if cluster.job(job).id.0 < mistaken && step > 120 {
                     late_starts += 1;
                 }
                 if fails {
-                    books.advance(on, at, Phase::Ended, now);
-                    books.requeue(job, task, number);
-                    books.machines[on.at()].attempts[at].settled = true;
-                    books.failed(job, on, now);
-                    books.drop_attempt(on, at, now);
+                    cluster.advance_phase(on, at, Phase::Ended, now);
+                    cluster.requeue(job, task, number);
+                    cluster.machines[on.as_usize()].attempts[at].reconciled = true;
+                    cluster.on_task_failed(job, on, now);
+                    cluster.remove_attempt(on, at, now);
                 } else if rng.random_bool(0.1) {
-                    books.advance(on, at, Phase::Ended, now);
-                    books.complete_task(job, task);
-                    books.machines[on.at()].attempts[at].settled = true;
-                    books.machines[on.at()].failures.clear();
-                    books.got_somewhere(job);
-                    books.drop_attempt(on, at, now);
+                    cluster.advance_phase(on, at, Phase::Ended, now);
+                    cluster.complete_task(job, task);
+                    cluster.machines[on.as_usize()].attempts[at].reconciled = true;
+                    cluster.machines[on.as_usize()].recent_failures.clear();
+                    cluster.on_task_progress(job);
+                    cluster.remove_attempt(on, at, now);
                 }
             }
         }
     }
-    let jobs = books.jobs.iter().filter(|job| job.at_fault);
+    let jobs = cluster.jobs.iter().filter(|job| job.quarantined);
     let jobs = jobs.map(|job| job.id.0).collect();
-    let machines = (0..30).filter(|at| books.machines[*at].draining);
+    let machines = (0..30).filter(|at| cluster.machines[*at].draining);
     let machines = machines.collect();
     // Nobody gives way for them, and a successor is told.
-    assert!(scheduling::preempt(&books, 200_000, Whose::All).is_empty());
-    for machine in &mut books.machines {
-        machine.images.push((crate::cluster::ImageIx(0), 0.1));
+    assert!(scheduling::select_preemptions(&cluster, 200_000, PreemptionScope::All).is_empty());
+    for machine in &mut cluster.machines {
+        machine
+            .cached_images
+            .push((crate::cluster::ImageIndex(0), 0.1));
     }
-    let told: Vec<JobId> = images_records(&books, 16_000)
+    let told: Vec<JobId> = images_records(&cluster, 16_000)
         .into_iter()
-        .flat_map(|record| record.at_fault)
+        .flat_map(|record| record.quarantined)
         .collect();
     assert_eq!(told.len() as u64, mistaken);
     (jobs, machines, late_starts)
@@ -103,10 +105,10 @@
 /// Two jobs with a mistake failed on the same machines, which were all given up for it; and their
 /// hundreds of tasks were tried on every machine again and again.
 #[test]
-fn mistaken_jobs_and_faulty_machines_are_told_apart() {
+fn failing_jobs_and_faulty_machines_are_distinguished() {
     for seed in 0..20 {
         for (faulty, mistaken) in [(0, 3), (4, 0), (4, 3)] {
-            let (jobs, machines, late) = play(seed, faulty, mistaken);
+            let (jobs, machines, late) = simulate_failures(seed, faulty, mistaken);
             assert_eq!(jobs, (0..mistaken).collect::<Vec<_>>(), "seed {seed}");
             assert_eq!(machines, (0..faulty).collect::<Vec<_>>(), "seed {seed}");
             // One task at a time, 30 s apart, in 60 s.
--- a/src/cluster/straggler/tests.rs
+++ b/src/cluster/straggler/tests.rs
@@ -1,30 +1,37 @@
 use super::*;
 
-/// Tasks of a job take 0.6 to 1.5 times its mean, in a fixed order that mixes them.
+/// TaskModel of a job take 0.6 to 1.5 times its mean, in a fixed order that mixes them.
 fn spread(n: u32) -> f64 {
     0.6 + 0.9 * f64::from(n * 7 % 10) / 9.0
 }
 
 #[test]
-fn one_late_task_says_nothing_of_its_machine() {
-    let mut job = Mean::default();
-    (0..NORM).for_each(|n| job.add(30.0 * spread(n)));
-    assert!(!drags([(&job, 500.0), (&job, 40.0)].into_iter()));
-    assert!(drags(
+fn one_late_task_does_not_mark_machine_as_straggler() {
+    let mut job = RunningMean::default();
+    (0..MIN_JOB_SAMPLES).for_each(|n| job.add(30.0 * spread(n)));
+    assert!(!is_straggling([(&job, 500.0), (&job, 40.0)].into_iter()));
+    assert!(is_straggling(
         [(&job, 90.0), (&job, 10.0), (&job, 90.0)].into_iter()
     ));
-    assert!(!drags([(&Mean::default(), 90.0); 3].into_iter()), "no norm");
+    assert!(
+        !is_straggling([(&RunningMean::default(), 90.0); 3].into_iter()),
+        "no norm"
+    );
 }
 
 #[test]
-fn only_a_machine_on_which_several_tasks_take_far_longer_is_slow() {
-    let (mut job, mut usual, mut slow) = (Mean::default(), Mean::default(), Mean::default());
+fn machine_is_straggler_only_if_several_tasks_run_far_longer() {
+    let (mut job, mut usual, mut slow) = (
+        RunningMean::default(),
+        RunningMean::default(),
+        RunningMean::default(),
+    );
     let mut found = None;
     for n in 0..200 {
-        let long = completed(&mut job, &mut usual, 30.0 * spread(n));
+        let long = record_completion(&mut job, &mut usual, 30.0 * spread(n));
         assert!(!long, "a usual machine after {n} tasks");
         // One task in nine runs on the machine that takes three times as long.
-        if n % 8 == 7 && completed(&mut job, &mut slow, 90.0 * spread(n / 8)) {
+        if n % 8 == 7 && record_completion(&mut job, &mut slow, 90.0 * spread(n / 8)) {
             found.get_or_insert(n / 8);
         }
     }
--- a/src/config.rs
+++ b/src/config.rs
@@ -4,7 +4,7 @@
 
 use serde::Deserialize;
 
-use crate::cells::Cells;
+use crate::cells::CellTopology;
 
 #[derive(Clone, Debug, Deserialize)]
 pub struct Config {
@@ -21,7 +21,7 @@
     /// The cells that share the teams' quotas: named by flags, not by the file. Without any, this deployment keeps
     /// the limits of the file by itself.
     #[serde(skip)]
-    pub cells: Option<Cells>,
+    pub cells: Option<CellTopology>,
 }
 
 /// Another node of this deployment.
@@ -45,7 +45,7 @@
     pub teams: Vec<Team>,
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    pub workers: Workers,
+    pub workers: WorkerTimings,
     pub state: StateLimits,
     pub cloud: CloudLimits,
     #[serde(default)]
@@ -94,7 +94,8 @@
     #[serde(default)]
     pub class: Option<String>,
     #[serde(default)]
-    pub within_s: Option<f64>,
+    #[serde(rename = "within_s")]
+    pub target_s: Option<f64>,
     /// Of a deadline: how many times the job's own.
     #[serde(default)]
     pub times: Option<f64>,
@@ -103,44 +104,55 @@
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct Workers {
-    pub report_s: f64,
-    pub lease_s: f64,
-    pub cancel_s: f64,
+pub struct WorkerTimings {
+    #[serde(rename = "report_s")]
+    pub report_interval_s: f64,
+    #[serde(rename = "lease_s")]
+    pub lease_ttl_s: f64,
+    #[serde(rename = "cancel_s")]
+    pub cancellation_bound_s: f64,
 }
 
 #[derive(Clone, Debug, Deserialize)]
 pub struct StateLimits {
     pub rps: f64,
     pub write_rps: f64,
-    pub value_kb: f64,
-    pub txn_ops: u32,
+    #[serde(rename = "value_kb")]
+    pub max_value_kb: f64,
+    #[serde(rename = "txn_ops")]
+    pub max_txn_ops: u32,
     /// What the state service will take from some moment on that it does not announce.
     #[serde(default)]
-    pub next: Option<NextLimits>,
+    #[serde(rename = "next")]
+    pub upcoming: Option<UpcomingStateLimits>,
 }
 
 /// Limits to come; what is not named stays as it is.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
-pub struct NextLimits {
+pub struct UpcomingStateLimits {
     pub rps: Option<f64>,
     pub write_rps: Option<f64>,
-    pub value_kb: Option<f64>,
-    pub txn_ops: Option<u32>,
+    #[serde(rename = "value_kb")]
+    pub max_value_kb: Option<f64>,
+    #[serde(rename = "txn_ops")]
+    pub max_txn_ops: Option<u32>,
 }
 
-impl NextLimits {
-    fn problems(&self, path: &str) -> Vec<String> {
+impl UpcomingStateLimits {
+    fn validation_errors(&self, path: &str) -> Vec<String> {
         let mut found = Vec::new();
         for (field, value) in [("rps", self.rps), ("write_rps", self.write_rps)] {
             if value.is_some_and(|value| !value.is_finite() || value <= 0.0) {
                 found.push(format!("{path}.{field}: must be above 0"));
             }
         }
-        if self.value_kb.is_some_and(|kb| !kb.is_finite() || kb < 2.0) {
+        if self
+            .max_value_kb
+            .is_some_and(|kb| !kb.is_finite() || kb < 2.0)
+        {
             found.push(format!("{path}.value_kb: must be at least 2"));
         }
-        if self.txn_ops.is_some_and(|ops| ops < 4) {
+        if self.max_txn_ops.is_some_and(|ops| ops < 4) {
             found.push(format!("{path}.txn_ops: must be at least 4"));
         }
         found
@@ -151,20 +163,23 @@
     /// What is within the limits now and within those to come. Nobody tells when they change, and a
     /// transaction that was right when it was sent may be applied after that.
     pub fn strictest(&self) -> StateLimits {
-        let next = self.next.unwrap_or_default();
+        let next = self.upcoming.unwrap_or_default();
         let least = |now: f64, next: Option<f64>| next.map_or(now, |next| next.min(now));
         StateLimits {
             rps: least(self.rps, next.rps),
             write_rps: least(self.write_rps, next.write_rps),
-            value_kb: least(self.value_kb, next.value_kb),
-            txn_ops: next.txn_ops.unwrap_or(self.txn_ops).min(self.txn_ops),
-            next: None,
+            max_value_kb: least(self.max_value_kb, next.max_value_kb),
+            max_txn_ops: next
+                .max_txn_ops
+                .unwrap_or(self.max_txn_ops)
+                .min(self.max_txn_ops),
+            upcoming: None,
         }
     }
 
     /// The longest value that may be written, in bytes of JSON.
-    pub fn value_bytes(&self) -> usize {
-        (self.value_kb * 1024.0) as usize
+    pub fn max_value_bytes(&self) -> usize {
+        (self.max_value_kb * 1024.0) as usize
     }
 }
 
@@ -202,7 +217,7 @@
             path: shown.clone(),
             source,
         })?;
-        let problems = config.problems();
+        let problems = config.validation_errors();
         if problems.is_empty() {
             Ok(config)
         } else {
@@ -214,7 +229,7 @@
     }
 
     /// Everything wrong with the values, each naming its field.
-    pub fn problems(&self) -> Vec<String> {
+    pub fn validation_errors(&self) -> Vec<String> {
         let mut found = Vec::new();
         let mut labels = HashSet::from([self.label.as_str()]);
         if self.label.is_empty() {
@@ -261,26 +276,26 @@
                 found.push(format!("settings.{field}: must be above 0"));
             }
         };
-        positive("workers.report_s", settings.workers.report_s);
-        positive("workers.lease_s", settings.workers.lease_s);
-        positive("workers.cancel_s", settings.workers.cancel_s);
+        positive("workers.report_s", settings.workers.report_interval_s);
+        positive("workers.lease_s", settings.workers.lease_ttl_s);
+        positive("workers.cancel_s", settings.workers.cancellation_bound_s);
         positive("cloud.rps", settings.cloud.rps);
-        if settings.workers.cancel_s <= settings.workers.lease_s {
+        if settings.workers.cancellation_bound_s <= settings.workers.lease_ttl_s {
             found.push("settings.workers.cancel_s: must be above workers.lease_s".into());
         }
         if settings.limits.sockets < 32 {
             found.push("settings.limits.sockets: must be at least 32".into());
         }
         let state = &settings.state;
-        let today = NextLimits {
+        let today = UpcomingStateLimits {
             rps: Some(state.rps),
             write_rps: Some(state.write_rps),
-            value_kb: Some(state.value_kb),
-            txn_ops: Some(state.txn_ops),
+            max_value_kb: Some(state.max_value_kb),
+            max_txn_ops: Some(state.max_txn_ops),
         };
-        found.extend(today.problems("settings.state"));
-        if let Some(next) = &state.next {
-            found.extend(next.problems("settings.state.next"));
+        found.extend(today.validation_errors("settings.state"));
+        if let Some(next) = &state.upcoming {
+            found.extend(next.validation_errors("settings.state.next"));
         }
         if !settings.cloud.list_lag_s.is_finite() || settings.cloud.list_lag_s < 0.0 {
             found.push("settings.cloud.list_lag_s: must not be negative".into());
--- a/src/coordination/admission/load_shedding/tests.rs
+++ b/src/coordination/admission/load_shedding/tests.rs
@@ -1,21 +1,27 @@
 use super::*;
 
 #[test]
-fn who_gives_way_first_does_so_at_every_scarce_thing() {
+fn load_shedding_order_is_the_same_for_every_resource() {
     let ranks = [
-        Rank::IdlePoll,
-        Rank::Poll,
-        Rank::Beyond,
-        Rank::Within,
-        Rank::Cancellation,
-        Rank::Lease,
+        RequestPriority::IdlePoll,
+        RequestPriority::Poll,
+        RequestPriority::SubmissionBeyondShare,
+        RequestPriority::SubmissionWithinShare,
+        RequestPriority::Cancellation,
+        RequestPriority::ControlPlane,
     ];
     for two in ranks.windows(2) {
         let (first, second) = (two[0], two[1]);
         assert!(first < second);
-        assert!(reserve(first.urgency()) >= reserve(second.urgency()));
-        assert!(first.bears() <= second.bears());
+        assert!(reserved_fraction(first.urgency()) >= reserved_fraction(second.urgency()));
+        assert!(first.max_lateness() <= second.max_lateness());
     }
-    assert_eq!(reserve(Rank::Lease.urgency()), 0.0);
-    assert!(Rank::Cancellation.bears() > 1.0, "whatever happens");
+    assert_eq!(
+        reserved_fraction(RequestPriority::ControlPlane.urgency()),
+        0.0
+    );
+    assert!(
+        RequestPriority::Cancellation.max_lateness() > 1.0,
+        "whatever happens"
+    );
 }
--- a/src/coordination/admission/mod.rs
+++ b/src/coordination/admission/mod.rs
@@ -10,145 +10,152 @@
 
 use std::collections::BTreeMap;
 
-pub use controller::Counts;
-use controller::{Door, Knock};
-use load_shedding::Rank;
-pub use quotas::{Class, Table};
-use quotas::{Demand, Following, Parts, SETTLED};
+pub use controller::AdmissionCounts;
+use controller::{AdmissionController, AdmissionDecision};
+use load_shedding::RequestPriority;
+pub use quotas::{AdmissionQuotas, WorkloadClassName};
+use quotas::{NodeDemand, QUOTAS_SETTLE_MS, QuotaFollower, QuotaShares};
 
-use super::{Answer, AskId, Effect, Node, StateTag};
+use super::{ApiResponse, Effect, Node, RequestId, StateTag};
 use crate::{
-    cluster::Books,
-    coordination::write_outcome::TXN_TIMEOUT,
+    cluster::ClusterState,
+    coordination::write_outcome::TXN_TIMEOUT_MS,
     protocol::{
         ids::JobId,
         job::Submission,
         state::{Condition, StateError, StateReply, StateRequest, Urgency, Write},
     },
-    scheduling::fair_share::Standing,
+    scheduling::fair_share::ShareStatus,
     storage,
     time::Millis,
 };
 
-const LOOK: Millis = 250;
+const ADMISSION_INTERVAL_MS: Millis = 250;
 /// How often a node says what comes to it, and for how long that counts.
-const NEWS: Millis = 1000;
-const NEWS_COUNTS: Millis = 6000;
+const STATUS_INTERVAL_MS: Millis = 1000;
+const STATUS_VALIDITY_MS: Millis = 6000;
 /// Tables are stored this far apart: further than they need to settle, by what clocks may drift and a write that
 /// was answered late may have been waited for.
-const TABLES: Millis = SETTLED + 1000;
+const QUOTAS_INTERVAL_MS: Millis = QUOTAS_SETTLE_MS + 1000;
 /// A part has to change by so much of its node's whole before another table is worth a write.
-const WORTH: f64 = 0.05;
+const MIN_SHARE_CHANGE: f64 = 0.05;
 /// The parts of a node's share of the state service's writes that users' submissions may take: a leader's notes
 /// come out of the same share.
-const FOLLOWERS_PART: f64 = 0.95;
-const LEADERS_PART: f64 = 0.4;
+const FOLLOWER_SUBMISSION_FRACTION: f64 = 0.95;
+const LEADER_SUBMISSION_FRACTION: f64 = 0.4;
 /// What is kept free in a value, and what a class takes of it at the most besides its names and parts.
-const TABLE_SPARE: usize = 400;
-const CLASS_BYTES: usize = 40;
+const QUOTAS_OVERHEAD_BYTES: usize = 400;
+const BYTES_PER_CLASS: usize = 40;
 /// How often the leader logs how each class is served.
-const SAY: Millis = 10_000;
+const SERVED_LOG_INTERVAL_MS: Millis = 10_000;
 /// The part of a node's memory that the tasks of unfinished jobs may take on the leader, what one takes in bytes,
 /// and the part of that which arrays longer than so many tasks leave to others.
-const MEMORY_PART: f64 = 0.3;
-const TASK_BYTES: f64 = 64.0;
-const LONG_LEAVE: f64 = 0.3;
-const LONG: u32 = 1000;
+const TASK_MEMORY_FRACTION: f64 = 0.3;
+const BYTES_PER_TASK: f64 = 64.0;
+const LONG_ARRAY_RESERVE_FRACTION: f64 = 0.3;
+const LONG_ARRAY_TASKS: u32 = 1000;
 /// Who finds no room for his tasks comes back after this many seconds: jobs have to end first.
-const TASKS_AFTER_S: u32 = 20;
+const MEMORY_RETRY_AFTER_S: u32 = 20;
 /// The processor's lateness is a mean that forgets over this time, in milliseconds.
-const LATENESS: f64 = 5000.0;
+const LATENESS_WINDOW_MS: f64 = 5000.0;
 
 /// What a node says of itself to the leader.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct News {
+pub struct MemberStatus {
     pub label: String,
     /// The table that it follows.
-    pub seq: u64,
+    pub quotas_seq: u64,
     /// Submissions a second that its part of the state service's limits allows.
-    pub takes: f64,
-    pub late: f64,
-    pub demands: Vec<(Class, f64)>,
-    pub turns: Vec<TurnTold>,
-    pub counts: Vec<(Class, Counts)>,
+    pub capacity_per_s: f64,
+    pub lateness: f64,
+    pub demands: Vec<(WorkloadClassName, f64)>,
+    pub reservations: Vec<ReservationNotice>,
+    pub counts: Vec<(WorkloadClassName, AdmissionCounts)>,
 }
 
 /// A turn that a node has given: the job, its class, and in how many milliseconds it comes up.
-pub type TurnTold = (JobId, Class, u64);
+pub type ReservationNotice = (JobId, WorkloadClassName, u64);
 
 #[derive(Default)]
 pub struct Admission {
-    door: Door,
-    following: Following,
-    looked_at: Millis,
-    told_at: Millis,
-    said_at: Millis,
+    controller: AdmissionController,
+    follower: QuotaFollower,
+    updated_at: Millis,
+    status_published_at: Millis,
+    served_logged_at: Millis,
     /// The part of its time in which the processor could not follow, from 0 to 1.
-    late: f64,
+    lateness: f64,
     /// What members said last, and when.
-    members: BTreeMap<String, (Millis, News)>,
+    members: BTreeMap<String, (Millis, MemberStatus)>,
     /// When a table was last stored, or may have been.
-    stored_at: Millis,
-    storing: bool,
+    quotas_stored_at: Millis,
+    store_in_flight: bool,
 }
 
 impl Admission {
     /// A pass came `gap` after the one before; passes are due every `due`.
-    pub(super) fn passed(&mut self, gap: Millis, due: Millis) {
+    pub(super) fn record_pass(&mut self, gap: Millis, due: Millis) {
         let late = if gap > due { gap.min(1000) as f64 } else { 0.0 };
-        let part = 1.0 - (-(gap.min(1000) as f64) / LATENESS).exp();
+        let part = 1.0 - (-(gap.min(1000) as f64) / LATENESS_WINDOW_MS).exp();
         let now = if gap > 0 {
             late / gap.min(1000) as f64
         } else {
             0.0
         };
-        self.late += (now - self.late) * part;
+        self.lateness += (now - self.lateness) * part;
     }
 
     /// A job is known to be accepted, here or elsewhere.
-    pub(super) fn accepted(&mut self, job: JobId, here: bool, now: Millis) {
-        self.door.accepted(job, here, now);
+    pub(super) fn on_accepted(&mut self, job: JobId, here: bool, now: Millis) {
+        self.controller.on_accepted(job, here, now);
     }
 
-    pub(super) fn refused(&mut self, job: JobId) {
-        self.door.refused(job);
+    pub(super) fn on_refused(&mut self, job: JobId) {
+        self.controller.on_refused(job);
     }
 
-    pub(super) fn seq(&self) -> u64 {
-        self.following.seq()
+    pub(super) fn quotas_seq(&self) -> u64 {
+        self.follower.seq()
     }
 
-    pub(super) fn late(&self) -> f64 {
-        self.late
+    pub(super) fn lateness(&self) -> f64 {
+        self.lateness
     }
 
     /// Turns that members have told of, for the others.
-    pub(super) fn turns(&self, now: Millis) -> Vec<TurnTold> {
-        let own = self.door.turns(now);
-        let others = self.members.values().filter(|(at, _)| *at + NEWS * 2 > now);
+    pub(super) fn reservations(&self, now: Millis) -> Vec<ReservationNotice> {
+        let own = self.controller.local_reservations(now);
+        let others = self
+            .members
+            .values()
+            .filter(|(at, _)| *at + STATUS_INTERVAL_MS * 2 > now);
         let others = others.flat_map(|(at, news)| {
             let age = now - at;
-            let left = move |(job, class, in_ms): &TurnTold| {
+            let left = move |(job, class, in_ms): &ReservationNotice| {
                 Some((*job, class.clone(), in_ms.checked_sub(age)?))
             };
-            news.turns.iter().filter_map(left)
+            news.reservations.iter().filter_map(left)
         });
         own.into_iter().chain(others).collect()
     }
 
-    pub(super) fn heard_turns(&mut self, turns: &[TurnTold], now: Millis) {
-        self.door.heard_turns(turns, now);
+    pub(super) fn learn_reservations(&mut self, turns: &[ReservationNotice], now: Millis) {
+        self.controller.learn_reservations(turns, now);
     }
 }
 
-impl Books {
+impl ClusterState {
     /// How each class stands, by name.
-    pub fn named_standings(&self) -> Vec<(Class, Standing)> {
-        let standings = self.dues.standings();
+    pub fn named_share_statuses(&self) -> Vec<(WorkloadClassName, ShareStatus)> {
+        let standings = self.fair_share.statuses();
         let named = standings.map(|((team, class), standing)| {
-            let class = Class {
-                team: self.teams[team.at()].name.clone(),
-                class: self.classes.name(class.0).unwrap_or_default().to_owned(),
+            let class = WorkloadClassName {
+                team: self.teams[team.as_usize()].name.clone(),
+                class: self
+                    .class_interner
+                    .name(class.0)
+                    .unwrap_or_default()
+                    .to_owned(),
             };
             (class, standing.clone())
         });
@@ -156,8 +163,8 @@
     }
 }
 
-fn class_of(submission: &Submission) -> Class {
-    Class {
+fn workload_class_name(submission: &Submission) -> WorkloadClassName {
+    WorkloadClassName {
         team: submission.team.clone(),
         class: submission.class.clone(),
     }
@@ -166,62 +173,84 @@
 impl Node {
     /// Submissions a second that this node's part of the state service's limits allows, were it a follower or
     /// the leader. Those of a follower are the least that any node takes.
-    fn takes(&self, leads: bool) -> f64 {
+    fn submission_capacity(&self, leads: bool) -> f64 {
         let state = &self.config.settings.state;
         let nodes = self.config.members.len() as f64 + 1.0;
-        let shares = crate::coordination::rate_limit_shares::of(nodes, leads);
-        let part = if leads { LEADERS_PART } else { FOLLOWERS_PART };
-        part * (shares.writes * state.write_rps).min(shares.requests * state.rps)
+        let shares = crate::coordination::rate_limit_shares::shares_for(nodes, leads);
+        let part = if leads {
+            LEADER_SUBMISSION_FRACTION
+        } else {
+            FOLLOWER_SUBMISSION_FRACTION
+        };
+        part * (shares.state_writes * state.write_rps).min(shares.state_requests * state.rps)
     }
 
-    pub(super) fn parts(&self) -> Parts {
-        let least = self.takes(false).min(self.takes(true));
-        let (equal, floor) = (least, quotas::floor(least));
-        let following = &self.admission.following;
-        following.parts(&self.config.label, (equal, floor), self.sync.ok, self.now)
+    pub(super) fn quota_shares(&self) -> QuotaShares {
+        let least = self
+            .submission_capacity(false)
+            .min(self.submission_capacity(true));
+        let (equal, floor) = (least, quotas::floor_rate(least));
+        let following = &self.admission.follower;
+        following.shares_at(
+            &self.config.label,
+            (equal, floor),
+            self.read_barrier.confirmed_at,
+            self.now,
+        )
     }
 
     /// Whether a leader has the memory for a submission's tasks. All nodes count the same jobs, but for what came
     /// in since their last sync.
-    fn has_room(&self, submission: &Submission) -> bool {
-        let bytes = self.config.settings.limits.mem_mb * 1e6 * MEMORY_PART;
-        let part = if submission.tasks > LONG {
-            1.0 - LONG_LEAVE
+    fn has_memory_for(&self, submission: &Submission) -> bool {
+        let bytes = self.config.settings.limits.mem_mb * 1e6 * TASK_MEMORY_FRACTION;
+        let part = if submission.tasks > LONG_ARRAY_TASKS {
+            1.0 - LONG_ARRAY_RESERVE_FRACTION
         } else {
             1.0
         };
-        let tasks = self.directory.tasks() + u64::from(submission.tasks);
+        let tasks = self.registry.unfinished_task_count() + u64::from(submission.tasks);
         // One job is never too long by itself.
-        tasks as f64 * TASK_BYTES <= bytes * part || self.directory.tasks() == 0
+        tasks as f64 * BYTES_PER_TASK <= bytes * part || self.registry.unfinished_task_count() == 0
     }
 
     /// Whether a submission that is not known yet may go on. If not, it has been answered.
-    pub(super) fn let_in(&mut self, id: AskId, submission: &Submission) -> Option<Rank> {
-        if !self.has_room(submission) {
+    pub(super) fn admit_submission(
+        &mut self,
+        id: RequestId,
+        submission: &Submission,
+    ) -> Option<RequestPriority> {
+        if !self.has_memory_for(submission) {
             let tasks = submission.tasks;
             tracing::debug!(job = %submission.id, tasks, "sent away: no memory for its tasks");
-            let answer = Answer {
-                retry_after_s: Some(TASKS_AFTER_S),
-                ..Answer::error(429, "too many tasks wait")
+            let answer = ApiResponse {
+                retry_after_s: Some(MEMORY_RETRY_AFTER_S),
+                ..ApiResponse::error(429, "too many tasks wait")
             };
-            self.answer(id, answer);
+            self.respond(id, answer);
             return None;
         }
-        let parts = self.parts();
+        let parts = self.quota_shares();
         let now = self.now;
-        self.admission.door.fill(&parts, now);
+        self.admission.controller.refill(&parts, now);
         let job = submission.id;
-        let class = class_of(submission);
-        let (after_s, turn) = match self.admission.door.knock(&class, job, now) {
-            Knock::In { within } => {
-                let rank = if within { Rank::Within } else { Rank::Beyond };
-                if self.admission.late <= rank.bears() {
+        let class = workload_class_name(submission);
+        let (after_s, turn) = match self.admission.controller.decide(&class, job, now) {
+            AdmissionDecision::Admitted { within_share } => {
+                let rank = if within_share {
+                    RequestPriority::SubmissionWithinShare
+                } else {
+                    RequestPriority::SubmissionBeyondShare
+                };
+                if self.admission.lateness <= rank.max_lateness() {
                     return Some(rank);
                 }
-                self.admission.door.refused(job);
+                self.admission.controller.on_refused(job);
                 (2, true)
             }
-            Knock::Away { after_s, turn } => (after_s, turn),
+            AdmissionDecision::Deferred {
+                retry_after_s: after_s,
+                has_reservation: turn,
+            } => (after_s, turn),
         };
         tracing::debug!(%job, class = class.class, team = class.team, after_s, turn, "sent away");
         let error = if turn {
@@ -229,88 +258,92 @@
         } else {
             "too much comes at once: no turn can be told"
         };
-        let answer = Answer {
+        let answer = ApiResponse {
             retry_after_s: Some(after_s),
-            ..Answer::error(429, error)
+            ..ApiResponse::error(429, error)
         };
-        self.answer(id, answer);
+        self.respond(id, answer);
         None
     }
 
     /// Whether the processor can follow well enough for such a request. If not, it has been answered.
-    pub(super) fn bears(&mut self, id: AskId, rank: Rank) -> bool {
-        let bears = self.admission.late <= rank.bears();
+    pub(super) fn admit_by_lateness(&mut self, id: RequestId, rank: RequestPriority) -> bool {
+        let bears = self.admission.lateness <= rank.max_lateness();
         if !bears {
-            self.answer(id, Answer::later("the processor can't follow", 5));
+            self.respond(
+                id,
+                ApiResponse::unavailable("the processor can't follow", 5),
+            );
         }
         bears
     }
 
     /// A table was read, or written by this node.
-    pub(super) fn table_read(&mut self) {
-        let Some((table, _)) = &self.directory.table else {
+    pub(super) fn on_admission_quotas_read(&mut self) {
+        let Some((table, _)) = &self.registry.admission_quotas else {
             return;
         };
-        if table.seq <= self.admission.seq() {
-            if table.settled && table.seq == self.admission.seq() {
+        if table.seq <= self.admission.quotas_seq() {
+            if table.is_settled && table.seq == self.admission.quotas_seq() {
                 let table = table.clone();
-                let following = &mut self.admission.following;
-                following.read(&self.config.label, table, Parts::default(), self.now);
+                let following = &mut self.admission.follower;
+                following.adopt(&self.config.label, table, QuotaShares::default(), self.now);
             }
             return;
         }
         let table = table.clone();
-        let parts = self.parts();
-        let (whole, part) = (table.whole.round(), parts.whole().round());
+        let parts = self.quota_shares();
+        let (whole, part) = (table.total_per_s.round(), parts.total().round());
         tracing::info!(seq = table.seq, whole, part, "follows a table");
         // Whoever stored it, the next may follow only once it has settled.
-        self.admission.stored_at = self.now;
-        let following = &mut self.admission.following;
-        following.read(&self.config.label, table, parts, self.now);
+        self.admission.quotas_stored_at = self.now;
+        let following = &mut self.admission.follower;
+        following.adopt(&self.config.label, table, parts, self.now);
     }
 
     /// A member has said what comes to it. Only the leader asks.
-    pub(super) fn news_heard(&mut self, news: News) {
+    pub(super) fn on_member_status(&mut self, news: MemberStatus) {
         let now = self.now;
-        if self.leading.is_none() || news.label.is_empty() {
+        if self.leader_state.is_none() || news.label.is_empty() {
             return;
         }
-        self.admission.heard_turns(&news.turns, now);
+        self.admission.learn_reservations(&news.reservations, now);
         let label = news.label.clone();
         self.admission.members.insert(label, (now, news));
     }
 
     /// What is due: following demand, telling of it, and on the leader the next table.
-    pub(super) fn keep_admission(&mut self) {
+    pub(super) fn run_admission(&mut self) {
         let now = self.now;
-        if self.admission.looked_at + LOOK > now {
+        if self.admission.updated_at + ADMISSION_INTERVAL_MS > now {
             return;
         }
-        self.admission.looked_at = now;
+        self.admission.updated_at = now;
         // A door that opened with a floor would be filled to its depth with that.
-        if self.sync.ok.is_some() {
-            let parts = self.parts();
-            self.admission.door.fill(&parts, now);
+        if self.read_barrier.confirmed_at.is_some() {
+            let parts = self.quota_shares();
+            self.admission.controller.refill(&parts, now);
         }
-        self.admission.door.look(now);
-        if self.admission.told_at + NEWS <= now {
-            self.admission.told_at = now;
-            let news = self.news();
-            self.out.push(Effect::Publish(Box::new(news)));
+        self.admission.controller.update_demand(now);
+        if self.admission.status_published_at + STATUS_INTERVAL_MS <= now {
+            self.admission.status_published_at = now;
+            let news = self.member_status();
+            self.effects
+                .push(Effect::PublishMemberStatus(Box::new(news)));
         }
-        self.store_table();
-        self.say_served();
+        self.store_admission_quotas();
+        self.log_served();
     }
 
-    fn news(&self) -> News {
-        let door = &self.admission.door;
-        News {
+    fn member_status(&self) -> MemberStatus {
+        let door = &self.admission.controller;
+        MemberStatus {
             label: self.config.label.clone(),
-            seq: self.admission.seq(),
-            takes: self.takes(self.leading.is_some()),
-            late: self.admission.late,
-            demands: door.demand().into_iter().collect(),
-            turns: door.turns(self.now),
+            quotas_seq: self.admission.quotas_seq(),
+            capacity_per_s: self.submission_capacity(self.leader_state.is_some()),
+            lateness: self.admission.lateness,
+            demands: door.demand_by_class().into_iter().collect(),
+            reservations: door.local_reservations(self.now),
             counts: door
                 .counts()
                 .map(|(class, counts)| (class.clone(), counts))
@@ -319,24 +352,25 @@
     }
 
     /// What the nodes ask for, by what they said last. One that is not heard of keeps its floor.
-    fn demands(&self, floor: f64) -> BTreeMap<String, Demand> {
-        let demand = |news: &News| Demand {
-            takes: news.takes,
-            classes: news.demands.iter().cloned().collect(),
-            late: news.late,
+    fn node_demands(&self, floor: f64) -> BTreeMap<String, NodeDemand> {
+        let demand = |news: &MemberStatus| NodeDemand {
+            capacity_per_s: news.capacity_per_s,
+            class_demands: news.demands.iter().cloned().collect(),
+            lateness: news.lateness,
         };
-        let mut demands = BTreeMap::from([(self.config.label.clone(), demand(&self.news()))]);
+        let mut demands =
+            BTreeMap::from([(self.config.label.clone(), demand(&self.member_status()))]);
         for member in &self.config.members {
             let known = self.admission.members.get(&member.label);
-            let fresh = known.filter(|(at, _)| *at + NEWS_COUNTS > self.now);
+            let fresh = known.filter(|(at, _)| *at + STATUS_VALIDITY_MS > self.now);
             let demand = fresh.map_or(
-                Demand {
-                    takes: floor,
-                    ..Demand::default()
+                NodeDemand {
+                    capacity_per_s: floor,
+                    ..NodeDemand::default()
                 },
-                |(_, news)| Demand {
+                |(_, news)| NodeDemand {
                     // It may have led when it said so.
-                    takes: news.takes.min(self.takes(false)),
+                    capacity_per_s: news.capacity_per_s.min(self.submission_capacity(false)),
                     ..demand(news)
                 },
             );
@@ -346,139 +380,158 @@
     }
 
     /// Stores the next table, where it differs from the last by enough.
-    fn store_table(&mut self) {
-        let Some(leading) = &self.leading else { return };
+    fn store_admission_quotas(&mut self) {
+        let Some(leading) = &self.leader_state else {
+            return;
+        };
         let admission = &self.admission;
-        let since = admission.stored_at.max(leading.takeover_at);
-        if leading.books.is_none() || admission.storing || !self.may_start() {
+        let since = admission.quotas_stored_at.max(leading.takeover_at);
+        if leading.cluster.is_none() || admission.store_in_flight || !self.can_start_tasks() {
             return;
         }
-        if let Some((table, version)) = &self.directory.table
-            && !table.settled
-            && table.seq == admission.seq()
-            && since + SETTLED <= self.now
+        if let Some((table, version)) = &self.registry.admission_quotas
+            && !table.is_settled
+            && table.seq == admission.quotas_seq()
+            && since + QUOTAS_SETTLE_MS <= self.now
         {
-            let settled = Table {
-                settled: true,
+            let settled = AdmissionQuotas {
+                is_settled: true,
                 ..table.clone()
             };
-            let tag = StateTag::TableSettled {
+            let tag = StateTag::WriteSettledQuotas {
                 lease: leading.lease,
             };
-            return self.write_table(tag, *version, &settled);
+            return self.write_admission_quotas(tag, *version, &settled);
         }
-        if since + TABLES > self.now {
+        if since + QUOTAS_INTERVAL_MS > self.now {
             return;
         }
-        let (known, version) = match &self.directory.table {
+        let (known, version) = match &self.registry.admission_quotas {
             Some((table, version)) => (Some(table), *version),
             None => (None, 0),
         };
-        let equal = self.takes(false).min(self.takes(true));
-        let floor = quotas::floor(equal);
-        let demands = self.demands(floor);
+        let equal = self
+            .submission_capacity(false)
+            .min(self.submission_capacity(true));
+        let floor = quotas::floor_rate(equal);
+        let demands = self.node_demands(floor);
         let names: usize = demands
             .values()
-            .flat_map(|demand| demand.classes.keys())
+            .flat_map(|demand| demand.class_demands.keys())
             .map(|class| class.team.len() + class.class.len())
             .max()
             .unwrap_or(0);
-        let each = names + CLASS_BYTES + 12 * demands.len();
-        let bytes = self.config.settings.state.value_bytes();
-        let most = bytes.saturating_sub(TABLE_SPARE + 72 * demands.len()) / each;
+        let each = names + BYTES_PER_CLASS + 12 * demands.len();
+        let bytes = self.config.settings.state.max_value_bytes();
+        let most = bytes.saturating_sub(QUOTAS_OVERHEAD_BYTES + 72 * demands.len()) / each;
         let seq = known.map_or(0, |table| table.seq) + 1;
-        let table = quotas::split(&demands, floor, (seq, leading.term), most);
-        let table = table.after(known, equal, floor);
-        if known.is_some_and(|known| !table.differs(known, WORTH)) {
+        let table = quotas::allocate_quotas(&demands, floor, (seq, leading.term), most);
+        let table = table.following(known, equal, floor);
+        if known.is_some_and(|known| !table.differs_by(known, MIN_SHARE_CHANGE)) {
             return;
         }
         let lease = leading.lease;
         // From the moment that it may be applied.
-        self.admission.stored_at = self.now;
-        self.write_table(StateTag::Table { lease }, version, &table);
+        self.admission.quotas_stored_at = self.now;
+        self.write_admission_quotas(StateTag::WriteAdmissionQuotas { lease }, version, &table);
     }
 
-    fn write_table(&mut self, tag: StateTag, version: u64, table: &Table) {
-        let Some(leading) = &self.leading else { return };
-        let mut txn = crate::protocol::state::Txn::only_if(leading.condition());
+    fn write_admission_quotas(&mut self, tag: StateTag, version: u64, table: &AdmissionQuotas) {
+        let Some(leading) = &self.leader_state else {
+            return;
+        };
+        let mut txn = crate::protocol::state::Txn::only_if(leading.leadership_condition());
         txn.conditions.push(Condition {
-            key: storage::TABLE.into(),
+            key: storage::ADMISSION_QUOTAS_KEY.into(),
             version,
         });
         txn.writes.push(Write::Put {
-            key: storage::TABLE.into(),
+            key: storage::ADMISSION_QUOTAS_KEY.into(),
             value: storage::to_value(table),
             lease: None,
         });
-        self.admission.storing = true;
+        self.admission.store_in_flight = true;
         let request = StateRequest::Txn(txn);
-        self.state(tag, request, Urgency::Normal, TXN_TIMEOUT);
+        self.call_state_service(tag, request, Urgency::Normal, TXN_TIMEOUT_MS);
     }
 
     /// Whatever became of that, it is read like everybody else's.
-    pub(super) fn table_settled(&mut self, lease: u64, result: Result<StateReply, StateError>) {
-        self.admission.storing = false;
-        if self.fate(lease, result).is_some() {
-            self.want_sync();
+    pub(super) fn on_settled_quotas_stored(
+        &mut self,
+        lease: u64,
+        result: Result<StateReply, StateError>,
+    ) {
+        self.admission.store_in_flight = false;
+        if self.write_outcome(lease, result).is_some() {
+            self.request_read_barrier();
         }
     }
 
     /// Whatever became of it, it is read like everybody else's: the watch tells of it.
-    pub(super) fn table_stored(&mut self, lease: u64, result: Result<StateReply, StateError>) {
-        self.admission.storing = false;
-        self.admission.stored_at = self.now;
-        if self.fate(lease, result).is_some() {
-            self.want_sync();
+    pub(super) fn on_admission_quotas_stored(
+        &mut self,
+        lease: u64,
+        result: Result<StateReply, StateError>,
+    ) {
+        self.admission.store_in_flight = false;
+        self.admission.quotas_stored_at = self.now;
+        if self.write_outcome(lease, result).is_some() {
+            self.request_read_barrier();
         }
     }
 
     /// One line for each class now and then: how it is served, as far as this leader and its members know.
-    fn say_served(&mut self) {
+    fn log_served(&mut self) {
         let now = self.now;
-        let Some(leading) = &self.leading else { return };
-        let Some(books) = &leading.books else { return };
-        if self.admission.said_at + SAY > now {
+        let Some(leading) = &self.leader_state else {
+            return;
+        };
+        let Some(cluster) = &leading.cluster else {
+            return;
+        };
+        if self.admission.served_logged_at + SERVED_LOG_INTERVAL_MS > now {
             return;
         }
-        self.admission.said_at = now;
-        let served = self.served();
-        let standings: BTreeMap<Class, Standing> = books.named_standings().into_iter().collect();
+        self.admission.served_logged_at = now;
+        let served = self.total_admission_counts();
+        let standings: BTreeMap<WorkloadClassName, ShareStatus> =
+            cluster.named_share_statuses().into_iter().collect();
         for (class, counts) in &served {
             let standing = standings.get(class).cloned().unwrap_or_default();
             tracing::info!(
                 team = class.team,
                 class = class.class,
-                came = counts.came,
+                came = counts.arrived,
                 accepted = counts.accepted,
-                in_time = counts.in_time,
-                sent_away = counts.sent_away,
-                no_turn = counts.no_turn,
-                given_up = counts.given_up,
-                waiting = standing.waiting,
-                oldest_ms = standing.oldest,
-                started = standing.started,
-                done = standing.done,
-                gave_way = standing.gave_way,
-                jobs_done = standing.jobs_done,
-                jobs_in_time = standing.jobs_in_time,
-                due = standing.due.round(),
-                got = standing.got.round(),
+                in_time = counts.accepted_promptly,
+                sent_away = counts.deferred,
+                no_turn = counts.deferred_unreserved,
+                given_up = counts.abandoned,
+                waiting = standing.waiting_tasks,
+                oldest_ms = standing.oldest_wait_ms,
+                started = standing.tasks_started,
+                done = standing.tasks_completed,
+                gave_way = standing.attempts_preempted,
+                jobs_done = standing.jobs_completed,
+                jobs_in_time = standing.jobs_on_time,
+                due = standing.entitled.round(),
+                got = standing.allocated.round(),
                 "served"
             );
         }
     }
 
-    pub(super) fn served_here(&self) -> Vec<(Class, Counts)> {
-        let counts = self.admission.door.counts();
+    pub(super) fn local_admission_counts(&self) -> Vec<(WorkloadClassName, AdmissionCounts)> {
+        let counts = self.admission.controller.counts();
         counts
             .map(|(class, counts)| (class.clone(), counts))
             .collect()
     }
 
     /// Counts of all nodes that are heard of, by class.
-    fn served(&self) -> BTreeMap<Class, Counts> {
-        let mut served: BTreeMap<Class, Counts> = BTreeMap::new();
-        let own = self.served_here().into_iter();
+    fn total_admission_counts(&self) -> BTreeMap<WorkloadClassName, AdmissionCounts> {
+        let mut served: BTreeMap<WorkloadClassName, AdmissionCounts> = BTreeMap::new();
+        let own = self.local_admission_counts().into_iter();
         let members = self.admission.members.values();
         let others = members.flat_map(|(_, news)| news.counts.iter().cloned());
         for (class, counts) in own.chain(others) {
--- a/src/coordination/admission/quotas.rs
+++ b/src/coordination/admission/quotas.rs
@@ -2,7 +2,7 @@
 //!
 //! The leader splits the whole by what the nodes say comes to them, weighted max-min fair over classes, and
 //! stores it under its term. A node that reads a table gives up at once what that takes from it, and takes what
-//! it adds only once the table is [`SETTLED`] old. Tables are stored at least that far apart, and a node that has
+//! it adds only once the table is [`QUOTAS_SETTLE_MS`] old. Tables are stored at least that far apart, and a node that has
 //! not heard from the state service for as long has gone back to its floor, which no table takes from it. So at
 //! any moment every node follows at most what one and the same table gives it, the sum never exceeds that
 //! table's whole, and nobody has to ask who has read what.
@@ -14,58 +14,64 @@
 use crate::time::Millis;
 
 /// How old a table has to be before what it adds is taken, in milliseconds. Tables are stored further apart.
-pub const SETTLED: Millis = 5000;
-/// A node without news for this long goes on with half of its part, and after [`LAPSED`] with its floor.
-pub const UNSURE: Millis = 3000;
-/// Shorter than [`SETTLED`] by what steady clocks may drift apart and an answer may take.
-pub const LAPSED: Millis = 4800;
+pub const QUOTAS_SETTLE_MS: Millis = 5000;
+/// A node without news for this long goes on with half of its part, and after [`QUOTAS_LAPSE_MS`] with its floor.
+pub const QUOTAS_STALE_MS: Millis = 3000;
+/// Shorter than [`QUOTAS_SETTLE_MS`] by what steady clocks may drift apart and an answer may take.
+pub const QUOTAS_LAPSE_MS: Millis = 4800;
 /// The least part of what a node takes by the state service's limits that it is given while its processor can't
 /// follow, and the part of that which is its floor.
-const LEAST: f64 = 0.25;
-const FLOOR: f64 = 0.5;
+const MIN_CAPACITY_FRACTION: f64 = 0.25;
+const FLOOR_FRACTION: f64 = 0.5;
 /// Steps in which the whole is handed out.
-const STEPS: usize = 128;
+const ALLOCATION_STEPS: usize = 128;
 
 /// A class of a team, by their names.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Class {
+pub struct WorkloadClassName {
     pub team: String,
     pub class: String,
 }
 
 /// What the leader stores. Rates are submissions a second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Table {
+pub struct AdmissionQuotas {
     /// Rises with each table.
     pub seq: u64,
     /// The term under which it was stored.
     pub term: u64,
     /// What all nodes together may let in.
-    pub whole: f64,
+    #[serde(rename = "whole")]
+    pub total_per_s: f64,
     pub nodes: Vec<String>,
     /// For each class that is named: the part of each node.
-    pub classes: Vec<(Class, Vec<f64>)>,
+    #[serde(rename = "classes")]
+    pub class_shares: Vec<(WorkloadClassName, Vec<f64>)>,
     /// What each node has besides, for whoever comes.
-    pub rest: Vec<f64>,
+    #[serde(rename = "rest")]
+    pub unassigned: Vec<f64>,
     /// What each node had in all by the table before, or where there was none. That has settled, as tables are
     /// stored further apart: a process that has just begun may take the lesser of both at once. Versions before
     /// don't tell.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub before: Vec<f64>,
-    /// It was stored [`SETTLED`] ago or more, by who leads: whoever has heard anything since has read it. A process
+    #[serde(rename = "before")]
+    pub previous_totals: Vec<f64>,
+    /// It was stored [`QUOTAS_SETTLE_MS`] ago or more, by who leads: whoever has heard anything since has read it. A process
     /// that has just begun may take its part at once.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub settled: bool,
+    #[serde(rename = "settled")]
+    pub is_settled: bool,
 }
 
-impl Table {
+impl AdmissionQuotas {
     /// Whether any part differs by more than `worth` of its node's whole.
-    pub fn differs(&self, other: &Table, worth: f64) -> bool {
+    pub fn differs_by(&self, other: &AdmissionQuotas, worth: f64) -> bool {
         if self.nodes != other.nodes {
             return true;
         }
         self.nodes.iter().any(|node| {
-            let (Some((ours, rest)), Some((theirs, other_rest))) = (self.of(node), other.of(node))
+            let (Some((ours, rest)), Some((theirs, other_rest))) =
+                (self.shares_of(node), other.shares_of(node))
             else {
                 return true;
             };
@@ -74,104 +80,115 @@
             let named = ours.keys().chain(theirs.keys());
             far(rest, other_rest)
                 || named.into_iter().any(|class| {
-                    let part =
-                        |parts: &BTreeMap<&Class, f64>| parts.get(class).copied().unwrap_or(0.0);
+                    let part = |parts: &BTreeMap<&WorkloadClassName, f64>| {
+                        parts.get(class).copied().unwrap_or(0.0)
+                    };
                     far(part(&ours), part(&theirs))
                 })
         })
     }
 
     /// What a node had in all by the table before, where that is known.
-    fn before(&self, node: &str) -> Option<f64> {
+    fn previous_total_of(&self, node: &str) -> Option<f64> {
         let at = self.nodes.iter().position(|label| label == node)?;
-        self.before.get(at).copied()
+        self.previous_totals.get(at).copied()
     }
 
     /// What a node has in all.
-    fn whole_of(&self, node: &str) -> Option<f64> {
-        let (classes, rest) = self.of(node)?;
+    fn total_of(&self, node: &str) -> Option<f64> {
+        let (classes, rest) = self.shares_of(node)?;
         Some(classes.values().sum::<f64>() + rest)
     }
 
     /// The table as it follows on another, or where there was none on nodes that each took `equal`; one that was
     /// not named there had its `floor`.
-    pub fn after(mut self, known: Option<&Table>, equal: f64, floor: f64) -> Table {
+    pub fn following(
+        mut self,
+        known: Option<&AdmissionQuotas>,
+        equal: f64,
+        floor: f64,
+    ) -> AdmissionQuotas {
         let had = |node: &String| match known {
-            Some(known) => known.whole_of(node).unwrap_or(floor),
+            Some(known) => known.total_of(node).unwrap_or(floor),
             None => equal,
         };
-        self.before = self.nodes.iter().map(had).map(rounded).collect();
+        self.previous_totals = self.nodes.iter().map(had).map(round_down).collect();
         self
     }
 
     /// A node's parts, by class, and what it has besides.
-    pub fn of(&self, node: &str) -> Option<(BTreeMap<&Class, f64>, f64)> {
+    pub fn shares_of(&self, node: &str) -> Option<(BTreeMap<&WorkloadClassName, f64>, f64)> {
         let at = self.nodes.iter().position(|label| label == node)?;
         let part = |parts: &[f64]| parts.get(at).copied().unwrap_or(0.0).max(0.0);
         let classes = self
-            .classes
+            .class_shares
             .iter()
             .map(|(class, parts)| (class, part(parts)))
             .collect();
-        Some((classes, part(&self.rest)))
+        Some((classes, part(&self.unassigned)))
     }
 }
 
 /// What a node can take, in submissions a second, and what comes to it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Demand {
+pub struct NodeDemand {
     /// By its part of the state service's limits.
-    pub takes: f64,
+    pub capacity_per_s: f64,
     /// By class: those that come for the first time, and those that wait for a turn, spread over some seconds.
-    pub classes: BTreeMap<Class, f64>,
+    pub class_demands: BTreeMap<WorkloadClassName, f64>,
     /// The part of its time in which its processor could not follow, from 0 to 1.
-    pub late: f64,
+    pub lateness: f64,
 }
 
-impl Demand {
+impl NodeDemand {
     /// What it can take with the processor that it has: never nothing.
-    fn ready(&self) -> f64 {
-        self.takes * (1.0 - self.late).clamp(LEAST, 1.0)
+    fn effective_capacity(&self) -> f64 {
+        self.capacity_per_s * (1.0 - self.lateness).clamp(MIN_CAPACITY_FRACTION, 1.0)
     }
 }
 
 /// What a node keeps whatever it has missed, of what the node takes that takes least.
-pub fn floor(takes_least: f64) -> f64 {
-    takes_least * LEAST * FLOOR
+pub fn floor_rate(takes_least: f64) -> f64 {
+    takes_least * MIN_CAPACITY_FRACTION * FLOOR_FRACTION
 }
 
 /// Splits what the nodes take over classes, equally by what each still wants, and each class's part over the nodes
 /// where it comes, first where least else does. Each node keeps its `floor`; what nobody asked for is for whoever comes.
-pub fn split(
-    demands: &BTreeMap<String, Demand>,
+pub fn allocate_quotas(
+    demands: &BTreeMap<String, NodeDemand>,
     floor: f64,
     (seq, term): (u64, u64),
     most_classes: usize,
-) -> Table {
+) -> AdmissionQuotas {
     let ready: Vec<f64> = demands
         .values()
-        .map(|demand| demand.ready().max(floor))
+        .map(|demand| demand.effective_capacity().max(floor))
         .collect();
     let mut free: Vec<f64> = ready.iter().map(|ready| ready - floor).collect();
-    let mut wants: BTreeMap<&Class, Vec<f64>> = BTreeMap::new();
+    let mut wants: BTreeMap<&WorkloadClassName, Vec<f64>> = BTreeMap::new();
     for (node, demand) in demands.values().enumerate() {
-        for (class, rate) in &demand.classes {
+        for (class, rate) in &demand.class_demands {
             let wants = wants.entry(class).or_insert_with(|| vec![0.0; free.len()]);
             wants[node] += rate.max(0.0);
         }
     }
     // A value holds so many: those that least is asked for share the rest.
-    let mut named: Vec<(&Class, Vec<f64>)> = wants.into_iter().collect();
-    named.sort_by(|a, b| sum(&b.1).total_cmp(&sum(&a.1)).then(a.0.cmp(b.0)));
+    let mut named: Vec<(&WorkloadClassName, Vec<f64>)> = wants.into_iter().collect();
+    named.sort_by(|a, b| {
+        total_rate(&b.1)
+            .total_cmp(&total_rate(&a.1))
+            .then(a.0.cmp(b.0))
+    });
     named.truncate(most_classes);
     let mut parts = vec![vec![0.0; free.len()]; named.len()];
-    let step = sum(&free) / STEPS as f64;
+    let step = total_rate(&free) / ALLOCATION_STEPS as f64;
     let mut open: Vec<usize> = (0..named.len()).collect();
     // The class that has least and still wants something gets the next step.
-    while let Some(&class) = open
-        .iter()
-        .min_by(|a, b| sum(&parts[**a]).total_cmp(&sum(&parts[**b])).then(a.cmp(b)))
-    {
+    while let Some(&class) = open.iter().min_by(|a, b| {
+        total_rate(&parts[**a])
+            .total_cmp(&total_rate(&parts[**b]))
+            .then(a.cmp(b))
+    }) {
         // There where least is asked for next to what is left: others may come to one node only.
         let crowd = |node: usize| {
             let unmet = named
@@ -196,67 +213,70 @@
         parts[class][node] += part;
         free[node] -= part;
     }
-    Table {
+    AdmissionQuotas {
         seq,
         term,
-        settled: false,
-        whole: sum(&ready),
+        is_settled: false,
+        total_per_s: total_rate(&ready),
         nodes: demands.keys().cloned().collect(),
-        classes: named
+        class_shares: named
             .into_iter()
             .zip(parts)
-            .map(|((class, _), parts)| (class.clone(), parts.into_iter().map(rounded).collect()))
+            .map(|((class, _), parts)| (class.clone(), parts.into_iter().map(round_down).collect()))
             .collect(),
-        rest: free.into_iter().map(|free| rounded(floor + free)).collect(),
-        before: Vec::new(),
+        unassigned: free
+            .into_iter()
+            .map(|free| round_down(floor + free))
+            .collect(),
+        previous_totals: Vec::new(),
     }
 }
 
-fn sum(rates: &[f64]) -> f64 {
+fn total_rate(rates: &[f64]) -> f64 {
     rates.iter().sum()
 }
 
 /// Down to thousandths: shorter in the store, and no sum grows by it.
-fn rounded(rate: f64) -> f64 {
+fn round_down(rate: f64) -> f64 {
     (rate * 1000.0).floor().max(0.0) / 1000.0
 }
 
 /// What a node follows: the tables that it has read, and since when it has heard nothing.
 #[derive(Clone, Debug, Default)]
-pub struct Following {
+pub struct QuotaFollower {
     /// The newest table.
-    table: Option<Table>,
+    quotas: Option<AdmissionQuotas>,
     /// What it followed before, where the newest does not count in full yet.
-    before: Option<Before>,
+    previous: Option<PreviousShare>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Before {
+struct PreviousShare {
     /// In submissions a second.
-    whole: f64,
+    total_per_s: f64,
     /// When the newest table has been known for long enough.
     until: Millis,
 }
 
 /// A node's parts at a moment, in submissions a second.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Parts {
-    pub classes: BTreeMap<Class, f64>,
+pub struct QuotaShares {
+    pub classes: BTreeMap<WorkloadClassName, f64>,
     /// For whoever comes.
-    pub rest: f64,
+    pub unassigned: f64,
     /// The node is at its floor, as it has no news.
-    pub lapsed: bool,
+    pub is_lapsed: bool,
 }
 
-impl Parts {
-    pub fn whole(&self) -> f64 {
-        self.classes.values().sum::<f64>() + self.rest
+impl QuotaShares {
+    pub fn total(&self) -> f64 {
+        self.classes.values().sum::<f64>() + self.unassigned
     }
 }
 
-impl Following {
+impl QuotaFollower {
     pub fn seq(&self) -> u64 {
-        self.table.as_ref().map_or(0, |table| table.seq)
+        self.quotas.as_ref().map_or(0, |table| table.seq)
     }
 
     /// A newer table has been read by `node`. `parts`: what it follows at this moment, which counts where the
@@ -264,72 +284,72 @@
     ///
     /// How old the table is counts from now, not from when it was written: its write may have been applied late.
     /// One that says that it has settled counts at once.
-    pub fn read(&mut self, node: &str, table: Table, parts: Parts, now: Millis) {
-        if table.seq < self.seq() || (table.seq == self.seq() && !table.settled) {
+    pub fn adopt(&mut self, node: &str, table: AdmissionQuotas, parts: QuotaShares, now: Millis) {
+        if table.seq < self.seq() || (table.seq == self.seq() && !table.is_settled) {
             return;
         }
-        self.before = (!table.settled).then(|| Before {
-            whole: table.before(node).unwrap_or(parts.whole()),
-            until: now + SETTLED,
+        self.previous = (!table.is_settled).then(|| PreviousShare {
+            total_per_s: table.previous_total_of(node).unwrap_or(parts.total()),
+            until: now + QUOTAS_SETTLE_MS,
         });
-        self.table = Some(table);
+        self.quotas = Some(table);
     }
 
     /// What `node` may let in now. `synced`: when the last sync that succeeded was sent; `equal`: the node's part
     /// where no table was ever read.
-    pub fn parts(
+    pub fn shares_at(
         &self,
         node: &str,
         (equal, floor): (f64, f64),
         synced: Option<Millis>,
         now: Millis,
-    ) -> Parts {
-        let only = |rest| Parts {
-            rest,
-            ..Parts::default()
+    ) -> QuotaShares {
+        let only = |rest| QuotaShares {
+            unassigned: rest,
+            ..QuotaShares::default()
         };
         let age = synced.map(|at| now.saturating_sub(at));
-        let Some(age) = age.filter(|age| *age < LAPSED) else {
-            return Parts {
-                lapsed: true,
+        let Some(age) = age.filter(|age| *age < QUOTAS_LAPSE_MS) else {
+            return QuotaShares {
+                is_lapsed: true,
                 ..only(floor)
             };
         };
-        let mut parts = match &self.table {
+        let mut parts = match &self.quotas {
             None => only(equal),
-            Some(table) => match table.of(node) {
-                Some((classes, rest)) => Parts {
+            Some(table) => match table.shares_of(node) {
+                Some((classes, rest)) => QuotaShares {
                     classes: classes
                         .into_iter()
                         .map(|(class, part)| (class.clone(), part))
                         .collect(),
-                    rest,
-                    lapsed: false,
+                    unassigned: rest,
+                    is_lapsed: false,
                 },
                 None => return only(floor),
             },
         };
         // What the table adds may still be another node's.
-        let before = self.before.as_ref().filter(|before| now < before.until);
+        let before = self.previous.as_ref().filter(|before| now < before.until);
         if let Some(before) = before
-            && parts.whole() > before.whole
+            && parts.total() > before.total_per_s
         {
-            parts.scale(before.whole / parts.whole());
+            parts.scale_by(before.total_per_s / parts.total());
         }
-        if age >= UNSURE {
-            parts.scale(0.5);
+        if age >= QUOTAS_STALE_MS {
+            parts.scale_by(0.5);
         }
-        if parts.whole() < floor {
+        if parts.total() < floor {
             return only(floor);
         }
         parts
     }
 }
 
-impl Parts {
-    fn scale(&mut self, by: f64) {
+impl QuotaShares {
+    fn scale_by(&mut self, by: f64) {
         self.classes.values_mut().for_each(|part| *part *= by);
-        self.rest *= by;
+        self.unassigned *= by;
     }
 }
 
--- a/src/coordination/admission/quotas/tests.rs
+++ b/src/coordination/admission/quotas/tests.rs
@@ -2,76 +2,79 @@
 
 use super::*;
 
-fn class(name: &str) -> Class {
-    Class {
+fn class(name: &str) -> WorkloadClassName {
+    WorkloadClassName {
         team: "red".into(),
         class: name.into(),
     }
 }
 
 /// A node, what it takes, and what comes to it.
-type Asked<'a> = (&'a str, f64, &'a [(&'a str, f64)]);
+type DemandRow<'a> = (&'a str, f64, &'a [(&'a str, f64)]);
 
-fn demands(of: &[Asked]) -> BTreeMap<String, Demand> {
-    let demand = |takes, classes: &[(&str, f64)]| Demand {
-        takes,
-        classes: classes
+fn demands(of: &[DemandRow]) -> BTreeMap<String, NodeDemand> {
+    let demand = |takes, classes: &[(&str, f64)]| NodeDemand {
+        capacity_per_s: takes,
+        class_demands: classes
             .iter()
             .map(|(name, rate)| (class(name), *rate))
             .collect(),
-        late: 0.0,
+        lateness: 0.0,
     };
     of.iter()
         .map(|(node, takes, classes)| (node.to_string(), demand(*takes, classes)))
         .collect()
 }
 
-fn rates(table: &Table, name: &str) -> f64 {
-    let found = table.classes.iter().find(|(each, _)| *each == class(name));
-    found.map_or(0.0, |(_, parts)| sum(parts))
+fn total_rate_of(table: &AdmissionQuotas, name: &str) -> f64 {
+    let found = table
+        .class_shares
+        .iter()
+        .find(|(each, _)| *each == class(name));
+    found.map_or(0.0, |(_, parts)| total_rate(parts))
 }
 
 /// One class comes fifty times as often, over one node.
 #[test]
-fn a_flood_leaves_the_others_what_they_ask_for() {
+fn overload_of_one_class_leaves_other_demands_met() {
     let flood = [("flood", 200.0), ("calm", 1.0)];
     let asked = demands(&[
         ("n0", 20.0, &flood),
         ("n1", 20.0, &[("calm", 2.0)]),
         ("n2", 20.0, &[]),
     ]);
-    assert!(floor(20.0) > 1.0, "never nothing");
-    let table = split(&asked, floor(20.0), (1, 7), 10);
-    assert!(rates(&table, "calm") > 2.9, "{table:?}");
-    assert!(rates(&table, "flood") > 15.0, "{table:?}");
+    assert!(floor_rate(20.0) > 1.0, "never nothing");
+    let table = allocate_quotas(&asked, floor_rate(20.0), (1, 7), 10);
+    assert!(total_rate_of(&table, "calm") > 2.9, "{table:?}");
+    assert!(total_rate_of(&table, "flood") > 15.0, "{table:?}");
     assert!(
-        table.rest[2] > 19.0,
+        table.unassigned[2] > 19.0,
         "what nobody asks for is for whoever comes"
     );
 }
 
 #[test]
-fn equal_floods_get_equal_parts_and_nodes_that_are_late_less() {
+fn equal_demands_get_equal_shares_and_late_nodes_get_less() {
     let mut asked = demands(&[
         ("n0", 20.0, &[("one", 90.0), ("two", 40.0)]),
         ("n1", 20.0, &[("two", 50.0)]),
     ]);
-    let before = split(&asked, floor(20.0), (1, 7), 10);
-    let (one, two) = (rates(&before, "one"), rates(&before, "two"));
+    let before = allocate_quotas(&asked, floor_rate(20.0), (1, 7), 10);
+    let (one, two) = (total_rate_of(&before, "one"), total_rate_of(&before, "two"));
     assert!((one - two).abs() < 1.0, "{one} {two}");
-    asked.get_mut("n0").expect("it is there").late = 0.5;
-    let after = split(&asked, floor(20.0), (2, 7), 10);
-    let of = |table: &Table, node: &str| {
-        let (classes, rest) = table.of(node).expect("it is there");
+    asked.get_mut("n0").expect("it is there").lateness = 0.5;
+    let after = allocate_quotas(&asked, floor_rate(20.0), (2, 7), 10);
+    let of = |table: &AdmissionQuotas, node: &str| {
+        let (classes, rest) = table.shares_of(node).expect("it is there");
         classes.values().sum::<f64>() + rest
     };
     assert!(of(&after, "n0") <= 10.0 && of(&after, "n1") > 19.0);
-    assert!(after.whole < before.whole);
+    assert!(after.total_per_s < before.total_per_s);
 }
 
 /// Any demands: no node gets more than it takes, each its floor, and nothing is left while somebody wants it.
 #[test]
-fn a_split_hands_out_what_there_is_and_no_more() {
+fn allocation_hands_out_exactly_the_capacity() {
     for seed in 0..200 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut asked = BTreeMap::new();
@@ -85,32 +88,32 @@
             } else {
                 0.0
             };
-            let demand = Demand {
-                takes,
-                classes,
-                late,
+            let demand = NodeDemand {
+                capacity_per_s: takes,
+                class_demands: classes,
+                lateness: late,
             };
             asked.insert(format!("n{node}"), demand);
         }
         let least = asked
             .values()
-            .map(|demand| demand.takes)
+            .map(|demand| demand.capacity_per_s)
             .fold(f64::INFINITY, f64::min);
-        let floor = floor(least);
-        let table = split(&asked, floor, (1, 1), rng.random_range(1..14));
+        let floor = floor_rate(least);
+        let table = allocate_quotas(&asked, floor, (1, 1), rng.random_range(1..14));
         let mut whole = 0.0;
         for (node, demand) in &asked {
-            let (classes, rest) = table.of(node).expect("each node has a part");
+            let (classes, rest) = table.shares_of(node).expect("each node has a part");
             let part = classes.values().sum::<f64>() + rest;
-            assert!(part <= demand.takes + 1e-6, "seed {seed}");
+            assert!(part <= demand.capacity_per_s + 1e-6, "seed {seed}");
             assert!(rest + 0.01 >= floor, "seed {seed}");
             whole += part;
         }
-        assert!(whole <= table.whole + 1e-6, "seed {seed}");
+        assert!(whole <= table.total_per_s + 1e-6, "seed {seed}");
         assert!(
-            whole > table.whole * 0.99 - 1.0,
+            whole > table.total_per_s * 0.99 - 1.0,
             "seed {seed}: {whole} of {}",
-            table.whole
+            table.total_per_s
         );
     }
 }
@@ -118,22 +121,23 @@
 /// A process that had just begun followed its floor until the table that it had read had settled: users who were no
 /// flood were sent away for 6 s after each restart.
 #[test]
-fn a_process_that_has_just_begun_takes_the_lesser_of_two_tables() {
+fn restarted_node_uses_the_lesser_of_old_and_new_quotas() {
     const TAKES: f64 = 20.0;
-    let floor = floor(TAKES);
+    let floor = floor_rate(TAKES);
     let asked = |calm| demands(&[("n0", TAKES, &[("calm", calm)]), ("n1", TAKES, &[])]);
-    let first = split(&asked(3.0), floor, (1, 1), 9).after(None, TAKES, floor);
+    let first = allocate_quotas(&asked(3.0), floor, (1, 1), 9).following(None, TAKES, floor);
     let mut less = asked(5.0);
-    less.get_mut("n0").expect("it is there").late = 0.5;
-    let second = split(&less, floor, (2, 1), 9).after(Some(&first), TAKES, floor);
-    let third = split(&asked(9.0), floor, (3, 1), 9).after(Some(&second), TAKES, floor);
-    let follows = |table: &Table| {
-        let mut following = Following::default();
-        following.read("n0", table.clone(), Parts::default(), 100);
-        let parts = following.parts("n0", (TAKES, floor), Some(100), 100);
-        parts.whole()
+    less.get_mut("n0").expect("it is there").lateness = 0.5;
+    let second = allocate_quotas(&less, floor, (2, 1), 9).following(Some(&first), TAKES, floor);
+    let third =
+        allocate_quotas(&asked(9.0), floor, (3, 1), 9).following(Some(&second), TAKES, floor);
+    let follows = |table: &AdmissionQuotas| {
+        let mut following = QuotaFollower::default();
+        following.adopt("n0", table.clone(), QuotaShares::default(), 100);
+        let parts = following.shares_at("n0", (TAKES, floor), Some(100), 100);
+        parts.total()
     };
-    let whole = |table: &Table| table.whole_of("n0").expect("it is there");
+    let whole = |table: &AdmissionQuotas| table.total_of("n0").expect("it is there");
     for (table, least) in [
         (&first, whole(&first)),
         (&second, whole(&second)),
@@ -150,21 +154,21 @@
 /// Three nodes that miss syncs and tables for any time, leaders that change, writes that are applied late: at
 /// no moment do they follow more than a whole that was agreed on.
 #[test]
-fn whatever_a_node_has_missed_the_sum_stays_within_the_whole() {
+fn sum_of_followed_quotas_stays_within_total_after_missed_updates() {
     const TAKES: f64 = 20.0;
     for seed in 0..300 {
         let mut rng = StdRng::seed_from_u64(seed);
         let names = ["n0", "n1", "n2"];
-        let floor = floor(TAKES);
-        let (mut stored, mut stored_at): (Option<Table>, Millis) = (None, 0);
+        let floor = floor_rate(TAKES);
+        let (mut stored, mut stored_at): (Option<AdmissionQuotas>, Millis) = (None, 0);
         let mut whole = 3.0 * TAKES;
-        let mut nodes = vec![(Following::default(), None::<Millis>); 3];
+        let mut nodes = vec![(QuotaFollower::default(), None::<Millis>); 3];
         let mut cut = [0; 3];
         // When a leader may store the next: a successor counts from its takeover, which it may think later.
         let mut next = rng.random_range(0..6000);
         for now in (0..120_000).step_by(100) {
             if now >= next {
-                let asked: BTreeMap<String, Demand> = names
+                let asked: BTreeMap<String, NodeDemand> = names
                     .iter()
                     .map(|name| {
                         let classes = [
@@ -177,29 +181,29 @@
                         } else {
                             0.0
                         };
-                        let demand = Demand {
-                            takes: TAKES,
-                            classes: classes.collect(),
-                            late,
+                        let demand = NodeDemand {
+                            capacity_per_s: TAKES,
+                            class_demands: classes.collect(),
+                            lateness: late,
                         };
                         (name.to_string(), demand)
                     })
                     .collect();
                 let seq = stored.as_ref().map_or(1, |table| table.seq + 1);
-                let mut table = split(&asked, floor, (seq, 1), 9);
+                let mut table = allocate_quotas(&asked, floor, (seq, 1), 9);
                 // A leader of the version before does not say what was before.
                 if seed % 4 > 0 {
-                    table = table.after(stored.as_ref(), TAKES, floor);
+                    table = table.following(stored.as_ref(), TAKES, floor);
                 }
                 stored = Some(table);
                 stored_at = now;
-                next = now + SETTLED + rng.random_range(0..9000);
+                next = now + QUOTAS_SETTLE_MS + rng.random_range(0..9000);
             }
             if let Some(table) = &mut stored
-                && stored_at + SETTLED <= now
+                && stored_at + QUOTAS_SETTLE_MS <= now
                 && rng.random_bool(0.05)
             {
-                table.settled = true;
+                table.is_settled = true;
             }
             let mut sum = 0.0;
             for (at, (following, synced)) in nodes.iter_mut().enumerate() {
@@ -208,25 +212,25 @@
                 }
                 if rng.random_bool(0.002) {
                     // A new process.
-                    (*following, *synced) = (Following::default(), None);
+                    (*following, *synced) = (QuotaFollower::default(), None);
                 }
                 if cut[at] <= now && rng.random_bool(0.1) {
-                    let parts = following.parts(names[at], (TAKES, floor), *synced, now);
+                    let parts = following.shares_at(names[at], (TAKES, floor), *synced, now);
                     // A sync tells of what was stored when it was sent or later.
                     if let Some(table) = &stored {
-                        following.read(names[at], table.clone(), parts, now);
+                        following.adopt(names[at], table.clone(), parts, now);
                     }
                     *synced = Some(now);
                 }
                 sum += following
-                    .parts(names[at], (TAKES, floor), *synced, now)
-                    .whole();
+                    .shares_at(names[at], (TAKES, floor), *synced, now)
+                    .total();
             }
             // The newest table that has been in the store for long enough.
             if let Some(table) = &stored
-                && stored_at + SETTLED <= now
+                && stored_at + QUOTAS_SETTLE_MS <= now
             {
-                whole = table.whole;
+                whole = table.total_per_s;
             }
             assert!(
                 sum <= whole + 1e-6,
--- a/src/coordination/admission/tests.rs
+++ b/src/coordination/admission/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 use crate::{
-    coordination::{Ask, Command, Now, registry},
-    protocol::{job::Kind, state::Changes},
+    coordination::{ApiRequest, ClockReading, Command, registry},
+    protocol::{job::JobKind, state::Changes},
     storage::JobRecord,
 };
 
@@ -22,19 +22,19 @@
         }
     }));
     let mut node = Node::new(config.expect("valid settings"));
-    node.directory.load_for_test();
-    node.loading = registry::Loading::Done;
+    node.registry.mark_loaded_for_test();
+    node.registry_load = registry::RegistryLoad::Done;
     let kind = json!({"sku": "c16", "cpus": 16.0, "ram_gb": 64.0, "hourly": 1.0,
         "ready_s": 10.0, "pull_gb_per_s": 1.0, "local_gb": 50.0, "yards": ["a"]});
-    node.types = vec![serde_json::from_value(kind).expect("a machine type")];
+    node.machine_types = vec![serde_json::from_value(kind).expect("a machine type")];
     synced(&mut node, 1000);
     node
 }
 
-fn at(steady: Millis) -> Now {
-    Now {
-        steady,
-        wall: steady,
+fn at(steady: Millis) -> ClockReading {
+    ClockReading {
+        monotonic_ms: steady,
+        wall_ms: steady,
     }
 }
 
@@ -43,8 +43,8 @@
         revision: 1,
         events: Vec::new(),
     };
-    let sync = Command::State {
-        tag: StateTag::Sync { generation: 0 },
+    let sync = Command::StateResponse {
+        tag: StateTag::ReadBarrier { generation: 0 },
         sent_at: now,
         result: Ok(StateReply::Changes(changes)),
     };
@@ -67,19 +67,20 @@
     ids: std::ops::Range<u64>,
     tasks: u32,
     now: Millis,
-) -> (usize, Vec<Answer>) {
-    let asks = ids.map(|id| Command::Ask(id, Ask::Submit(Box::new(submission(id, tasks)))));
+) -> (usize, Vec<ApiResponse>) {
+    let asks =
+        ids.map(|id| Command::ApiRequest(id, ApiRequest::Submit(Box::new(submission(id, tasks)))));
     let effects = node.step(asks.collect::<Vec<_>>(), at(now));
     let goes_on = |effect: &&Effect| {
         let tag = match effect {
-            Effect::State { tag, .. } => tag,
+            Effect::CallStateService { tag, .. } => tag,
             _ => return false,
         };
-        matches!(tag, StateTag::Submit { .. })
+        matches!(tag, StateTag::PutJob { .. })
     };
     let on = effects.iter().filter(goes_on).count();
     let answers = effects.into_iter().filter_map(|effect| match effect {
-        Effect::Answer(_, answer) => Some(answer),
+        Effect::Respond(_, answer) => Some(answer),
         _ => None,
     });
     (on, answers.collect())
@@ -87,10 +88,10 @@
 
 /// A flood over one node: it takes its part, and the others are told at once when to come back.
 #[test]
-fn a_node_lets_in_its_part_and_tells_the_others_when_to_come_back() {
+fn node_admits_its_share_and_defers_the_rest_with_retry_after() {
     let mut node = node();
     let (on, answers) = submit(&mut node, 1..401, 1, 1000);
-    let part = node.parts().whole();
+    let part = node.quota_shares().total();
     assert!(
         on as f64 >= part && on as f64 <= part * 3.0 + 1.0,
         "{on} of {part} a second"
@@ -105,9 +106,9 @@
 
 /// Without the state service a node goes on with less and less, and never with nothing.
 #[test]
-fn a_node_without_news_goes_back_to_its_floor() {
+fn node_without_sync_falls_back_to_its_floor() {
     let mut node = node();
-    let whole = node.parts().whole();
+    let whole = node.quota_shares().total();
     for (now, least, most) in [
         (2000, 1.0, 1.0),
         (4500, 0.4, 0.6),
@@ -115,14 +116,14 @@
         (90_000, 0.05, 0.2),
     ] {
         node.step([Command::Tick], at(now));
-        let part = node.parts().whole() / whole;
+        let part = node.quota_shares().total() / whole;
         assert!((least..=most).contains(&part), "{part} at {now}");
     }
 }
 
 /// Fifty arrays of 100,000 tasks would fill a leader's memory; small jobs go on.
 #[test]
-fn long_arrays_wait_for_memory_and_leave_some_to_others() {
+fn long_arrays_are_deferred_for_memory_and_leave_a_reserve() {
     let mut node = node();
     let mut taken = 0;
     for id in 1..20 {
@@ -130,42 +131,43 @@
         if on == 1 {
             taken += 1;
             let spec = Box::new(submission(id, 10_000));
-            node.directory
-                .put_job(JobId(id), JobRecord::Live { at_ms: 1, spec }, id);
+            node.registry
+                .put_job_record(JobId(id), JobRecord::Live { at_ms: 1, spec }, id);
         } else {
-            assert_eq!(answers[0].retry_after_s, Some(TASKS_AFTER_S));
+            assert_eq!(answers[0].retry_after_s, Some(MEMORY_RETRY_AFTER_S));
         }
         synced(&mut node, 1000 + id * 500);
     }
     assert!((4..=8).contains(&taken), "{taken}");
     assert_eq!(submit(&mut node, 100..101, 10, 11_000).0, 1);
     // Room comes back as jobs end.
-    node.directory.put_job(JobId(1), JobRecord::Cancelled, 90);
+    node.registry
+        .put_job_record(JobId(1), JobRecord::Cancelled, 90);
     assert_eq!(submit(&mut node, 101..102, 10_000, 11_500).0, 1);
-    assert_eq!(submission(1, 1).kind, Kind::Array);
+    assert_eq!(submission(1, 1).kind, JobKind::Array);
 }
 
 /// As the processor falls behind, polls give way first, then newcomers; cancellations never.
 #[test]
-fn polls_give_way_before_submissions_as_the_processor_falls_behind() {
+fn polls_are_shed_before_submissions_when_processor_is_late() {
     let mut node = node();
     let spec = Box::new(submission(7, 1));
-    node.directory
-        .put_job(JobId(7), JobRecord::Live { at_ms: 1, spec }, 3);
+    node.registry
+        .put_job_record(JobId(7), JobRecord::Live { at_ms: 1, spec }, 3);
     for (late, polls, submits) in [(0.1, true, true), (0.4, false, true), (0.95, false, false)] {
-        node.admission.late = late;
+        node.admission.lateness = late;
         let now = node.now + 10;
         synced(&mut node, now);
-        node.admission.late = late;
+        node.admission.lateness = late;
         let asks = [
-            Command::Ask(1, Ask::Poll(JobId(7))),
-            Command::Ask(2, Ask::Cancel(JobId(7))),
-            Command::Ask(3, Ask::Submit(Box::new(submission(900 + now, 1)))),
+            Command::ApiRequest(1, ApiRequest::Poll(JobId(7))),
+            Command::ApiRequest(2, ApiRequest::Cancel(JobId(7))),
+            Command::ApiRequest(3, ApiRequest::Submit(Box::new(submission(900 + now, 1)))),
         ];
         let effects = node.step(asks, at(now + 1));
-        let sent_away = |ask: AskId| {
+        let sent_away = |ask: RequestId| {
             effects.iter().any(|effect| {
-                matches!(effect, Effect::Answer(id, answer) if *id == ask && answer.retry_after_s.is_some())
+                matches!(effect, Effect::Respond(id, answer) if *id == ask && answer.retry_after_s.is_some())
             })
         };
         assert_eq!(!sent_away(1), polls, "polls, late {late}");
--- a/src/coordination/fleet/tests.rs
+++ b/src/coordination/fleet/tests.rs
@@ -1,30 +1,30 @@
 use super::*;
 use crate::{
-    cluster::JobIx, config::Settings, coordination::takeover::over, protocol::ids::JobId,
-    storage::JobNote,
+    cluster::JobIndex, config::Settings, coordination::takeover::add_finished_job,
+    protocol::ids::JobId, storage::JobSummary,
 };
 use serde_json::json;
 
 /// An inquiry binds nobody: a deputy that has answered one may renew the machine right after.
 #[test]
-fn only_a_promise_shows_that_nobody_renews() {
+fn machine_counts_as_unrenewed_only_after_binding_promises() {
     let deputies = BTreeMap::from([("n1".to_owned(), 1)]);
     for binding in [false, true] {
         let (sent_at, until) = (99_000, 99_500);
-        let ack = Ack {
+        let ack = RevocationReply {
             sent_at,
-            until,
-            binding,
+            lease_ends_at: until,
+            is_binding: binding,
         };
         let acks = HashMap::from([(("n1".to_owned(), "vm-1".to_owned()), ack)]);
         let gone = HashMap::new();
-        let proven = nobody_renews(&deputies, &gone, &acks, "vm-1", 100_000, 14_300);
+        let proven = is_unrenewed_everywhere(&deputies, &gone, &acks, "vm-1", 100_000, 14_300);
         assert_eq!(proven, binding);
     }
 }
 
 /// A job of two tasks, and a machine.
-fn books() -> (Books, JobIx, MachineIx) {
+fn cluster_with_machine() -> (ClusterState, JobIndex, MachineIndex) {
     let settings: Settings = serde_json::from_value(json!({
         "zones": ["a"], "teams": [{"name": "red"}],
         "workers": {"report_s": 2.5, "lease_s": 14.0, "cancel_s": 34.0},
@@ -32,21 +32,21 @@
         "cloud": {"rps": 3.0}
     }))
     .expect("valid settings");
-    let mut books = Books::new(&settings, &[]);
-    let noted = JobNote {
+    let mut cluster = ClusterState::new(&settings, &[]);
+    let noted = JobSummary {
         team: "red".into(),
-        of: 2,
+        task_count: 2,
         cpus: 1.0,
         gpus: 0.0,
         ram_gb: 1.0,
     };
-    let job = over(&mut books, JobId(1), &noted, 0).expect("a known team");
-    let zone = books.zone("a");
-    let on = books.add_machine("vm-1", TypeIx(0), zone, false, 0);
-    (books, job, on)
+    let job = add_finished_job(&mut cluster, JobId(1), &noted, 0).expect("a known team");
+    let zone = cluster.intern_zone("a");
+    let on = cluster.add_machine("vm-1", MachineTypeIndex(0), zone, false, 0);
+    (cluster, job, on)
 }
 
-fn sent(job: JobIx, task: u32) -> Attempt {
+fn sent_attempt(job: JobIndex, task: u32) -> Attempt {
     Attempt {
         job,
         task,
@@ -55,55 +55,55 @@
         cause: None,
         placed_at: 0,
         running_since: None,
-        sent: true,
-        inherited: false,
-        outstanding: false,
-        answered_at: None,
-        fence: 0,
-        stop: None,
+        start_sent: true,
+        recovered: false,
+        direct_start_in_flight: false,
+        started_by_heartbeat: None,
+        fencing_token: 0,
+        stop_grace_s: None,
         stop_sent: false,
-        settled: false,
-        direct: 0,
-        owed: false,
+        reconciled: false,
+        direct_start_term: 0,
+        placed_for_fair_share: false,
     }
 }
 
 /// A worker that has been told to forget a completion cannot tell a successor of it.
 #[test]
-fn a_completion_is_stored_before_its_worker_forgets_it() {
-    let (mut books, job, on) = books();
+fn forget_order_is_sent_only_after_completion_is_stored() {
+    let (mut cluster, job, on) = cluster_with_machine();
     let attempt = Attempt {
         phase: Phase::Ended,
-        cause: Some(Cause::Done),
-        settled: true,
-        ..sent(job, 0)
+        cause: Some(FailureCause::Done),
+        reconciled: true,
+        ..sent_attempt(job, 0)
     };
-    books.book(attempt, on);
-    books.complete_task(job, 0);
-    assert!(orders_for(&mut books, on, &[], 0, true).is_empty());
-    books.unlogged.clear();
-    let orders = orders_for(&mut books, on, &[], 0, true);
+    cluster.reserve(attempt, on);
+    cluster.complete_task(job, 0);
+    assert!(heartbeat_orders(&mut cluster, on, &[], 0, true).is_empty());
+    cluster.unlogged_tasks.clear();
+    let orders = heartbeat_orders(&mut cluster, on, &[], 0, true);
     assert!(matches!(orders[..], [Order::Forget { .. }]), "{orders:?}");
 }
 
 /// The start of an attempt that was stopped came once more after the worker had been told to forget it, and ran
 /// beside the next attempt.
 #[test]
-fn what_was_started_directly_is_forgotten_behind_a_higher_term() {
-    let (mut books, job, on) = books();
+fn directly_started_attempt_is_forgotten_only_after_a_higher_term() {
+    let (mut cluster, job, on) = cluster_with_machine();
     for (task, direct) in [(0, 5), (1, 0)] {
         let attempt = Attempt {
             phase: Phase::Ended,
-            cause: Some(Cause::Stopped),
-            settled: true,
-            direct,
-            ..sent(job, task)
+            cause: Some(FailureCause::Stopped),
+            reconciled: true,
+            direct_start_term: direct,
+            ..sent_attempt(job, task)
         };
-        books.book(attempt, on);
+        cluster.reserve(attempt, on);
     }
     let mut forgets = |token| {
-        books.machines[on.at()].token = token;
-        let orders = orders_for(&mut books, on, &[], 0, true);
+        cluster.machines[on.as_usize()].token = token;
+        let orders = heartbeat_orders(&mut cluster, on, &[], 0, true);
         let of = |order: &Order| match order {
             Order::Forget { task, .. } => task.index,
             other => panic!("{other:?}"),
@@ -118,26 +118,26 @@
 /// at once: the one that began a worker's new session was older than the start that the
 /// predecessor had sent to that session. Taken as news, it freed a task that was running.
 #[test]
-fn a_late_report_of_a_new_session_denies_nothing_inherited() {
-    let (mut books, job, on) = books();
+fn late_report_of_new_incarnation_keeps_inherited_attempts() {
+    let (mut cluster, job, on) = cluster_with_machine();
     for (task, inherited) in [(0, true), (1, false)] {
         let attempt = Attempt {
-            inherited,
-            outstanding: !inherited,
-            fence: 7,
-            ..sent(job, task)
+            recovered: inherited,
+            direct_start_in_flight: !inherited,
+            fencing_token: 7,
+            ..sent_attempt(job, task)
         };
-        books.book(attempt, on);
+        cluster.reserve(attempt, on);
     }
-    let left = |books: &Books| -> Vec<u32> {
-        let attempts = &books.machine(on).attempts;
+    let left = |cluster: &ClusterState| -> Vec<u32> {
+        let attempts = &cluster.machine(on).attempts;
         attempts.iter().map(|attempt| attempt.task).collect()
     };
-    books.machines[on.at()].token = 6;
-    end_session(&mut books, on, 0, &[]);
-    assert_eq!(left(&books), [0], "the own start went to the old session");
+    cluster.machines[on.as_usize()].token = 6;
+    end_incarnation(&mut cluster, on, 0, &[]);
+    assert_eq!(left(&cluster), [0], "the own start went to the old session");
     // A worker that has seen this term refuses what the predecessor sent.
-    books.machines[on.at()].token = 7;
-    end_session(&mut books, on, 0, &[]);
-    assert!(left(&books).is_empty());
+    cluster.machines[on.as_usize()].token = 7;
+    end_incarnation(&mut cluster, on, 0, &[]);
+    assert!(left(&cluster).is_empty());
 }
--- a/src/coordination/job_graph.rs
+++ b/src/coordination/job_graph.rs
@@ -4,11 +4,11 @@
 use std::collections::{BTreeSet, HashMap};
 
 use crate::{
-    cluster::{Books, ESTIMATE_MARGIN, Pull},
+    cluster::{ClusterState, ESTIMATE_MARGIN, InheritedUrgency},
     coordination::{
         Node, StateTag,
-        registry::{Directory, LiveJob},
-        write_outcome::{Fate, TXN_TIMEOUT},
+        registry::{JobRegistry, LiveJob},
+        write_outcome::{TXN_TIMEOUT_MS, WriteOutcome},
     },
     protocol::{
         ids::JobId,
@@ -20,75 +20,85 @@
 };
 
 /// Least time between two batches of ends.
-const ENDS_EVERY: Millis = 500;
+const OUTCOME_WRITE_INTERVAL_MS: Millis = 500;
 /// What passes between the end of a stage and the start of the next, besides its image's fetch.
-const STAGE: Millis = 1500;
+const STAGE_OVERHEAD_MS: Millis = 1500;
 /// How many times to be done by are kept for a job.
-const KEPT: usize = 4;
+const MAX_DEADLINES_PER_JOB: usize = 4;
 
 /// The leader's writes about the ends of jobs that were cancelled with one that they need.
 #[derive(Default)]
-pub struct Ends {
-    under_way: bool,
-    after: Millis,
+pub struct JobOutcomes {
+    write_in_flight: bool,
+    next_write_at: Millis,
 }
 
 impl Node {
     /// Records the ends that follow from others, a few at a time: nothing is waited for, as every node
     /// derives them by itself, but a record that says so needs no submission any more. An end is stored
     /// after or with those that it follows from.
-    pub(super) fn store_ends(&mut self) {
+    pub(super) fn store_outcomes(&mut self) {
         // Half of a transaction each time: a wide pipeline must not take the writes that others need.
-        let ops = (self.config.settings.state.txn_ops / 2).max(1) as usize;
-        let Some(leading) = &mut self.leading else {
+        let ops = (self.config.settings.state.max_txn_ops / 2).max(1) as usize;
+        let Some(leading) = &mut self.leader_state else {
             return;
         };
-        if leading.ends.under_way || leading.ends.after > self.now {
+        if leading.outcomes.write_in_flight || leading.outcomes.next_write_at > self.now {
             return;
         }
-        let mut txn = Txn::only_if(leading.condition());
-        for (id, job) in self.directory.doomed() {
-            if !txn.writes.is_empty() && txn.writes.len() + 1 + job.parts as usize > ops {
+        let mut txn = Txn::only_if(leading.leadership_condition());
+        for (id, job) in self.registry.jobs_cancelled_by_dependency() {
+            if !txn.writes.is_empty() && txn.writes.len() + 1 + job.part_count as usize > ops {
                 break;
             }
-            job.end(id, &JobRecord::Cancelled, &mut txn);
+            job.append_outcome(id, &JobRecord::Cancelled, &mut txn);
         }
         if txn.writes.is_empty() {
             return;
         }
-        leading.ends = Ends {
-            under_way: true,
-            after: self.now + ENDS_EVERY,
+        leading.outcomes = JobOutcomes {
+            write_in_flight: true,
+            next_write_at: self.now + OUTCOME_WRITE_INTERVAL_MS,
         };
         let lease = leading.lease;
-        self.state(
-            StateTag::Ends { lease },
+        self.call_state_service(
+            StateTag::WriteOutcomes { lease },
             StateRequest::Txn(txn),
             Urgency::Normal,
-            TXN_TIMEOUT,
+            TXN_TIMEOUT_MS,
         );
     }
 
-    pub(super) fn ends_stored(&mut self, lease: u64, result: Result<StateReply, StateError>) {
-        let Some(fate) = self.fate(lease, result) else {
+    pub(super) fn on_outcomes_stored(
+        &mut self,
+        lease: u64,
+        result: Result<StateReply, StateError>,
+    ) {
+        let Some(fate) = self.write_outcome(lease, result) else {
             return;
         };
-        if let Some(leading) = &mut self.leading {
-            leading.ends.under_way = false;
+        if let Some(leading) = &mut self.leader_state {
+            leading.outcomes.write_in_flight = false;
         }
         // The records tell what became of it: stored, or cancelled by their users meanwhile.
-        if fate != Fate::Refused {
-            self.want_sync();
+        if fate != WriteOutcome::Rejected {
+            self.request_read_barrier();
         }
     }
 
     /// Lets the books follow what jobs are made of by those that need them.
-    pub(super) fn pull(&mut self, jobs: Vec<JobId>) {
-        let Some(leading) = &mut self.leading else {
+    pub(super) fn propagate_urgency(&mut self, jobs: Vec<JobId>) {
+        let Some(leading) = &mut self.leader_state else {
             return;
         };
-        if let Some(books) = &mut leading.books {
-            pull(&self.directory, &mut leading.pulls, books, jobs, self.now);
+        if let Some(cluster) = &mut leading.cluster {
+            propagate_urgency(
+                &self.registry,
+                &mut leading.inherited_urgency,
+                cluster,
+                jobs,
+                self.now,
+            );
         }
     }
 }
@@ -97,14 +107,14 @@
 /// need in turn, up to where nothing changes. Not recursive: pipelines may be deep. The latest first,
 /// for a job is submitted after those that it awaits: so each is mostly looked at once. Returns how
 /// many were looked at.
-fn pull(
-    directory: &Directory,
-    pulls: &mut HashMap<JobId, Pull>,
-    books: &mut Books,
+fn propagate_urgency(
+    directory: &JobRegistry,
+    pulls: &mut HashMap<JobId, InheritedUrgency>,
+    cluster: &mut ClusterState,
     jobs: Vec<JobId>,
     now: Millis,
 ) -> usize {
-    let live = |id: JobId| Some((directory.live_job(id)?.at_ms, id));
+    let live = |id: JobId| Some((directory.live_job(id)?.submitted_at_ms, id));
     let mut open: BTreeSet<(u64, JobId)> = jobs.into_iter().filter_map(live).collect();
     let mut looks = 0;
     while let Some((_, id)) = open.pop_last() {
@@ -112,47 +122,47 @@
             continue;
         };
         looks += 1;
-        let pulled = pulled(books, pulls, directory.needed_by(id));
+        let pulled = urgency_from_dependents(cluster, pulls, directory.dependents_of(id));
         if pulls.get(&id) == pulled.as_ref() {
             continue;
         }
-        if let Some(&index) = books.job_index.get(&id) {
-            let own = Pull {
+        if let Some(&index) = cluster.jobs_by_id.get(&id) {
+            let own = InheritedUrgency {
                 priority: awaited.spec.priority,
-                finish_ms: Vec::new(),
+                finish_by_ms: Vec::new(),
             };
-            books.pull(index, pulled.as_ref().unwrap_or(&own), now);
+            cluster.inherit_urgency(index, pulled.as_ref().unwrap_or(&own), now);
         }
         match pulled {
             Some(pull) => pulls.insert(id, pull),
             None => pulls.remove(&id),
         };
-        open.extend(awaited.spec.awaits.iter().copied().filter_map(live));
+        open.extend(awaited.spec.dependencies.iter().copied().filter_map(live));
     }
     looks
 }
 
 /// What the jobs that need a job make of it, all of them together.
-fn pulled<'a>(
-    books: &Books,
-    pulls: &HashMap<JobId, Pull>,
+fn urgency_from_dependents<'a>(
+    cluster: &ClusterState,
+    pulls: &HashMap<JobId, InheritedUrgency>,
     needed_by: impl Iterator<Item = (JobId, &'a LiveJob)>,
-) -> Option<Pull> {
-    let mut all: Option<Pull> = None;
+) -> Option<InheritedUrgency> {
+    let mut all: Option<InheritedUrgency> = None;
     for (id, job) in needed_by {
         let (spec, pull) = (&job.spec, pulls.get(&id));
-        let run_ms = stage_ms(books, spec);
-        let own = books.due_s(&spec.class, spec.deadline_s);
-        let own = own.into_iter().map(|due| job.at_ms + millis(due));
-        let later = pull.map_or(&[][..], |pull| &pull.finish_ms);
+        let run_ms = stage_duration_ms(cluster, spec);
+        let own = cluster.completion_objectives_s(&spec.class, spec.deadline_s);
+        let own = own.into_iter().map(|due| job.submitted_at_ms + millis(due));
+        let later = pull.map_or(&[][..], |pull| &pull.finish_by_ms);
         let ends = own.chain(later.iter().copied());
-        let all = all.get_or_insert_with(|| Pull {
+        let all = all.get_or_insert_with(|| InheritedUrgency {
             priority: spec.priority,
-            finish_ms: Vec::new(),
+            finish_by_ms: Vec::new(),
         });
-        all.finish_ms
+        all.finish_by_ms
             .extend(ends.map(|end| end.saturating_sub(run_ms)));
-        all.keep(KEPT);
+        all.keep_earliest(MAX_DEADLINES_PER_JOB);
         let urgent = pull.map_or(spec.priority, |pull| pull.priority.min(spec.priority));
         all.priority = all.priority.min(urgent);
     }
@@ -161,10 +171,10 @@
 
 /// How long a stage takes once those before it are done: its image where it is fetched slowest, and
 /// its longest task.
-fn stage_ms(books: &Books, spec: &Submission) -> Millis {
-    let rates = books.types.iter().map(|kind| kind.fetch_gb_per_s);
+fn stage_duration_ms(cluster: &ClusterState, spec: &Submission) -> Millis {
+    let rates = cluster.machine_types.iter().map(|kind| kind.fetch_gb_per_s);
     let slowest = rates.fold(f64::INFINITY, f64::min).max(0.01);
-    STAGE + millis(spec.estimate_s * ESTIMATE_MARGIN + spec.image_gb / slowest)
+    STAGE_OVERHEAD_MS + millis(spec.estimate_s * ESTIMATE_MARGIN + spec.image_gb / slowest)
 }
 
 #[cfg(test)]
--- a/src/coordination/leader/tests.rs
+++ b/src/coordination/leader/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::coordination::{
-    Command, Now, Renewal, Word,
-    registry::{self, Change},
+    ClockReading, Command, LeaseRenewalAge, RenewalReply,
+    registry::{self, RegistryChange},
 };
 
 fn node(older: bool) -> Node {
@@ -17,80 +17,89 @@
         }
     }));
     let mut node = Node::new(config.expect("valid settings"));
-    node.directory.load_for_test();
-    node.loading = registry::Loading::Done;
+    node.registry.mark_loaded_for_test();
+    node.registry_load = registry::RegistryLoad::Done;
     if older {
-        node.directory.deputies.insert("n1".into(), 3);
+        node.registry.lease_renewers.insert("n1".into(), 3);
     }
     let kind = serde_json::json!({"sku": "c16", "cpus": 16.0, "ram_gb": 64.0, "hourly": 1.0,
         "ready_s": 10.0, "pull_gb_per_s": 1.0, "local_gb": 50.0, "yards": ["a"]});
-    node.types = vec![serde_json::from_value(kind).expect("a machine type")];
+    node.machine_types = vec![serde_json::from_value(kind).expect("a machine type")];
     node
 }
 
 /// Whether the node asks for a lease to lead on at one of these moments.
-fn campaigns(node: &mut Node, times: impl IntoIterator<Item = Millis>) -> bool {
+fn starts_election(node: &mut Node, times: impl IntoIterator<Item = Millis>) -> bool {
     times.into_iter().any(|steady| {
-        let now = Now { steady, wall: 0 };
+        let now = ClockReading { monotonic_ms: steady, wall_ms: 0 };
         let effects = node.step([Command::Tick], now);
         effects
             .iter()
-            .any(|effect| matches!(effect, Effect::State { tag, .. } if *tag == StateTag::Grant))
+            .any(|effect| matches!(effect, Effect::CallStateService { tag, .. } if *tag == StateTag::GrantLeaderLease))
     })
 }
 
 /// A process that ended every two seconds led each time: its successor gave its lease back and took the
 /// next, before the others had heard that there was none.
 #[test]
-fn a_process_that_has_just_begun_lets_others_lead_first() {
+fn young_process_defers_election_to_older_nodes() {
     let mut young = node(true);
     let own = LeaderRecord {
         node: "n0".into(),
         lease: 7,
         term: 3,
     };
-    young.directory.leader = Some((own, 5));
-    assert!(!campaigns(&mut young, [40, 60, 80]));
-    young.directory.leader = None;
-    assert!(!campaigns(&mut young, (100..100 + DEFER).step_by(50)));
-    assert!(campaigns(&mut young, [100 + DEFER]), "nobody else is there");
+    young.registry.leader = Some((own, 5));
+    assert!(!starts_election(&mut young, [40, 60, 80]));
+    young.registry.leader = None;
+    assert!(!starts_election(
+        &mut young,
+        (100..100 + YOUNG_ELECTION_DELAY_MS).step_by(50)
+    ));
+    assert!(
+        starts_election(&mut young, [100 + YOUNG_ELECTION_DELAY_MS]),
+        "nobody else is there"
+    );
     let mut old = node(true);
-    assert!(campaigns(&mut old, [YOUNG]));
+    assert!(starts_election(&mut old, [YOUNG_PROCESS_AGE_MS]));
     let mut first = node(false);
-    assert!(campaigns(&mut first, [40]), "nobody has lived longer");
+    assert!(starts_election(&mut first, [40]), "nobody has lived longer");
 }
 
 /// A deputy promised to leave a silent machine alone, ended, and was back at once: its successor under the same
 /// label knew of no promise and renewed the machine, whose tasks the leader started elsewhere.
 #[test]
-fn a_promise_binds_the_process_that_made_it_and_no_other() {
+fn revocation_promise_is_void_after_renewer_restart() {
     let mut node = node(true);
     node.now = 50_000;
-    node.campaign.step = Step::Acquiring {
+    node.election.step = ElectionStep::AcquiringLeadership {
         lease: 7,
-        granted: 50_000,
+        granted_at: 50_000,
         term: 4,
     };
-    node.acquired(7, 100);
+    node.become_leader(7, 100);
     let promises = |node: &mut Node, sent_at| {
-        let promise = Renewal {
+        let promise = LeaseRenewalAge {
             machine: "vm-1".into(),
             age_ms: 20_000,
-            inquiry: false,
+            is_inquiry: false,
         };
-        let word = Word {
+        let word = RenewalReply {
             renewals: vec![promise],
-            hears: 0,
+            workers_heard: 0,
         };
-        node.revoked(7, "n1".into(), sent_at, Some(word));
-        let leading = node.leading.as_ref().expect("it leads");
-        leading.acks.len()
+        node.on_revocation_reply(7, "n1".into(), sent_at, Some(word));
+        let leading = node.leader_state.as_ref().expect("it leads");
+        leading.revocation_replies.len()
     };
     assert_eq!(promises(&mut node, 50_000), 1);
     node.now = 51_000;
-    node.changed(Change::Deputy("n1".into(), 120));
-    let leading = node.leading.as_ref().expect("it leads");
-    assert!(leading.acks.is_empty(), "its key was written anew");
+    node.on_registry_change(RegistryChange::RenewerRegistered("n1".into(), 120));
+    let leading = node.leader_state.as_ref().expect("it leads");
+    assert!(
+        leading.revocation_replies.is_empty(),
+        "its key was written anew"
+    );
     node.now = 52_000;
     assert_eq!(promises(&mut node, 50_900), 0, "asked before that");
     assert_eq!(promises(&mut node, 51_900), 1, "asked again");
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -22,11 +22,11 @@
 
 use std::collections::HashMap;
 
-pub use admission::{Class, Counts, News, TurnTold};
-pub use leader::Leading;
-pub use quota::{CellAnswer, CellStatement, QuotaStatus};
-pub use registry::Directory;
-pub use status::Status;
+pub use admission::{AdmissionCounts, MemberStatus, ReservationNotice, WorkloadClassName};
+pub use leader::LeaderState;
+pub use quota::{CellGrants, CellReport, QuotaStatus};
+pub use registry::JobRegistry;
+pub use status::NodeStatus;
 
 use crate::{
     config::{Config, Team},
@@ -43,36 +43,36 @@
 
 /// The owner is called many times a second. After a longer gap what others sent meanwhile still lies
 /// unread: for a while nobody is held to be silent for it.
-const STOOD_STILL: Millis = 1000;
-const AWAKE: Millis = 2000;
+const STALL_THRESHOLD_MS: Millis = 1000;
+const RESUME_GRACE_MS: Millis = 2000;
 /// A gap of this length tells of a processor that can't follow.
-const LATE: Millis = 150;
+const LATE_PASS_MS: Millis = 150;
 
 /// A request from outside that waits for its answer.
-pub type AskId = u64;
+pub type RequestId = u64;
 
 /// What users, workers and the load balancer ask.
 #[derive(Clone, Debug)]
-pub enum Ask {
+pub enum ApiRequest {
     Submit(Box<Submission>),
     Poll(JobId),
     Cancel(JobId),
-    CheckIn(Box<Report>),
-    Ready,
+    Heartbeat(Box<Report>),
+    Readiness,
     /// A user's request that another member could not answer.
-    Relayed(Box<Ask>),
+    Relayed(Box<ApiRequest>),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
+pub struct ApiResponse {
     pub status: u16,
     pub body: Vec<u8>,
     pub retry_after_s: Option<u32>,
 }
 
-impl Answer {
-    fn with<T: serde::Serialize>(status: u16, body: &T) -> Self {
-        Answer {
+impl ApiResponse {
+    fn json<T: serde::Serialize>(status: u16, body: &T) -> Self {
+        ApiResponse {
             status,
             body: protocol::encode(body),
             retry_after_s: None,
@@ -80,14 +80,14 @@
     }
 
     fn error(status: u16, error: &str) -> Self {
-        Answer::with(status, &serde_json::json!({ "error": error }))
+        ApiResponse::json(status, &serde_json::json!({ "error": error }))
     }
 
     /// The node can't tell now; the client should come back in `seconds`.
-    fn later(error: &str, seconds: u32) -> Self {
-        Answer {
+    fn unavailable(error: &str, seconds: u32) -> Self {
+        ApiResponse {
             retry_after_s: Some(seconds),
-            ..Answer::error(503, error)
+            ..ApiResponse::error(503, error)
         }
     }
 }
@@ -102,231 +102,231 @@
 
 /// What the leader tells the other members now and then.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Progress {
+pub struct LeaderAnnouncement {
     pub term: u64,
     /// The label of the node that leads.
     pub leader: String,
     pub jobs: Vec<JobProgress>,
     /// Turns that nodes have given to users who were sent away.
-    pub turns: Vec<TurnTold>,
+    pub reservations: Vec<ReservationNotice>,
 }
 
 /// Machines that the leader has not heard of for long: it wants to know that nobody keeps them
 /// alive.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Revocation {
+pub struct LeaseRevocation {
     pub term: u64,
     pub machines: Vec<SilentMachine>,
     /// The leader's time of day when it asked.
-    pub asked_ms: u64,
+    pub asked_at_ms: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SilentMachine {
     pub name: String,
     /// 0: not known.
-    pub session: u64,
+    pub incarnation: u64,
     /// Only a question: it binds the member to nothing.
-    pub inquiry: bool,
+    pub is_inquiry: bool,
 }
 
 /// What a member says to that.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Word {
-    pub renewals: Vec<Renewal>,
+pub struct RenewalReply {
+    pub renewals: Vec<LeaseRenewalAge>,
     /// How many workers reported to it lately.
-    pub hears: usize,
+    pub workers_heard: usize,
 }
 
 /// How long ago a node last renewed a machine's lease, at the latest.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Renewal {
+pub struct LeaseRenewalAge {
     pub machine: String,
     pub age_ms: u64,
     /// The answer to a mere question.
-    pub inquiry: bool,
+    pub is_inquiry: bool,
 }
 
 #[derive(Debug)]
 pub enum Command {
-    Ask(AskId, Ask),
-    State {
+    ApiRequest(RequestId, ApiRequest),
+    StateResponse {
         tag: StateTag,
         /// When the request went out.
         sent_at: Millis,
         result: Result<StateReply, StateError>,
     },
-    Cloud {
+    CloudResponse {
         tag: CloudTag,
         result: Result<CloudReply, CloudError>,
     },
-    Worker {
+    WorkerResponse {
         tag: WorkerTag,
         result: Option<WorkerReply>,
     },
-    Progress(Progress),
+    LeaderAnnounced(LeaderAnnouncement),
     /// What a member says of itself when it is told how far jobs are.
-    News(Box<News>),
+    MemberStatus(Box<MemberStatus>),
     /// The leader asks what this node has renewed, and that it renew these no more.
-    Revoke(AskId, Revocation),
+    RevokeLeases(RequestId, LeaseRevocation),
     /// A member's answer to that; `None`: no answer.
-    Revoked {
+    LeasesRevoked {
         lease: u64,
         label: String,
         sent_at: Millis,
-        word: Option<Word>,
+        reply: Option<RenewalReply>,
     },
     /// A member's answer to a relayed request; `None`: no answer.
-    Relayed(AskId, Option<Answer>),
+    RelayAnswered(RequestId, Option<ApiResponse>),
     /// Another cell tells how it stands in teams whose home this cell is.
-    Stated(AskId, Box<CellStatement>),
+    CellReported(RequestId, Box<CellReport>),
     /// Another cell's answer to a statement; `None`: no answer.
-    Exchanged {
+    CellGrantsReceived {
         lease: u64,
         cell: String,
-        answer: Option<Box<CellAnswer>>,
+        grants: Option<Box<CellGrants>>,
     },
     /// The settings file names these teams now.
-    Teams(Vec<Team>),
+    TeamsChanged(Vec<Team>),
     Tick,
 }
 
 #[derive(Clone, Debug)]
 pub enum Effect {
-    Answer(AskId, Answer),
-    State {
+    Respond(RequestId, ApiResponse),
+    CallStateService {
         tag: StateTag,
         request: StateRequest,
         urgency: Urgency,
         timeout_ms: u64,
     },
-    Cloud {
+    CallCloud {
         tag: CloudTag,
         request: CloudRequest,
         timeout_ms: u64,
     },
-    Worker {
+    CallWorker {
         tag: WorkerTag,
         addr: String,
         orders: Option<DirectOrders>,
         timeout_ms: u64,
     },
-    Tell(Progress),
+    AnnounceProgress(LeaderAnnouncement),
     /// What this node says of itself to the leader when that next tells it something.
-    Publish(Box<News>),
-    Revoke {
+    PublishMemberStatus(Box<MemberStatus>),
+    RequestRevocation {
         lease: u64,
         label: String,
-        revocation: Revocation,
+        revocation: LeaseRevocation,
     },
-    Revoked(AskId, Word),
+    RespondRevocation(RequestId, RenewalReply),
     /// Have this member answer.
-    Relay {
-        id: AskId,
+    RelayRequest {
+        id: RequestId,
         label: String,
-        ask: Ask,
+        request: ApiRequest,
     },
     /// Tell another cell how this one stands.
-    Exchange {
+    SendCellReport {
         lease: u64,
         cell: String,
-        statement: Box<CellStatement>,
+        report: Box<CellReport>,
     },
     /// The answer to a statement; `None`: this node can't answer for its cell.
-    Stated(AskId, Option<CellAnswer>),
+    RespondCellReport(RequestId, Option<CellGrants>),
     /// How much of the services' limits this node may use.
-    Leading(bool),
+    SetLeadership(bool),
 }
 
 /// Which request to the state service an answer belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StateTag {
-    Load {
+    LoadRegistry {
         generation: u64,
     },
-    Watch {
+    WatchRegistry {
         generation: u64,
     },
-    Sync {
+    ReadBarrier {
         generation: u64,
     },
     /// `whole`: the record is kept under one key.
-    Submit {
-        id: AskId,
-        whole: bool,
-    },
-    SubmitCheck(AskId),
-    Cancel(AskId),
-    Grant,
-    Acquire {
+    PutJob {
+        id: RequestId,
+        single_key: bool,
+    },
+    CheckPutJob(RequestId),
+    CancelJob(RequestId),
+    GrantLeaderLease,
+    AcquireLeadership {
         lease: u64,
     },
-    AcquireCheck {
+    CheckLeadership {
         lease: u64,
     },
-    Touch {
+    RenewLeaderLease {
         lease: u64,
     },
-    Release,
-    Books {
+    ReleaseLeaderLease,
+    ReadLeaderLog {
         lease: u64,
     },
-    Flush {
+    AppendLog {
         lease: u64,
     },
-    Check {
+    CheckUnconfirmedWrite {
         lease: u64,
-        doubt: leader_log::Doubt,
+        unconfirmed: leader_log::UnconfirmedWrite,
     },
-    Page {
+    WriteSnapshots {
         lease: u64,
     },
-    Fence {
+    RaiseTerm {
         lease: u64,
     },
-    FenceCheck {
+    CheckTerm {
         lease: u64,
     },
-    Sweep {
+    DeleteSnapshots {
         lease: u64,
     },
-    Ends {
+    WriteOutcomes {
         lease: u64,
     },
-    Types,
-    Images {
+    WriteMachineTypes,
+    WriteImages {
         lease: u64,
         part: usize,
     },
-    Table {
+    WriteAdmissionQuotas {
         lease: u64,
     },
-    TableSettled {
+    WriteSettledQuotas {
         lease: u64,
     },
-    DeputyGrant,
-    DeputyPut {
+    GrantRenewerLease,
+    PutRenewerKey {
         lease: u64,
     },
-    DeputyTouch {
+    TouchRenewerLease {
         lease: u64,
     },
-    Quotas {
+    ReadCellQuotas {
         lease: u64,
     },
-    QuotasWritten {
+    WriteCellQuotas {
         lease: u64,
         /// Which write it was.
-        write: u64,
+        write_number: u64,
     },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CloudTag {
-    Types,
-    List { lease: u64 },
-    Rent { lease: u64, name: String },
-    Delete { lease: u64, names: Vec<String> },
+    MachineTypes,
+    ListInstances { lease: u64 },
+    RequestInstances { lease: u64, request_name: String },
+    DeleteInstances { lease: u64, names: Vec<String> },
 }
 
 /// Which orders a worker's answer belongs to.
@@ -335,186 +335,214 @@
     pub lease: u64,
     pub machine: String,
     /// The token that was sent.
-    pub term: u64,
+    pub token: u64,
     /// The starts among the orders: task and attempt.
     pub starts: Vec<(protocol::ids::TaskId, u64)>,
     /// Orders were sent, not only a question.
-    pub orders: bool,
+    pub has_orders: bool,
 }
 
 /// The time, as the owner is told it.
 #[derive(Clone, Copy, Debug)]
-pub struct Now {
-    pub steady: Millis,
+pub struct ClockReading {
+    pub monotonic_ms: Millis,
     /// Milliseconds since the epoch.
-    pub wall: u64,
+    pub wall_ms: u64,
 }
 
 /// One controller node.
 pub struct Node {
     config: Config,
     now: Millis,
-    wall: u64,
+    wall_ms: u64,
     /// When the process last went on after it had stood still.
-    woke_at: Option<Millis>,
-    out: Vec<Effect>,
-    directory: Directory,
-    loading: registry::Loading,
+    resumed_at: Option<Millis>,
+    effects: Vec<Effect>,
+    registry: JobRegistry,
+    registry_load: registry::RegistryLoad,
     /// Counts reloads; answers to requests of an earlier one are void.
-    generation: u64,
-    watch: registry::Watch,
-    sync: registry::Sync,
-    pending: HashMap<AskId, user_requests::Pending>,
-    relay: user_requests::Relay,
-    types: Vec<MachineType>,
-    types_asked: Option<Millis>,
-    types_known_at: Option<Millis>,
-    campaign: leader::Campaign,
-    deputy: lease_renewer::Deputy,
-    times: timeouts::Times,
-    leading: Option<Box<Leading>>,
-    progress: HashMap<JobId, JobProgress>,
+    load_generation: u64,
+    watch: registry::RegistryWatch,
+    read_barrier: registry::ReadBarrier,
+    pending_requests: HashMap<RequestId, user_requests::PendingRequest>,
+    relay: user_requests::RelayState,
+    machine_types: Vec<MachineType>,
+    machine_types_asked_at: Option<Millis>,
+    machine_types_known_at: Option<Millis>,
+    election: leader::Election,
+    lease_renewer: lease_renewer::LeaseRenewer,
+    timeouts: timeouts::Timeouts,
+    leader_state: Option<Box<LeaderState>>,
+    job_progress: HashMap<JobId, JobProgress>,
     admission: admission::Admission,
 }
 
 impl Node {
     pub fn new(mut config: Config) -> Self {
         config.settings.state = config.settings.state.strictest();
-        let times = timeouts::Times::new(&config.settings.workers, config.members.len());
+        let times = timeouts::Timeouts::new(&config.settings.workers, config.members.len());
         Node {
-            times,
+            timeouts: times,
             config,
             now: 0,
-            wall: 0,
-            woke_at: None,
-            out: Vec::new(),
-            directory: Directory::default(),
-            loading: registry::Loading::Needed { after: 0 },
-            generation: 0,
-            watch: registry::Watch::default(),
-            sync: registry::Sync::default(),
-            pending: HashMap::new(),
-            relay: user_requests::Relay::default(),
-            types: Vec::new(),
-            types_asked: None,
-            types_known_at: None,
-            campaign: leader::Campaign::default(),
-            deputy: lease_renewer::Deputy::default(),
-            leading: None,
-            progress: HashMap::new(),
+            wall_ms: 0,
+            resumed_at: None,
+            effects: Vec::new(),
+            registry: JobRegistry::default(),
+            registry_load: registry::RegistryLoad::Needed { after: 0 },
+            load_generation: 0,
+            watch: registry::RegistryWatch::default(),
+            read_barrier: registry::ReadBarrier::default(),
+            pending_requests: HashMap::new(),
+            relay: user_requests::RelayState::default(),
+            machine_types: Vec::new(),
+            machine_types_asked_at: None,
+            machine_types_known_at: None,
+            election: leader::Election::default(),
+            lease_renewer: lease_renewer::LeaseRenewer::default(),
+            leader_state: None,
+            job_progress: HashMap::new(),
             admission: admission::Admission::default(),
         }
     }
 
     /// Works through a batch of commands.
-    pub fn step(&mut self, commands: impl IntoIterator<Item = Command>, now: Now) -> Vec<Effect> {
-        if self.now > 0 && self.now + STOOD_STILL < now.steady {
+    pub fn step(
+        &mut self,
+        commands: impl IntoIterator<Item = Command>,
+        now: ClockReading,
+    ) -> Vec<Effect> {
+        if self.now > 0 && self.now + STALL_THRESHOLD_MS < now.monotonic_ms {
             tracing::warn!(
-                for_ms = now.steady - self.now,
+                for_ms = now.monotonic_ms - self.now,
                 "stood still while the clocks ran on"
             );
-            self.woke_at = Some(now.steady);
+            self.resumed_at = Some(now.monotonic_ms);
         }
-        if self.now + LATE < now.steady {
-            tracing::debug!(for_ms = now.steady - self.now, "late");
+        if self.now + LATE_PASS_MS < now.monotonic_ms {
+            tracing::debug!(for_ms = now.monotonic_ms - self.now, "late");
         }
         if self.now > 0 {
             self.admission
-                .passed(now.steady.saturating_sub(self.now), LATE);
+                .record_pass(now.monotonic_ms.saturating_sub(self.now), LATE_PASS_MS);
         }
-        self.now = self.now.max(now.steady);
-        self.wall = now.wall;
+        self.now = self.now.max(now.monotonic_ms);
+        self.wall_ms = now.wall_ms;
         for command in commands {
-            self.handle(command);
+            self.handle_command(command);
         }
-        self.advance();
-        std::mem::take(&mut self.out)
+        self.run_due_work();
+        std::mem::take(&mut self.effects)
     }
 
-    fn handle(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         match command {
-            Command::Ask(id, Ask::CheckIn(report)) => self.check_in(id, *report),
-            Command::Ask(id, ask) => self.ask(id, ask),
-            Command::State {
+            Command::ApiRequest(id, ApiRequest::Heartbeat(report)) => {
+                self.handle_heartbeat(id, *report)
+            }
+            Command::ApiRequest(id, ask) => self.handle_user_request(id, ask),
+            Command::StateResponse {
                 tag,
                 sent_at,
                 result,
-            } => self.state_answered(tag, sent_at, result),
-            Command::Cloud { tag, result } => self.cloud_answered(tag, result),
-            Command::Worker { tag, result } => self.worker_answered(tag, result),
-            Command::Progress(progress) => self.heard_progress(progress),
-            Command::News(news) => self.news_heard(*news),
-            Command::Revoke(id, revocation) => self.revoke(id, revocation),
-            Command::Revoked {
+            } => self.on_state_response(tag, sent_at, result),
+            Command::CloudResponse { tag, result } => self.on_cloud_response(tag, result),
+            Command::WorkerResponse { tag, result } => self.on_worker_response(tag, result),
+            Command::LeaderAnnounced(progress) => self.on_leader_announcement(progress),
+            Command::MemberStatus(news) => self.on_member_status(*news),
+            Command::RevokeLeases(id, revocation) => self.handle_revocation(id, revocation),
+            Command::LeasesRevoked {
                 lease,
                 label,
                 sent_at,
-                word,
-            } => self.revoked(lease, label, sent_at, word),
-            Command::Relayed(id, answer) => self.relayed(id, answer),
-            Command::Stated(id, statement) => self.quotas_stated(id, &statement),
-            Command::Exchanged {
+                reply: word,
+            } => self.on_revocation_reply(lease, label, sent_at, word),
+            Command::RelayAnswered(id, answer) => self.on_relay_response(id, answer),
+            Command::CellReported(id, statement) => self.handle_cell_report(id, &statement),
+            Command::CellGrantsReceived {
                 lease,
                 cell,
-                answer,
-            } => self.quotas_answered(lease, &cell, answer.map(|answer| *answer)),
-            Command::Teams(teams) => self.configure(teams),
+                grants: answer,
+            } => self.on_cell_grants(lease, &cell, answer.map(|answer| *answer)),
+            Command::TeamsChanged(teams) => self.reconfigure_teams(teams),
             Command::Tick => {}
         }
     }
 
-    fn state_answered(
+    fn on_state_response(
         &mut self,
         tag: StateTag,
         sent_at: Millis,
         result: Result<StateReply, StateError>,
     ) {
         match tag {
-            StateTag::Load { generation } => self.loaded(generation, result),
-            StateTag::Watch { generation } => self.watched(generation, result),
-            StateTag::Sync { generation } => self.synced(generation, sent_at, result),
-            StateTag::Submit { id, whole } => self.submit_answered(id, whole, result),
-            StateTag::SubmitCheck(id) => self.submit_checked(id, result),
-            StateTag::Cancel(id) => self.cancel_answered(id, result),
-            StateTag::Grant => self.granted(sent_at, result),
-            StateTag::Acquire { lease } => self.acquire_answered(lease, result),
-            StateTag::AcquireCheck { lease } => self.acquire_checked(lease, result),
-            StateTag::Touch { lease } => self.touched(lease, sent_at, result),
-            StateTag::Release => {}
-            StateTag::Books { lease } => self.books_read(lease, result),
-            StateTag::Flush { lease } => self.flushed(lease, result),
-            StateTag::Check { lease, doubt } => self.checked(lease, doubt, result),
-            StateTag::Page { lease } => self.paged(lease, result),
-            StateTag::Fence { lease } => self.fence_answered(lease, result),
-            StateTag::FenceCheck { lease } => self.fence_checked(lease, result),
-            StateTag::Sweep { lease } => self.swept(lease, result),
-            StateTag::Ends { lease } => self.ends_stored(lease, result),
-            StateTag::Types => {}
-            StateTag::Images { lease, part } => self.images_noted(lease, part, result),
-            StateTag::Table { lease } => self.table_stored(lease, result),
-            StateTag::TableSettled { lease } => self.table_settled(lease, result),
-            StateTag::DeputyGrant => self.deputy_granted(sent_at, result),
-            StateTag::DeputyPut { lease } => self.deputy_put(lease, result),
-            StateTag::DeputyTouch { lease } => self.deputy_touched(lease, sent_at, result),
-            StateTag::Quotas { lease } => self.quotas_read(lease, result),
-            StateTag::QuotasWritten { lease, write } => {
-                self.quotas_written(lease, write, result);
+            StateTag::LoadRegistry { generation } => self.on_registry_page(generation, result),
+            StateTag::WatchRegistry { generation } => self.on_watch_response(generation, result),
+            StateTag::ReadBarrier { generation } => {
+                self.on_read_barrier(generation, sent_at, result)
+            }
+            StateTag::PutJob {
+                id,
+                single_key: whole,
+            } => self.on_submit_response(id, whole, result),
+            StateTag::CheckPutJob(id) => self.on_submit_check(id, result),
+            StateTag::CancelJob(id) => self.on_cancel_response(id, result),
+            StateTag::GrantLeaderLease => self.on_leader_lease_granted(sent_at, result),
+            StateTag::AcquireLeadership { lease } => self.on_acquire_response(lease, result),
+            StateTag::CheckLeadership { lease } => self.on_acquire_check(lease, result),
+            StateTag::RenewLeaderLease { lease } => {
+                self.on_leader_lease_renewed(lease, sent_at, result)
+            }
+            StateTag::ReleaseLeaderLease => {}
+            StateTag::ReadLeaderLog { lease } => self.on_leader_log_read(lease, result),
+            StateTag::AppendLog { lease } => self.on_log_written(lease, result),
+            StateTag::CheckUnconfirmedWrite { lease, unconfirmed } => {
+                self.on_unconfirmed_checked(lease, unconfirmed, result)
+            }
+            StateTag::WriteSnapshots { lease } => self.on_snapshots_written(lease, result),
+            StateTag::RaiseTerm { lease } => self.on_fence_response(lease, result),
+            StateTag::CheckTerm { lease } => self.on_fence_check(lease, result),
+            StateTag::DeleteSnapshots { lease } => self.on_snapshots_deleted(lease, result),
+            StateTag::WriteOutcomes { lease } => self.on_outcomes_stored(lease, result),
+            StateTag::WriteMachineTypes => {}
+            StateTag::WriteImages { lease, part } => self.on_images_stored(lease, part, result),
+            StateTag::WriteAdmissionQuotas { lease } => {
+                self.on_admission_quotas_stored(lease, result)
+            }
+            StateTag::WriteSettledQuotas { lease } => self.on_settled_quotas_stored(lease, result),
+            StateTag::GrantRenewerLease => self.on_renewer_lease_granted(sent_at, result),
+            StateTag::PutRenewerKey { lease } => self.on_renewer_key_written(lease, result),
+            StateTag::TouchRenewerLease { lease } => {
+                self.on_renewer_lease_touched(lease, sent_at, result)
+            }
+            StateTag::ReadCellQuotas { lease } => self.on_quota_records_read(lease, result),
+            StateTag::WriteCellQuotas {
+                lease,
+                write_number,
+            } => {
+                self.on_quota_records_written(lease, write_number, result);
             }
         }
     }
 
     /// Does what is due.
-    fn advance(&mut self) {
-        self.ask_types();
-        self.follow();
-        self.keep_deputy();
-        self.campaign();
-        self.lead();
-        self.keep_admission();
+    fn run_due_work(&mut self) {
+        self.request_machine_types();
+        self.maintain_registry();
+        self.maintain_renewer_lease();
+        self.run_election();
+        self.run_leader_cycle();
+        self.run_admission();
     }
 
-    fn state(&mut self, tag: StateTag, request: StateRequest, urgency: Urgency, timeout_ms: u64) {
-        self.out.push(Effect::State {
+    fn call_state_service(
+        &mut self,
+        tag: StateTag,
+        request: StateRequest,
+        urgency: Urgency,
+        timeout_ms: u64,
+    ) {
+        self.effects.push(Effect::CallStateService {
             tag,
             request,
             urgency,
@@ -523,12 +551,13 @@
     }
 
     /// Whether the process stood still lately.
-    fn just_woke(&self) -> bool {
-        self.woke_at.is_some_and(|at| at + AWAKE > self.now)
+    fn just_resumed(&self) -> bool {
+        self.resumed_at
+            .is_some_and(|at| at + RESUME_GRACE_MS > self.now)
     }
 
     /// Whether users can be served: the jobs are known, and so is what a machine can hold.
-    pub fn ready(&self) -> bool {
-        self.directory.loaded() && !self.types.is_empty()
+    pub fn is_ready(&self) -> bool {
+        self.registry.is_loaded() && !self.machine_types.is_empty()
     }
 }
--- a/src/coordination/provisioning.rs
+++ b/src/coordination/provisioning.rs
@@ -1,164 +1,193 @@
 //! The leader and the cloud: renting, returning, and what the lagging list is good for.
 
 use crate::{
-    autoscaler::{Autoscaler, Offer, Rental},
-    cluster::{Books, MachineState, TypeIx},
-    coordination::{CloudTag, Node, fleet::lose},
+    autoscaler::{Autoscaler, InstanceRequest, Offer},
+    cluster::{ClusterState, MachineState, MachineTypeIndex},
+    coordination::{CloudTag, Node, fleet::mark_lost},
     protocol::cloud::{
         CloudError, CloudReply, CloudRequest, ListedMachine, MachineStatus, RentRequest,
     },
     time::{Millis, millis},
 };
 
-const TIMEOUT: Millis = 5000;
+const CLOUD_TIMEOUT_MS: Millis = 5000;
 /// The list is asked for this often while some machine is silent, else as often as it is new.
-const LIST_EVERY: Millis = 3000;
-/// Rental requests under way: the cloud takes few calls a second, and an answer changes the plan.
+const LIST_INTERVAL_MS: Millis = 3000;
+/// InstanceRequest requests under way: the cloud takes few calls a second, and an answer changes the plan.
 /// Requests that queue up would be refused for what an earlier answer has told already.
-const RENTALS: usize = 2;
-const DELETE_EVERY: Millis = 2000;
-const PLAN_EVERY: Millis = 1000;
-const TYPES_EVERY: Millis = 30_000;
-const TYPES_RETRY: Millis = 1000;
-const TROUBLE: Millis = 1500;
+const MAX_INSTANCE_REQUESTS: usize = 2;
+const DELETE_INTERVAL_MS: Millis = 2000;
+const PLAN_INTERVAL_MS: Millis = 1000;
+const TYPES_INTERVAL_MS: Millis = 30_000;
+const TYPES_RETRY_MS: Millis = 1000;
+const CLOUD_BACKOFF_MS: Millis = 1500;
 /// Machines that were lost come back when a cut ends; this long is waited for them.
-const LOST: Millis = 30_000;
+const LOST_MACHINE_GRACE_MS: Millis = 30_000;
 /// A machine that has not come up after this many times its usual time is given up.
-const BOOT_FACTOR: f64 = 4.0;
-const MAX_DELETE: usize = 100;
+const MAX_BOOT_TIME_FACTOR: f64 = 4.0;
+const MAX_DELETIONS_PER_REQUEST: usize = 100;
 
 /// What is under way with the cloud.
 #[derive(Default)]
-pub struct Renting {
+pub struct Provisioning {
     pub autoscaler: Autoscaler,
-    rentals: Vec<(String, Rental)>,
-    counter: u64,
+    requests_in_flight: Vec<(String, InstanceRequest)>,
+    requests_made: u64,
     planned_at: Millis,
-    trouble_until: Millis,
+    backoff_until: Millis,
     listing: bool,
     listed_at: Millis,
-    listed: Vec<ListedMachine>,
+    listed_machines: Vec<ListedMachine>,
     deleting: bool,
     deleted_at: Millis,
 }
 
 impl Node {
-    pub(super) fn ask_types(&mut self) {
-        let every = match self.types_known_at {
-            None => TYPES_RETRY,
-            Some(_) => TYPES_EVERY,
+    pub(super) fn request_machine_types(&mut self) {
+        let every = match self.machine_types_known_at {
+            None => TYPES_RETRY_MS,
+            Some(_) => TYPES_INTERVAL_MS,
         };
         // Followers need no prices.
-        let due = self.types_known_at.is_none() || self.leading.is_some();
-        if !due || self.types_asked.is_some_and(|at| at + every > self.now) {
+        let due = self.machine_types_known_at.is_none() || self.leader_state.is_some();
+        if !due
+            || self
+                .machine_types_asked_at
+                .is_some_and(|at| at + every > self.now)
+        {
             return;
         }
-        self.types_asked = Some(self.now);
-        self.out.push(crate::coordination::Effect::Cloud {
-            tag: CloudTag::Types,
+        self.machine_types_asked_at = Some(self.now);
+        self.effects.push(crate::coordination::Effect::CallCloud {
+            tag: CloudTag::MachineTypes,
             request: CloudRequest::Types,
             timeout_ms: 2000,
         });
     }
 
-    fn cloud(&mut self, tag: CloudTag, request: CloudRequest) {
-        self.out.push(crate::coordination::Effect::Cloud {
+    fn call_cloud(&mut self, tag: CloudTag, request: CloudRequest) {
+        self.effects.push(crate::coordination::Effect::CallCloud {
             tag,
             request,
-            timeout_ms: TIMEOUT,
+            timeout_ms: CLOUD_TIMEOUT_MS,
         });
     }
 
-    pub(super) fn cloud_answered(&mut self, tag: CloudTag, result: Result<CloudReply, CloudError>) {
+    pub(super) fn on_cloud_response(
+        &mut self,
+        tag: CloudTag,
+        result: Result<CloudReply, CloudError>,
+    ) {
         match tag {
-            CloudTag::Types => {
+            CloudTag::MachineTypes => {
                 if let Ok(CloudReply::Types(types)) = result
                     && !types.types.is_empty()
                     && types.types.len() <= 64
                 {
-                    self.types = types.types;
-                    self.types_known_at = Some(self.now);
-                    if let Some(books) = self.leading.as_mut().and_then(|l| l.books.as_mut()) {
-                        books.set_types(&self.types);
+                    self.machine_types = types.types;
+                    self.machine_types_known_at = Some(self.now);
+                    if let Some(cluster) =
+                        self.leader_state.as_mut().and_then(|l| l.cluster.as_mut())
+                    {
+                        cluster.set_machine_types(&self.machine_types);
                     }
                 }
             }
-            CloudTag::List { lease } if self.leads(lease) => self.listed(result),
-            CloudTag::Rent { lease, name } if self.leads(lease) => self.rented(&name, result),
-            CloudTag::Delete { lease, names } if self.leads(lease) => self.deleted(&names, result),
+            CloudTag::ListInstances { lease } if self.holds_leadership(lease) => {
+                self.on_instance_list(result)
+            }
+            CloudTag::RequestInstances {
+                lease,
+                request_name,
+            } if self.holds_leadership(lease) => {
+                self.on_instances_provisioned(&request_name, result)
+            }
+            CloudTag::DeleteInstances { lease, names } if self.holds_leadership(lease) => {
+                self.on_instances_deleted(&names, result)
+            }
             _ => {}
         }
     }
 
-    pub(super) fn list_machines(&mut self) {
+    pub(super) fn request_instance_list(&mut self) {
         let now = self.now;
-        let Some(leading) = &mut self.leading else {
+        let Some(leading) = &mut self.leader_state else {
             return;
         };
-        leading.renting.listing = true;
-        leading.renting.listed_at = now;
-        leading.renting.listed.clear();
+        leading.provisioning.listing = true;
+        leading.provisioning.listed_at = now;
+        leading.provisioning.listed_machines.clear();
         let lease = leading.lease;
-        self.cloud(CloudTag::List { lease }, CloudRequest::List { after: None });
-        self.probe_unheard();
+        self.call_cloud(
+            CloudTag::ListInstances { lease },
+            CloudRequest::List { after: None },
+        );
+        self.probe_unreported_machines();
     }
 
     /// Machines that predecessors' notes or the list name, and that have not reported to us yet.
-    fn probe_unheard(&mut self) {
-        let Some(books) = self.leading.as_ref().and_then(|l| l.books.as_ref()) else {
+    fn probe_unreported_machines(&mut self) {
+        let Some(cluster) = self.leader_state.as_ref().and_then(|l| l.cluster.as_ref()) else {
             return;
         };
-        let unheard: Vec<(String, String)> = books
+        let unheard: Vec<(String, String)> = cluster
             .machines
             .iter()
-            .filter(|m| m.heard_at.is_none() && m.state != MachineState::Gone)
+            .filter(|m| m.last_heartbeat_at.is_none() && m.state != MachineState::Gone)
             .filter(|m| m.state == MachineState::Up || m.listed_running.is_some())
             .filter_map(|m| Some((m.name.clone(), m.addr.clone()?)))
             .collect();
         for (name, addr) in unheard {
-            self.probe(name, addr);
+            self.probe_machine(name, addr);
         }
     }
 
-    fn listed(&mut self, result: Result<CloudReply, CloudError>) {
+    fn on_instance_list(&mut self, result: Result<CloudReply, CloudError>) {
         let now = self.now;
         let lag = self.config.settings.cloud.list_lag_s;
-        let Some(leading) = &mut self.leading else {
+        let Some(leading) = &mut self.leader_state else {
             return;
         };
         let lease = leading.lease;
-        let renting = &mut leading.renting;
+        let renting = &mut leading.provisioning;
         let Ok(CloudReply::List(list)) = result else {
             renting.listing = false;
             return;
         };
         let more = list.more && !list.machines.is_empty();
         let after = list.machines.last().map(|machine| machine.id.clone());
-        renting.listed.extend(list.machines);
+        renting.listed_machines.extend(list.machines);
         if more {
-            return self.cloud(CloudTag::List { lease }, CloudRequest::List { after });
+            return self.call_cloud(
+                CloudTag::ListInstances { lease },
+                CloudRequest::List { after },
+            );
         }
         renting.listing = false;
-        let listed = std::mem::take(&mut renting.listed);
-        let Some(books) = &mut leading.books else {
+        let listed = std::mem::take(&mut renting.listed_machines);
+        let Some(cluster) = &mut leading.cluster else {
             return;
         };
-        let mut present = vec![false; books.machines.len()];
+        let mut present = vec![false; cluster.machines.len()];
         for machine in listed {
-            let Some(type_ix) = books.type_names.get(&machine.type_name).map(TypeIx) else {
+            let Some(type_ix) = cluster
+                .type_interner
+                .get(&machine.type_name)
+                .map(MachineTypeIndex)
+            else {
                 continue;
             };
-            let zone = books.zone(&machine.zone);
-            let index = books.add_machine(&machine.id, type_ix, zone, machine.spot, now);
-            present.resize(books.machines.len(), false);
-            present[index.at()] = true;
-            let entry = &mut books.machines[index.at()];
+            let zone = cluster.intern_zone(&machine.zone);
+            let index = cluster.add_machine(&machine.id, type_ix, zone, machine.spot, now);
+            present.resize(cluster.machines.len(), false);
+            present[index.as_usize()] = true;
+            let entry = &mut cluster.machines[index.as_usize()];
             if !entry.listed {
                 let held = millis(machine.age_s.clamp(0.0, 1e9));
-                entry.rented_at = entry.rented_at.min(now.saturating_sub(held));
+                entry.provisioned_at = entry.provisioned_at.min(now.saturating_sub(held));
             }
             entry.listed = true;
-            entry.absent = 0;
+            entry.missed_listings = 0;
             if entry.addr.is_none() {
                 entry.addr = machine.addr;
             }
@@ -172,79 +201,90 @@
         }
         // A machine that was listed stays so until it is gone, but a list may be older than the one
         // before, even older than the machine.
-        for (machine, present) in books.machines.iter_mut().zip(present) {
+        for (machine, present) in cluster.machines.iter_mut().zip(present) {
             let old = machine.known_since + millis(4.0 * lag) <= now;
             if !present && machine.listed && old {
-                machine.absent += 1;
+                machine.missed_listings += 1;
             }
         }
-        self.probe_unheard();
+        self.probe_unreported_machines();
     }
 
     /// Asks the cloud for what the books call for, and returns what they don't.
-    pub(super) fn rent(&mut self) {
+    pub(super) fn run_provisioning(&mut self) {
         let now = self.now;
-        let wall = self.wall;
-        let may_act = self.may_start();
+        let wall = self.wall_ms;
+        let may_act = self.can_start_tasks();
         let list_lag = millis(self.config.settings.cloud.list_lag_s);
-        let silence = self.times.silence;
-        self.store_types();
-        let Some(leading) = &mut self.leading else {
+        let silence = self.timeouts.heartbeat_timeout;
+        self.store_machine_types();
+        let Some(leading) = &mut self.leader_state else {
             return;
         };
         let (lease, term) = (leading.lease, leading.first_term);
-        let renting = &mut leading.renting;
-        let Some(books) = &mut leading.books else {
+        let renting = &mut leading.provisioning;
+        let Some(cluster) = &mut leading.cluster else {
             return;
         };
         let list = !renting.listing
-            && renting.listed_at + LIST_EVERY <= now
-            && (renting.listed_at + list_lag <= now || books.machines.iter().any(|m| m.silent));
+            && renting.listed_at + LIST_INTERVAL_MS <= now
+            && (renting.listed_at + list_lag <= now
+                || cluster.machines.iter().any(|m| m.unresponsive));
         let mut requests = Vec::new();
-        if may_act && renting.trouble_until <= now {
-            if renting.planned_at + PLAN_EVERY <= now && renting.rentals.len() < RENTALS {
+        if may_act && renting.backoff_until <= now {
+            if renting.planned_at + PLAN_INTERVAL_MS <= now
+                && renting.requests_in_flight.len() < MAX_INSTANCE_REQUESTS
+            {
                 renting.planned_at = now;
-                let under_way: Vec<Rental> =
-                    renting.rentals.iter().map(|(_, r)| r.clone()).collect();
-                let (rentals, returns) = renting.autoscaler.plan(books, &under_way, now, wall);
+                let under_way: Vec<InstanceRequest> = renting
+                    .requests_in_flight
+                    .iter()
+                    .map(|(_, r)| r.clone())
+                    .collect();
+                let (rentals, returns) = renting
+                    .autoscaler
+                    .plan_scaling(cluster, &under_way, now, wall);
                 for index in returns {
-                    books.machines[index.at()].state = MachineState::Deleting;
+                    cluster.machines[index.as_usize()].state = MachineState::Deleting;
                 }
                 for rental in rentals {
-                    let asked = renting.rentals.iter().any(|(_, r)| r.offer == rental.offer);
-                    if asked || renting.rentals.len() >= RENTALS {
+                    let asked = renting
+                        .requests_in_flight
+                        .iter()
+                        .any(|(_, r)| r.offer == rental.offer);
+                    if asked || renting.requests_in_flight.len() >= MAX_INSTANCE_REQUESTS {
                         continue;
                     }
-                    renting.counter += 1;
+                    renting.requests_made += 1;
                     // Never used again: terms are not, and the counter counts within one.
-                    let name = format!("r-{term}-{}", renting.counter);
-                    let kind = &books.types[rental.offer.type_ix.at()];
+                    let name = format!("r-{term}-{}", renting.requests_made);
+                    let kind = &cluster.machine_types[rental.offer.machine_type.as_usize()];
                     tracing::info!(
                         name,
                         kind = kind.name,
                         count = rental.count,
-                        zone = books.zone_names[rental.offer.zone.at()],
+                        zone = cluster.zone_names[rental.offer.zone.as_usize()],
                         spot = rental.offer.spot,
                         "renting"
                     );
                     requests.push((
-                        CloudTag::Rent {
+                        CloudTag::RequestInstances {
                             lease,
-                            name: name.clone(),
+                            request_name: name.clone(),
                         },
-                        CloudRequest::Rent(rent_request(books, &name, &rental)),
+                        CloudRequest::Rent(instance_request(cluster, &name, &rental)),
                     ));
-                    renting.rentals.push((name, rental));
+                    renting.requests_in_flight.push((name, rental));
                 }
             }
-            if !renting.deleting && renting.deleted_at + DELETE_EVERY <= now {
+            if !renting.deleting && renting.deleted_at + DELETE_INTERVAL_MS <= now {
                 renting.deleted_at = now;
-                let names = dead(books, now, silence);
+                let names = machines_to_delete(cluster, now, silence);
                 if !names.is_empty() {
                     renting.deleting = true;
                     tracing::info!(?names, "deleting machines");
                     requests.push((
-                        CloudTag::Delete {
+                        CloudTag::DeleteInstances {
                             lease,
                             names: names.clone(),
                         },
@@ -254,125 +294,136 @@
             }
         }
         for (tag, request) in requests {
-            self.cloud(tag, request);
+            self.call_cloud(tag, request);
         }
         if list {
-            self.list_machines();
+            self.request_instance_list();
         }
     }
 
-    fn rented(&mut self, name: &str, result: Result<CloudReply, CloudError>) {
+    fn on_instances_provisioned(&mut self, name: &str, result: Result<CloudReply, CloudError>) {
         let now = self.now;
-        let Some(leading) = &mut self.leading else {
+        let Some(leading) = &mut self.leader_state else {
             return;
         };
         let lease = leading.lease;
-        let renting = &mut leading.renting;
-        let Some(books) = &mut leading.books else {
+        let renting = &mut leading.provisioning;
+        let Some(cluster) = &mut leading.cluster else {
             return;
         };
-        let Some(at) = renting.rentals.iter().position(|(known, _)| known == name) else {
+        let Some(at) = renting
+            .requests_in_flight
+            .iter()
+            .position(|(known, _)| known == name)
+        else {
             return;
         };
-        let rental = renting.rentals[at].1.clone();
+        let rental = renting.requests_in_flight[at].1.clone();
         let offer = rental.offer;
         renting.planned_at = 0;
         match result {
             Ok(CloudReply::Rented(names)) => {
-                renting.rentals.swap_remove(at);
+                renting.requests_in_flight.swap_remove(at);
                 if (names.len() as u32) < rental.count {
-                    renting.autoscaler.refuse(offer, now);
+                    renting.autoscaler.mark_unavailable(offer, now);
                 }
                 for machine in &names {
-                    books.add_machine(machine, offer.type_ix, offer.zone, offer.spot, now);
+                    cluster.add_machine(machine, offer.machine_type, offer.zone, offer.spot, now);
                 }
                 tracing::debug!(name, ?names, "rented");
             }
             Ok(CloudReply::NoCapacity) => {
                 tracing::debug!(name, ?offer, "no capacity");
-                renting.rentals.swap_remove(at);
-                renting.autoscaler.refuse(offer, now);
+                renting.requests_in_flight.swap_remove(at);
+                renting.autoscaler.mark_unavailable(offer, now);
             }
             // It may have been carried out: the same name tells, and rents nothing twice.
             Err(CloudError::NoAnswer) => {
-                let request = CloudRequest::Rent(rent_request(books, name, &rental));
-                self.cloud(
-                    CloudTag::Rent {
+                let request = CloudRequest::Rent(instance_request(cluster, name, &rental));
+                self.call_cloud(
+                    CloudTag::RequestInstances {
                         lease,
-                        name: name.to_owned(),
+                        request_name: name.to_owned(),
                     },
                     request,
                 );
             }
             _ => {
-                renting.rentals.swap_remove(at);
-                renting.trouble_until = now + TROUBLE;
+                renting.requests_in_flight.swap_remove(at);
+                renting.backoff_until = now + CLOUD_BACKOFF_MS;
             }
         }
     }
 
-    fn deleted(&mut self, names: &[String], result: Result<CloudReply, CloudError>) {
+    fn on_instances_deleted(&mut self, names: &[String], result: Result<CloudReply, CloudError>) {
         let now = self.now;
-        let Some(leading) = &mut self.leading else {
+        let Some(leading) = &mut self.leader_state else {
             return;
         };
-        leading.renting.deleting = false;
-        let Some(books) = &mut leading.books else {
+        leading.provisioning.deleting = false;
+        let Some(cluster) = &mut leading.cluster else {
             return;
         };
         if !matches!(result, Ok(CloudReply::Deleted)) {
-            leading.renting.trouble_until = now + TROUBLE;
+            leading.provisioning.backoff_until = now + CLOUD_BACKOFF_MS;
             return;
         }
         for name in names {
-            if let Some(&index) = books.machine_index.get(name) {
-                lose(books, index, now);
-                books.machines[index.at()].state = MachineState::Gone;
+            if let Some(&index) = cluster.machines_by_name.get(name) {
+                mark_lost(cluster, index, now);
+                cluster.machines[index.as_usize()].state = MachineState::Gone;
             }
         }
     }
 }
 
-fn rent_request(books: &Books, name: &str, rental: &Rental) -> RentRequest {
+fn instance_request(cluster: &ClusterState, name: &str, rental: &InstanceRequest) -> RentRequest {
     let Offer {
-        type_ix,
+        machine_type: type_ix,
         zone,
         spot,
     } = rental.offer;
     RentRequest {
         name: name.to_owned(),
-        type_name: books.types[type_ix.at()].name.clone(),
-        zone: books.zone_names[zone.at()].clone(),
+        type_name: cluster.machine_types[type_ix.as_usize()].name.clone(),
+        zone: cluster.zone_names[zone.as_usize()].clone(),
         spot,
         count: rental.count,
     }
 }
 
 /// Machines to delete: returned ones, and those that are gone or will never be of use.
-fn dead(books: &Books, now: Millis, silence: Millis) -> Vec<String> {
-    books
+fn machines_to_delete(cluster: &ClusterState, now: Millis, silence: Millis) -> Vec<String> {
+    cluster
         .machines
         .iter()
         .filter(|machine| {
-            let boot = books.types[machine.type_ix.at()].boot_s * BOOT_FACTOR + 10.0;
-            let silent = machine.heard_at.is_none_or(|at| at + silence < now);
+            let boot = cluster.machine_types[machine.machine_type.as_usize()].boot_s
+                * MAX_BOOT_TIME_FACTOR
+                + 10.0;
+            let silent = machine
+                .last_heartbeat_at
+                .is_none_or(|at| at + silence < now);
             match machine.state {
                 MachineState::Gone => false,
                 MachineState::Deleting => true,
                 _ if machine.listed_failed => true,
                 MachineState::Booting => {
-                    machine.rented_at + millis(boot) < now && machine.known_since + 10_000 < now
+                    machine.provisioned_at + millis(boot) < now
+                        && machine.known_since + 10_000 < now
+                }
+                MachineState::Lost => {
+                    machine.missed_listings > 0 || machine.idle_since + LOST_MACHINE_GRACE_MS < now
                 }
-                MachineState::Lost => machine.absent > 0 || machine.idle_since + LOST < now,
                 MachineState::Up => {
                     // Deleting what is gone anyway proves that nothing runs there any more.
                     silent
-                        && (machine.absent > 1
-                            || machine.recall_at.is_some_and(|at| at + 1000 < now))
+                        && (machine.missed_listings > 1
+                            || machine.reclaim_at.is_some_and(|at| at + 1000 < now))
                 }
             }
         })
         .map(|machine| machine.name.clone())
-        .take(MAX_DELETE)
+        .take(MAX_DELETIONS_PER_REQUEST)
         .collect()
 }
