--- a/src/coordination/quota/mod.rs
+++ b/src/coordination/quota/mod.rs
@@ -9,21 +9,21 @@
 
 use serde::de::DeserializeOwned;
 
-use super::{AskId, Effect, Leading, Node, StateTag};
+use super::{Effect, LeaderState, Node, RequestId, StateTag};
 use crate::{
-    cells::Cells,
-    cluster::{Amounts, Books, Team as BookedTeam, TeamIx},
+    cells::CellTopology,
+    cluster::{ClusterState, Resources, Team as BookedTeam, TeamIndex},
     config::Team,
-    coordination::write_outcome::{Fate, TXN_TIMEOUT},
+    coordination::write_outcome::{TXN_TIMEOUT_MS, WriteOutcome},
     protocol::{
-        job::Kind,
+        job::JobKind,
         state::{Row, StateError, StateReply, StateRequest, Txn, Urgency},
     },
     quota::{
-        HoldRecord, HomeRecord, Quota, QuotaError, TeamQuota,
-        coordinator::Home,
-        home_of,
-        participant::{Demand, Holder},
+        CoordinatorRecord, ParticipantRecord, Quota, QuotaError, TeamQuota,
+        coordinator::Coordinator,
+        coordinator_of,
+        participant::{Participant, TeamDemand},
         units_allowed, units_of_limit, units_used,
     },
     scheduling,
@@ -34,344 +34,362 @@
 mod messages;
 mod teams;
 
-pub use messages::{CellAnswer, CellStatement, MembersRecord};
+pub use messages::{CellGrants, CellMembershipRecord, CellReport};
 
 /// How often allocations are looked at.
-const WORK: Millis = 100;
+const QUOTA_INTERVAL_MS: Millis = 100;
 /// How often a cell tells another how it stands, and after how long an answer is no longer waited for.
-const EXCHANGE: Millis = 400;
-const EXCHANGE_TIMEOUT: Millis = 3000;
+const REPORT_INTERVAL_MS: Millis = 400;
+const REPORT_TIMEOUT_MS: Millis = 3000;
 /// A cell without an answer for that long is told of in the log, and how often it is again.
-const SILENT: Millis = 6000;
-const SILENT_AGAIN: Millis = 60_000;
-const PAGE: u32 = 500;
-const READ_TIMEOUT: Millis = 3000;
-const READ_AGAIN: Millis = 250;
+const SILENT_CELL_WARNING_MS: Millis = 6000;
+const SILENT_CELL_REPEAT_MS: Millis = 60_000;
+const PAGE_ROWS: u32 = 500;
+const READ_TIMEOUT_MS: Millis = 3000;
+const READ_RETRY_MS: Millis = 250;
 /// What a transaction may hold besides its values, and a value's key and conditions.
-const TXN_BYTES: usize = 60 * 1024;
-const ITEM_BYTES: usize = 512;
+const MAX_TXN_BYTES: usize = 60 * 1024;
+const RECORD_OVERHEAD_BYTES: usize = 512;
 
 /// A record that is being written.
-enum Item {
-    Members(MembersRecord),
-    Home(String, HomeRecord),
-    Hold(String, HoldRecord),
+enum QuotaRecordWrite {
+    Membership(CellMembershipRecord),
+    Coordinator(String, CoordinatorRecord),
+    Participant(String, ParticipantRecord),
 }
 
 /// How reading the records goes on.
 #[derive(Debug, Default)]
-struct Reading {
-    wanted: bool,
-    asked: bool,
-    after: Option<String>,
+struct QuotaRead {
+    is_needed: bool,
+    in_flight: bool,
+    after_key: Option<String>,
     /// After a failure: not again before.
-    not_before: Millis,
+    retry_at: Millis,
 }
 
 /// A cell with which statements are exchanged.
 #[derive(Debug, Default)]
-struct Exchange {
+struct PeerExchange {
     sent_at: Option<Millis>,
-    waits: bool,
+    awaits_answer: bool,
     answered_at: Option<Millis>,
     warned_at: Option<Millis>,
 }
 
 /// A leader's view of the quotas.
-pub struct Quotas {
-    own: String,
+pub struct CellQuotas {
+    own_cell: String,
     cells: Vec<String>,
     /// All records have been read at least once.
-    loaded: bool,
-    reading: Reading,
-    members: MembersRecord,
-    members_version: u64,
-    /// Cells that named this list, stored or not.
-    named: BTreeSet<String>,
-    homes: BTreeMap<String, Home>,
-    holders: BTreeMap<String, Holder>,
-    writing: Vec<Item>,
+    is_loaded: bool,
+    reading: QuotaRead,
+    membership: CellMembershipRecord,
+    membership_key_version: u64,
+    /// CellTopology that named this list, stored or not.
+    agreeing_cells: BTreeSet<String>,
+    coordinators: BTreeMap<String, Coordinator>,
+    participants: BTreeMap<String, Participant>,
+    writes_in_flight: Vec<QuotaRecordWrite>,
     /// Counts writes: an answer is of one of them.
-    writes: u64,
+    write_number: u64,
     /// The key that was written last: the next write begins behind it.
-    written_last: String,
-    worked_at: Millis,
-    exchanges: BTreeMap<String, Exchange>,
+    last_written_key: String,
+    updated_at: Millis,
+    peers: BTreeMap<String, PeerExchange>,
     /// Teams whose latest change is not in force everywhere.
-    changing: BTreeSet<String>,
+    teams_changing: BTreeSet<String>,
     /// Messages of other cells that were not taken.
-    pub refused: u64,
+    pub rejected_messages: u64,
     /// The log has told of a record that is too long to be stored.
-    told_too_long: bool,
+    oversize_logged: bool,
 }
 
 /// How the quota of a team stands in this cell.
 #[derive(Clone, Debug, PartialEq)]
-pub struct TeamStatus {
+pub struct TeamQuotaStatus {
     /// The team.
     pub team: String,
     /// Units of what it may use here.
-    pub allocation: f64,
+    pub allocated_units: f64,
     /// Units of what it uses here.
-    pub used: f64,
+    pub used_units: f64,
     /// The version of its quota that is known here.
-    pub version: u64,
+    pub quota_version: u64,
 }
 
 /// How quotas stand, as this cell's leader sees it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QuotaStatus {
     /// This cell.
-    pub own: String,
+    pub own_cell: String,
     /// Each team in this cell.
-    pub teams: Vec<TeamStatus>,
+    pub teams: Vec<TeamQuotaStatus>,
     /// For how long the oldest change of a team whose home this is has waited to be in force.
     pub oldest_change_ms: Millis,
     /// In how many of those teams each cell is behind.
-    pub behind: Vec<(String, usize)>,
+    pub cells_behind: Vec<(String, usize)>,
     /// Messages of other cells that were not taken.
-    pub refused: u64,
+    pub rejected_messages: u64,
 }
 
-impl Quotas {
+impl CellQuotas {
     /// Nothing is known yet.
-    pub fn new(cells: &Cells) -> Self {
+    pub fn new(cells: &CellTopology) -> Self {
         let names = cells.names();
         let peers = cells.peers.keys();
-        Quotas {
-            own: cells.own.clone(),
-            named: BTreeSet::from([cells.own.clone()]),
+        CellQuotas {
+            own_cell: cells.own_cell.clone(),
+            agreeing_cells: BTreeSet::from([cells.own_cell.clone()]),
             cells: names,
-            loaded: false,
-            reading: Reading {
-                wanted: true,
-                ..Reading::default()
+            is_loaded: false,
+            reading: QuotaRead {
+                is_needed: true,
+                ..QuotaRead::default()
             },
-            members: MembersRecord::default(),
-            members_version: 0,
-            homes: BTreeMap::new(),
-            holders: BTreeMap::new(),
-            writing: Vec::new(),
-            writes: 0,
-            written_last: String::new(),
-            worked_at: 0,
-            exchanges: peers
-                .map(|name| (name.clone(), Exchange::default()))
+            membership: CellMembershipRecord::default(),
+            membership_key_version: 0,
+            coordinators: BTreeMap::new(),
+            participants: BTreeMap::new(),
+            writes_in_flight: Vec::new(),
+            write_number: 0,
+            last_written_key: String::new(),
+            updated_at: 0,
+            peers: peers
+                .map(|name| (name.clone(), PeerExchange::default()))
                 .collect(),
-            changing: BTreeSet::new(),
-            refused: 0,
-            told_too_long: false,
+            teams_changing: BTreeSet::new(),
+            rejected_messages: 0,
+            oversize_logged: false,
         }
     }
 
     /// Takes in a record that was read.
-    fn read(&mut self, row: Row, now: Millis) {
+    fn apply_row(&mut self, row: Row, now: Millis) {
         let key = row.key.as_str();
-        if key == storage::QUOTA_CELLS {
-            if let Some(record) = parsed(&row) {
-                self.members = record;
-                self.members_version = row.version;
+        if key == storage::QUOTA_CELLS_KEY {
+            if let Some(record) = parse_record(&row) {
+                self.membership = record;
+                self.membership_key_version = row.version;
             }
-        } else if let Some(team) = storage::parse_quota_home_key(key) {
-            let Some(record) = parsed::<HomeRecord>(&row) else {
+        } else if let Some(team) = storage::parse_quota_coordinator_key(key) {
+            let Some(record) = parse_record::<CoordinatorRecord>(&row) else {
                 return;
             };
-            match self.homes.get_mut(team) {
-                Some(home) => home.stored_as(record, row.version, now),
+            match self.coordinators.get_mut(team) {
+                Some(home) => home.on_stored(record, row.version, now),
                 None => {
-                    let home = Home::new(&self.cells, record, row.version, now);
-                    self.homes.insert(team.to_owned(), home);
+                    let home = Coordinator::new(&self.cells, record, row.version, now);
+                    self.coordinators.insert(team.to_owned(), home);
                 }
             }
-        } else if let Some(team) = storage::parse_quota_hold_key(key) {
-            let Some(record) = parsed::<HoldRecord>(&row) else {
+        } else if let Some(team) = storage::parse_quota_participant_key(key) {
+            let Some(record) = parse_record::<ParticipantRecord>(&row) else {
                 return;
             };
-            match self.holders.get_mut(team) {
-                Some(holder) => holder.stored_as(record, row.version),
+            match self.participants.get_mut(team) {
+                Some(holder) => holder.on_stored(record, row.version),
                 None => {
-                    let holder = Holder::new(record, row.version);
-                    self.holders.insert(team.to_owned(), holder);
+                    let holder = Participant::new(record, row.version);
+                    self.participants.insert(team.to_owned(), holder);
                 }
             }
         }
     }
 
     /// Whether the cells are those that this cell has stored, if it has.
-    fn same_cells(&self) -> bool {
-        self.members.cells.is_empty() || self.members.cells == self.cells
+    fn has_stored_cells(&self) -> bool {
+        self.membership.cells.is_empty() || self.membership.cells == self.cells
     }
 
     /// Whether this cell is the home of the team.
-    fn is_home(&self, team: &str) -> bool {
-        home_of(team, &self.cells) == Some(self.own.as_str())
+    fn is_coordinator_of(&self, team: &str) -> bool {
+        coordinator_of(team, &self.cells) == Some(self.own_cell.as_str())
     }
 
     /// Another cell named its list; whether it is the same.
-    fn named_by(&mut self, cell: &str, cells: &[String]) -> bool {
-        let alike = cells == self.cells && self.exchanges.contains_key(cell) && self.same_cells();
+    fn confirm_cell_list(&mut self, cell: &str, cells: &[String]) -> bool {
+        let alike = cells == self.cells && self.peers.contains_key(cell) && self.has_stored_cells();
         if alike {
-            self.named.insert(cell.to_owned());
+            self.agreeing_cells.insert(cell.to_owned());
         } else {
-            self.refused += 1;
+            self.rejected_messages += 1;
             tracing::error!(cell, ?cells, known = ?self.cells, "a cell that knows other cells is not heard");
         }
         alike
     }
 
-    fn refuse(&mut self, team: &str, error: &QuotaError) {
-        self.refused += 1;
+    fn reject_message(&mut self, team: &str, error: &QuotaError) {
+        self.rejected_messages += 1;
         tracing::error!(team, %error, "another cell's word on a quota is not taken");
     }
 
     /// The record of the members, if more have named the list than is stored.
-    fn members_to_write(&self) -> Option<MembersRecord> {
-        let known = self.same_cells() && !self.named.is_subset(&self.members.confirmed);
-        known.then(|| MembersRecord {
+    fn membership_to_write(&self) -> Option<CellMembershipRecord> {
+        let known =
+            self.has_stored_cells() && !self.agreeing_cells.is_subset(&self.membership.confirmed);
+        known.then(|| CellMembershipRecord {
             cells: self.cells.clone(),
-            confirmed: self.members.confirmed.union(&self.named).cloned().collect(),
+            confirmed: self
+                .membership
+                .confirmed
+                .union(&self.agreeing_cells)
+                .cloned()
+                .collect(),
         })
     }
 
     /// What is to be written next.
-    fn items(&mut self, teams: &[Team], books: &Books, now: Millis) -> Vec<Item> {
-        let mut items: Vec<Item> = self
-            .members_to_write()
-            .map(Item::Members)
+    fn records_to_write(
+        &mut self,
+        teams: &[Team],
+        cluster: &ClusterState,
+        now: Millis,
+    ) -> Vec<QuotaRecordWrite> {
+        let mut items: Vec<QuotaRecordWrite> = self
+            .membership_to_write()
+            .map(QuotaRecordWrite::Membership)
             .into_iter()
             .collect();
-        for (index, team) in books.teams.iter().enumerate() {
-            let used = quota_used(&books.teams[index].booked);
-            let holder = self.holders.entry(team.name.clone()).or_default();
-            let record = holder.next(used);
-            items.extend(record.map(|record| Item::Hold(team.name.clone(), record)));
+        for (index, team) in cluster.teams.iter().enumerate() {
+            let used = resources_to_quota(&cluster.teams[index].reserved);
+            let holder = self.participants.entry(team.name.clone()).or_default();
+            let record = holder.next_record(used);
+            items.extend(
+                record.map(|record| QuotaRecordWrite::Participant(team.name.clone(), record)),
+            );
         }
-        if !self.same_cells() || !self.members.complete() {
+        if !self.has_stored_cells() || !self.membership.is_complete() {
             return items;
         }
-        let configured = configured(teams);
+        let configured = configured_quotas(teams);
         for (name, quota) in &configured {
-            if self.is_home(name) && !self.homes.contains_key(*name) {
-                let home = Home::new(&self.cells, HomeRecord::default(), 0, now);
-                self.homes.insert((*name).to_owned(), home);
+            if self.is_coordinator_of(name) && !self.coordinators.contains_key(*name) {
+                let home = Coordinator::new(&self.cells, CoordinatorRecord::default(), 0, now);
+                self.coordinators.insert((*name).to_owned(), home);
             }
-            if let Some(home) = self.homes.get_mut(*name)
-                && let Some(record) = home.next(*quota, now)
+            if let Some(home) = self.coordinators.get_mut(*name)
+                && let Some(record) = home.next_record(*quota, now)
             {
-                items.push(Item::Home((*name).to_owned(), record));
+                items.push(QuotaRecordWrite::Coordinator((*name).to_owned(), record));
             }
         }
         // What a team that is no longer named holds comes back.
-        for (name, home) in &mut self.homes {
+        for (name, home) in &mut self.coordinators {
             if !configured.contains_key(name.as_str())
-                && let Some(record) = home.next(TeamQuota::default(), now)
+                && let Some(record) = home.next_record(TeamQuota::default(), now)
             {
-                items.push(Item::Home(name.clone(), record));
+                items.push(QuotaRecordWrite::Coordinator(name.clone(), record));
             }
         }
         items
     }
 
-    /// Cells that are this one's own home hear of it without a message.
-    fn talk_to_self(&mut self, books: &Books, now: Millis) {
-        for (team, demand) in books.teams.iter().zip(demands(books)) {
-            let Some(home) = self.homes.get_mut(&team.name) else {
+    /// CellTopology that are this one's own home hear of it without a message.
+    fn exchange_locally(&mut self, cluster: &ClusterState, now: Millis) {
+        for (team, demand) in cluster.teams.iter().zip(team_demands(cluster)) {
+            let Some(home) = self.coordinators.get_mut(&team.name) else {
                 continue;
             };
-            let holder = self.holders.entry(team.name.clone()).or_default();
-            let heard = home.hear(&self.own, holder.position(&demand), now);
+            let holder = self.participants.entry(team.name.clone()).or_default();
+            let heard = home.on_report(&self.own_cell, holder.report(&demand), now);
             let granted = home
-                .grant(&self.own)
-                .map(|grant| holder.hear(&self.own, grant));
+                .grant(&self.own_cell)
+                .map(|grant| holder.on_grant(&self.own_cell, grant));
             let outcome = heard.and(granted.unwrap_or(Ok(())));
             if let Err(error) = outcome {
                 let name = team.name.clone();
-                self.refuse(&name, &error);
+                self.reject_message(&name, &error);
             }
         }
     }
 
     /// What this cell tells the home of some teams.
-    fn statement(&mut self, to: &str, books: &Books, demands: &[Demand]) -> CellStatement {
+    fn cell_report(
+        &mut self,
+        to: &str,
+        cluster: &ClusterState,
+        demands: &[TeamDemand],
+    ) -> CellReport {
         let mut teams = Vec::new();
-        for (team, demand) in books.teams.iter().zip(demands) {
-            if home_of(&team.name, &self.cells) != Some(to) {
+        for (team, demand) in cluster.teams.iter().zip(demands) {
+            if coordinator_of(&team.name, &self.cells) != Some(to) {
                 continue;
             }
-            let holder = self.holders.entry(team.name.clone()).or_default();
-            teams.push((team.name.clone(), holder.position(demand)));
+            let holder = self.participants.entry(team.name.clone()).or_default();
+            teams.push((team.name.clone(), holder.report(demand)));
         }
-        CellStatement {
-            from: self.own.clone(),
+        CellReport {
+            from: self.own_cell.clone(),
             cells: self.cells.clone(),
-            teams,
+            positions: teams,
         }
     }
 
     /// As a home, takes another cell's statement in and answers it.
-    fn stated(&mut self, statement: &CellStatement, now: Millis) -> Option<CellAnswer> {
-        if !self.loaded || !self.named_by(&statement.from, &statement.cells) {
+    fn answer_cell_report(&mut self, statement: &CellReport, now: Millis) -> Option<CellGrants> {
+        if !self.is_loaded || !self.confirm_cell_list(&statement.from, &statement.cells) {
             return None;
         }
         let mut teams = Vec::new();
-        for (team, position) in &statement.teams {
-            let Some(home) = self.homes.get_mut(team) else {
+        for (team, position) in &statement.positions {
+            let Some(home) = self.coordinators.get_mut(team) else {
                 continue;
             };
-            match home.hear(&statement.from, *position, now) {
+            match home.on_report(&statement.from, *position, now) {
                 Ok(()) => teams.extend(
                     home.grant(&statement.from)
                         .map(|grant| (team.clone(), grant)),
                 ),
-                Err(error) => self.refuse(team, &error),
+                Err(error) => self.reject_message(team, &error),
             }
         }
-        Some(CellAnswer {
-            from: self.own.clone(),
+        Some(CellGrants {
+            from: self.own_cell.clone(),
             cells: self.cells.clone(),
-            teams,
+            grants: teams,
         })
     }
 
     /// A home's answer.
-    fn answered(&mut self, cell: &str, answer: CellAnswer, now: Millis) {
-        if answer.from != cell || !self.named_by(cell, &answer.cells) {
+    fn apply_grants(&mut self, cell: &str, answer: CellGrants, now: Millis) {
+        if answer.from != cell || !self.confirm_cell_list(cell, &answer.cells) {
             return;
         }
-        if let Some(exchange) = self.exchanges.get_mut(cell) {
+        if let Some(exchange) = self.peers.get_mut(cell) {
             exchange.answered_at = Some(now);
         }
-        for (team, grant) in answer.teams {
-            let holder = self.holders.entry(team.clone()).or_default();
-            if let Err(error) = holder.hear(cell, grant) {
-                self.refuse(&team, &error);
+        for (team, grant) in answer.grants {
+            let holder = self.participants.entry(team.clone()).or_default();
+            if let Err(error) = holder.on_grant(cell, grant) {
+                self.reject_message(&team, &error);
             }
         }
     }
 
     /// Tells the books what each team may use here now.
-    fn apply(&self, books: &mut Books) {
-        for team in &mut books.teams {
-            let holder = self.holders.get(&team.name);
+    fn apply_limits(&self, cluster: &mut ClusterState) {
+        for team in &mut cluster.teams {
+            let holder = self.participants.get(&team.name);
             let (ceiling, guarantee) = match holder {
-                Some(holder) if self.loaded => (holder.ceiling(), holder.guarantee()),
+                Some(holder) if self.is_loaded => (holder.new_work_ceiling(), holder.guarantee()),
                 _ => (Quota::ZERO, Quota::ZERO),
             };
-            let limit = amounts(ceiling);
+            let limit = quota_to_resources(ceiling);
             if limit.cpus > team.limit.cpus || limit.gpus > team.limit.gpus {
-                books.changed = true;
+                cluster.scheduling_needed = true;
             }
             team.limit = limit;
-            team.guarantee = amounts(guarantee);
+            team.guarantee = quota_to_resources(guarantee);
         }
     }
 
     /// Tells the log of changes that are in force, and of cells that are silent.
-    fn tell(&mut self, now: Millis) {
-        for (team, home) in &self.homes {
-            match home.waiting(now) {
+    fn log_changes(&mut self, now: Millis) {
+        for (team, home) in &self.coordinators {
+            match home.pending_for(now) {
                 Some(_) => {
-                    if self.changing.insert(team.clone()) {
+                    if self.teams_changing.insert(team.clone()) {
                         let version = home.stored().version;
                         tracing::info!(
                             team,
@@ -381,23 +399,25 @@
                     }
                 }
                 None => {
-                    if self.changing.remove(team) {
-                        let (version, took_ms) = (home.stored().version, home.age(now));
+                    if self.teams_changing.remove(team) {
+                        let (version, took_ms) = (home.stored().version, home.version_age(now));
                         tracing::info!(team, version, took_ms, "a quota's change is in force");
                     }
                 }
             }
         }
-        for (cell, exchange) in &mut self.exchanges {
+        for (cell, exchange) in &mut self.peers {
             let since = exchange.answered_at.or(exchange.sent_at);
-            let silent = since.is_some_and(|at| at + SILENT < now);
-            let warned = exchange.warned_at.is_some_and(|at| at + SILENT_AGAIN > now);
+            let silent = since.is_some_and(|at| at + SILENT_CELL_WARNING_MS < now);
+            let warned = exchange
+                .warned_at
+                .is_some_and(|at| at + SILENT_CELL_REPEAT_MS > now);
             if silent && !warned {
                 exchange.warned_at = Some(now);
                 let behind = self
-                    .homes
+                    .coordinators
                     .values()
-                    .filter(|home| home.behind().contains(&cell.as_str()));
+                    .filter(|home| home.outdated_cells().contains(&cell.as_str()));
                 let (changes, for_ms) = (behind.count(), now.saturating_sub(since.unwrap_or(now)));
                 tracing::warn!(
                     cell,
@@ -410,34 +430,37 @@
     }
 
     /// How quotas stand.
-    pub fn status(&self, books: &Books, now: Millis) -> QuotaStatus {
-        let teams = books.teams.iter().map(|team| {
-            let holder = self.holders.get(&team.name);
-            let allocation = holder.map_or(Quota::ZERO, Holder::allocation);
-            TeamStatus {
+    pub fn status(&self, cluster: &ClusterState, now: Millis) -> QuotaStatus {
+        let teams = cluster.teams.iter().map(|team| {
+            let holder = self.participants.get(&team.name);
+            let allocation = holder.map_or(Quota::ZERO, Participant::usable_quota);
+            TeamQuotaStatus {
                 team: team.name.clone(),
-                allocation: books.units(&amounts(allocation)),
-                used: books.units(&team.booked),
-                version: holder.map_or(0, |holder| holder.stored().version),
+                allocated_units: cluster.accounted_units(&quota_to_resources(allocation)),
+                used_units: cluster.accounted_units(&team.reserved),
+                quota_version: holder.map_or(0, |holder| holder.stored().version),
             }
         });
-        let waiting = self.homes.values().filter_map(|home| home.waiting(now));
+        let waiting = self
+            .coordinators
+            .values()
+            .filter_map(|home| home.pending_for(now));
         let behind = self.cells.iter().map(|cell| {
-            let homes = self.homes.values();
-            let count = homes.filter(|home| home.behind().contains(&cell.as_str()));
+            let homes = self.coordinators.values();
+            let count = homes.filter(|home| home.outdated_cells().contains(&cell.as_str()));
             (cell.clone(), count.count())
         });
         QuotaStatus {
-            own: self.own.clone(),
+            own_cell: self.own_cell.clone(),
             teams: teams.collect(),
             oldest_change_ms: waiting.max().unwrap_or(0),
-            behind: behind.collect(),
-            refused: self.refused,
+            cells_behind: behind.collect(),
+            rejected_messages: self.rejected_messages,
         }
     }
 }
 
-fn parsed<T: DeserializeOwned>(row: &Row) -> Option<T> {
+fn parse_record<T: DeserializeOwned>(row: &Row) -> Option<T> {
     match serde_json::from_value(row.value.clone()) {
         Ok(record) => Some(record),
         Err(error) => {
@@ -447,15 +470,15 @@
     }
 }
 
-fn amounts(quota: Quota) -> Amounts {
-    Amounts {
+fn quota_to_resources(quota: Quota) -> Resources {
+    Resources {
         cpus: quota.cpus as f64 / 1000.0,
         gpus: quota.gpus as f64 / 1000.0,
         ram_gb: 0.0,
     }
 }
 
-fn quota_used(amounts: &Amounts) -> Quota {
+fn resources_to_quota(amounts: &Resources) -> Quota {
     Quota {
         cpus: units_used(amounts.cpus),
         gpus: units_used(amounts.gpus),
@@ -463,7 +486,7 @@
 }
 
 /// What operators set for each team.
-fn configured(teams: &[Team]) -> BTreeMap<&str, TeamQuota> {
+fn configured_quotas(teams: &[Team]) -> BTreeMap<&str, TeamQuota> {
     let quota = |team: &Team| TeamQuota {
         guarantee: Quota {
             cpus: units_allowed(team.cpus),
@@ -481,347 +504,356 @@
 }
 
 /// What each team uses in this cell, what waits, and what of it can't be divided.
-fn demands(books: &Books) -> Vec<Demand> {
-    let mut waiting = vec![Amounts::default(); books.teams.len()];
-    let mut grains = vec![Amounts::default(); books.teams.len()];
-    let jobs = books.job_index.values().map(|index| books.job(*index));
+fn team_demands(cluster: &ClusterState) -> Vec<TeamDemand> {
+    let mut waiting = vec![Resources::default(); cluster.teams.len()];
+    let mut grains = vec![Resources::default(); cluster.teams.len()];
+    let jobs = cluster.jobs_by_id.values().map(|index| cluster.job(*index));
     for job in jobs.filter(|job| !job.closed) {
-        let (team, slots) = (job.team.at(), job.open_slots() as f64);
-        waiting[team].cpus += job.need.cpus * slots;
-        waiting[team].gpus += job.need.gpus * slots;
-        if job.tasks.len() > job.waiting.len() + job.done as usize {
+        let (team, slots) = (job.team.as_usize(), job.placeable_tasks() as f64);
+        waiting[team].cpus += job.requested.cpus * slots;
+        waiting[team].gpus += job.requested.gpus * slots;
+        if job.tasks.len() > job.waiting.len() + job.done_count as usize {
             let grain = &mut grains[team];
-            grain.cpus = grain.cpus.max(job.need.cpus);
-            grain.gpus = grain.gpus.max(job.need.gpus);
+            grain.cpus = grain.cpus.max(job.requested.cpus);
+            grain.gpus = grain.gpus.max(job.requested.gpus);
         }
     }
-    let teams = books.teams.iter().zip(waiting).zip(grains);
-    let demand = |((team, waiting), grain): ((&BookedTeam, Amounts), Amounts)| Demand {
-        used: quota_used(&team.booked),
-        waiting: quota_used(&waiting),
-        least: least(books, team),
-        grain: quota_used(&grain),
+    let teams = cluster.teams.iter().zip(waiting).zip(grains);
+    let demand = |((team, waiting), grain): ((&BookedTeam, Resources), Resources)| TeamDemand {
+        used: resources_to_quota(&team.reserved),
+        waiting: resources_to_quota(&waiting),
+        first_request: smallest_request(cluster, team),
+        largest_task: resources_to_quota(&grain),
     };
     teams.map(demand).collect()
 }
 
 /// What the team's first waiting job needs at once: a gang all of it.
-fn least(books: &Books, team: &BookedTeam) -> Quota {
+fn smallest_request(cluster: &ClusterState, team: &BookedTeam) -> Quota {
     let Some(&(.., first)) = team.queue.first() else {
         return Quota::ZERO;
     };
-    let job = books.job(first);
-    let at_once = if job.kind == Kind::Gang {
-        job.open_slots() as f64
+    let job = cluster.job(first);
+    let at_once = if job.kind == JobKind::Gang {
+        job.placeable_tasks() as f64
     } else {
         1.0
     };
-    quota_used(&Amounts {
-        cpus: job.need.cpus * at_once,
-        gpus: job.need.gpus * at_once,
+    resources_to_quota(&Resources {
+        cpus: job.requested.cpus * at_once,
+        gpus: job.requested.gpus * at_once,
         ram_gb: 0.0,
     })
 }
 
 impl Node {
     /// The leader's turn: reads, gives back, grants, writes and tells.
-    pub(super) fn share_quotas(&mut self) {
+    pub(super) fn run_quota_cycle(&mut self) {
         let Some(cells) = &self.config.cells else {
             return;
         };
         let now = self.now;
-        let Some(leading) = &mut self.leading else {
+        let Some(leading) = &mut self.leader_state else {
             return;
         };
-        let quotas = leading.quotas.get_or_insert_with(|| Quotas::new(cells));
-        let Some(books) = &mut leading.books else {
+        let quotas = leading
+            .cell_quotas
+            .get_or_insert_with(|| CellQuotas::new(cells));
+        let Some(cluster) = &mut leading.cluster else {
             return;
         };
-        if quotas.loaded && quotas.worked_at + WORK <= now {
-            quotas.worked_at = now;
-            quotas.talk_to_self(books, now);
-            let items = if quotas.writing.is_empty() && !quotas.reading.wanted {
-                quotas.items(&self.config.settings.teams, books, now)
+        if quotas.is_loaded && quotas.updated_at + QUOTA_INTERVAL_MS <= now {
+            quotas.updated_at = now;
+            quotas.exchange_locally(cluster, now);
+            let items = if quotas.writes_in_flight.is_empty() && !quotas.reading.is_needed {
+                quotas.records_to_write(&self.config.settings.teams, cluster, now)
             } else {
                 Vec::new()
             };
-            quotas.apply(books);
-            stop_excess(quotas, books, now);
-            quotas.tell(now);
-            self.write_quotas(items);
-        } else if !quotas.loaded {
-            quotas.apply(books);
+            quotas.apply_limits(cluster);
+            preempt_excess(quotas, cluster, now);
+            quotas.log_changes(now);
+            self.write_quota_records(items);
+        } else if !quotas.is_loaded {
+            quotas.apply_limits(cluster);
         }
-        self.read_quotas();
-        self.exchange_quotas();
+        self.request_quota_records();
+        self.send_cell_reports();
     }
 
-    fn read_quotas(&mut self) {
-        let Some(leading) = &mut self.leading else {
+    fn request_quota_records(&mut self) {
+        let Some(leading) = &mut self.leader_state else {
             return;
         };
         let lease = leading.lease;
-        let Some(quotas) = &mut leading.quotas else {
+        let Some(quotas) = &mut leading.cell_quotas else {
             return;
         };
         let reading = &quotas.reading;
-        let may = reading.wanted && !reading.asked && reading.not_before <= self.now;
-        if !may || !quotas.writing.is_empty() {
+        let may = reading.is_needed && !reading.in_flight && reading.retry_at <= self.now;
+        if !may || !quotas.writes_in_flight.is_empty() {
             return;
         }
-        quotas.reading.asked = true;
+        quotas.reading.in_flight = true;
         let request = StateRequest::List {
-            prefix: storage::QUOTA,
-            after: quotas.reading.after.clone(),
-            limit: PAGE,
+            prefix: storage::QUOTA_PREFIX,
+            after: quotas.reading.after_key.clone(),
+            limit: PAGE_ROWS,
         };
-        self.state(
-            StateTag::Quotas { lease },
+        self.call_state_service(
+            StateTag::ReadCellQuotas { lease },
             request,
             Urgency::Vital,
-            READ_TIMEOUT,
+            READ_TIMEOUT_MS,
         );
     }
 
-    pub(super) fn quotas_read(&mut self, lease: u64, result: Result<StateReply, StateError>) {
-        if !self.leads(lease) {
+    pub(super) fn on_quota_records_read(
+        &mut self,
+        lease: u64,
+        result: Result<StateReply, StateError>,
+    ) {
+        if !self.holds_leadership(lease) {
             return;
         }
         let now = self.now;
         let Some(quotas) = self
-            .leading
+            .leader_state
             .as_mut()
-            .and_then(|leading| leading.quotas.as_mut())
+            .and_then(|leading| leading.cell_quotas.as_mut())
         else {
             return;
         };
-        quotas.reading.asked = false;
+        quotas.reading.in_flight = false;
         let Ok(StateReply::Page(page)) = result else {
-            quotas.reading.not_before = now + READ_AGAIN;
+            quotas.reading.retry_at = now + READ_RETRY_MS;
             return;
         };
-        quotas.reading.after = page.rows.last().map(|row| row.key.clone());
+        quotas.reading.after_key = page.rows.last().map(|row| row.key.clone());
         for row in page.rows {
-            quotas.read(row, now);
+            quotas.apply_row(row, now);
         }
         if !page.more {
-            quotas.reading = Reading::default();
-            quotas.loaded = true;
-            if !quotas.same_cells() {
-                tracing::error!(stored = ?quotas.members.cells, named = ?quotas.cells,
+            quotas.reading = QuotaRead::default();
+            quotas.is_loaded = true;
+            if !quotas.has_stored_cells() {
+                tracing::error!(stored = ?quotas.membership.cells, named = ?quotas.cells,
                     "other cells are named than are stored: nothing is granted or returned");
             }
         }
     }
 
-    fn write_quotas(&mut self, items: Vec<Item>) {
+    fn write_quota_records(&mut self, items: Vec<QuotaRecordWrite>) {
         let state = &self.config.settings.state;
-        let (most, value_bytes) = (state.txn_ops as usize, state.value_bytes());
-        let Some(leading) = &mut self.leading else {
+        let (most, value_bytes) = (state.max_txn_ops as usize, state.max_value_bytes());
+        let Some(leading) = &mut self.leader_state else {
             return;
         };
-        let (lease, condition) = (leading.lease, leading.condition());
-        let Some(quotas) = &mut leading.quotas else {
+        let (lease, condition) = (leading.lease, leading.leadership_condition());
+        let Some(quotas) = &mut leading.cell_quotas else {
             return;
         };
         let mut txn = Txn::only_if(condition);
         let mut bytes = 0;
-        for item in quotas.in_turn(items) {
-            let (key, version, value) = quotas.to_write(&item);
+        for item in quotas.in_write_order(items) {
+            let (key, version, value) = quotas.prepared_write(&item);
             let size = json_len(&value);
             if size > value_bytes {
-                if !quotas.told_too_long {
-                    quotas.told_too_long = true;
+                if !quotas.oversize_logged {
+                    quotas.oversize_logged = true;
                     tracing::error!(key, size, "a quota's record is too long to be stored");
                 }
                 continue;
             }
-            bytes += size + ITEM_BYTES;
-            if txn.writes.len() >= most || bytes > TXN_BYTES {
+            bytes += size + RECORD_OVERHEAD_BYTES;
+            if txn.writes.len() >= most || bytes > MAX_TXN_BYTES {
                 break;
             }
-            quotas.written_last.clone_from(&key);
+            quotas.last_written_key.clone_from(&key);
             txn.put(key, version, value);
-            quotas.writing.push(item);
+            quotas.writes_in_flight.push(item);
         }
         if txn.writes.is_empty() {
             return;
         }
-        quotas.writes += 1;
-        let write = quotas.writes;
-        let tag = StateTag::QuotasWritten { lease, write };
-        self.state(tag, StateRequest::Txn(txn), Urgency::Prompt, TXN_TIMEOUT);
+        quotas.write_number += 1;
+        let write = quotas.write_number;
+        let tag = StateTag::WriteCellQuotas {
+            lease,
+            write_number: write,
+        };
+        self.call_state_service(tag, StateRequest::Txn(txn), Urgency::Prompt, TXN_TIMEOUT_MS);
     }
 
-    pub(super) fn quotas_written(
+    pub(super) fn on_quota_records_written(
         &mut self,
         lease: u64,
         write: u64,
         result: Result<StateReply, StateError>,
     ) {
-        let Some(fate) = self.fate(lease, result) else {
+        let Some(fate) = self.write_outcome(lease, result) else {
             return;
         };
         let now = self.now;
         let Some(quotas) = self
-            .leading
+            .leader_state
             .as_mut()
-            .and_then(|leading| leading.quotas.as_mut())
+            .and_then(|leading| leading.cell_quotas.as_mut())
         else {
             return;
         };
-        if write != quotas.writes {
+        if write != quotas.write_number {
             return;
         }
-        let items = std::mem::take(&mut quotas.writing);
+        let items = std::mem::take(&mut quotas.writes_in_flight);
         match fate {
-            Fate::Stored(version) => {
+            WriteOutcome::Stored(version) => {
                 for item in items {
-                    quotas.stored(item, version, now);
+                    quotas.on_record_stored(item, version, now);
                 }
             }
             // It may be applied, now or later: what stands is read before anything else is written.
-            Fate::Doubtful => quotas.reading.wanted = true,
-            Fate::Refused => {}
+            WriteOutcome::Unknown => quotas.reading.is_needed = true,
+            WriteOutcome::Rejected => {}
         }
     }
 
-    fn exchange_quotas(&mut self) {
+    fn send_cell_reports(&mut self) {
         let now = self.now;
-        let Some(leading) = &mut self.leading else {
+        let Some(leading) = &mut self.leader_state else {
             return;
         };
         let lease = leading.lease;
-        let (Some(quotas), Some(books)) = (&mut leading.quotas, &leading.books) else {
+        let (Some(quotas), Some(cluster)) = (&mut leading.cell_quotas, &leading.cluster) else {
             return;
         };
-        if !quotas.loaded {
+        if !quotas.is_loaded {
             return;
         }
-        let due = |exchange: &Exchange| {
-            let wait = if exchange.waits {
-                EXCHANGE_TIMEOUT
+        let due = |exchange: &PeerExchange| {
+            let wait = if exchange.awaits_answer {
+                REPORT_TIMEOUT_MS
             } else {
-                EXCHANGE
+                REPORT_INTERVAL_MS
             };
             exchange.sent_at.is_none_or(|at| at + wait <= now)
         };
-        let peers = quotas
-            .exchanges
-            .iter()
-            .filter(|(_, exchange)| due(exchange));
+        let peers = quotas.peers.iter().filter(|(_, exchange)| due(exchange));
         let peers: Vec<String> = peers.map(|(cell, _)| cell.clone()).collect();
         if peers.is_empty() {
             return;
         }
-        let demands = demands(books);
+        let demands = team_demands(cluster);
         for cell in peers {
-            let statement = quotas.statement(&cell, books, &demands);
-            if let Some(exchange) = quotas.exchanges.get_mut(&cell) {
+            let statement = quotas.cell_report(&cell, cluster, &demands);
+            if let Some(exchange) = quotas.peers.get_mut(&cell) {
                 exchange.sent_at = Some(now);
-                exchange.waits = true;
+                exchange.awaits_answer = true;
             }
-            self.out.push(Effect::Exchange {
+            self.effects.push(Effect::SendCellReport {
                 lease,
                 cell,
-                statement: Box::new(statement),
+                report: Box::new(statement),
             });
         }
     }
 
-    pub(super) fn quotas_answered(&mut self, lease: u64, cell: &str, answer: Option<CellAnswer>) {
-        if !self.leads(lease) {
+    pub(super) fn on_cell_grants(&mut self, lease: u64, cell: &str, answer: Option<CellGrants>) {
+        if !self.holds_leadership(lease) {
             return;
         }
         let now = self.now;
         let Some(quotas) = self
-            .leading
+            .leader_state
             .as_mut()
-            .and_then(|leading| leading.quotas.as_mut())
+            .and_then(|leading| leading.cell_quotas.as_mut())
         else {
             return;
         };
-        if let Some(exchange) = quotas.exchanges.get_mut(cell) {
-            exchange.waits = false;
+        if let Some(exchange) = quotas.peers.get_mut(cell) {
+            exchange.awaits_answer = false;
         }
         if let Some(answer) = answer {
-            quotas.answered(cell, answer, now);
+            quotas.apply_grants(cell, answer, now);
         }
     }
 
     /// Another cell's statement. A node that does not lead does not answer it.
-    pub(super) fn quotas_stated(&mut self, id: AskId, statement: &CellStatement) {
+    pub(super) fn handle_cell_report(&mut self, id: RequestId, statement: &CellReport) {
         let now = self.now;
-        let entitled = self.may_start();
+        let entitled = self.can_start_tasks();
         let quotas = self
-            .leading
+            .leader_state
             .as_mut()
-            .and_then(|leading| leading.quotas.as_mut());
+            .and_then(|leading| leading.cell_quotas.as_mut());
         let answer = quotas
             .filter(|_| entitled)
-            .and_then(|quotas| quotas.stated(statement, now));
-        self.out.push(Effect::Stated(id, answer));
+            .and_then(|quotas| quotas.answer_cell_report(statement, now));
+        self.effects.push(Effect::RespondCellReport(id, answer));
     }
 
     /// How quotas stand; `None`: this node does not lead, or cells share none.
     pub(super) fn quota_status(&self) -> Option<QuotaStatus> {
-        let leading = self.leading.as_ref()?;
-        let (quotas, books) = (leading.quotas.as_ref()?, leading.books.as_ref()?);
-        Some(quotas.status(books, self.now))
+        let leading = self.leader_state.as_ref()?;
+        let (quotas, cluster) = (leading.cell_quotas.as_ref()?, leading.cluster.as_ref()?);
+        Some(quotas.status(cluster, self.now))
     }
 }
 
-impl Item {
-    fn key(&self) -> String {
+impl QuotaRecordWrite {
+    fn store_key(&self) -> String {
         match self {
-            Item::Members(_) => storage::QUOTA_CELLS.to_owned(),
-            Item::Home(team, _) => storage::quota_home_key(team),
-            Item::Hold(team, _) => storage::quota_hold_key(team),
+            QuotaRecordWrite::Membership(_) => storage::QUOTA_CELLS_KEY.to_owned(),
+            QuotaRecordWrite::Coordinator(team, _) => storage::quota_coordinator_key(team),
+            QuotaRecordWrite::Participant(team, _) => storage::quota_participant_key(team),
         }
     }
 }
 
-impl Quotas {
+impl CellQuotas {
     /// Puts records in the order in which they are written, round and round by their keys: a transaction holds a few
     /// dozen, and under load the first teams have some to write each time.
-    fn in_turn(&self, mut items: Vec<Item>) -> Vec<Item> {
-        items.sort_by_cached_key(Item::key);
-        let next = items.partition_point(|item| item.key() <= self.written_last);
+    fn in_write_order(&self, mut items: Vec<QuotaRecordWrite>) -> Vec<QuotaRecordWrite> {
+        items.sort_by_cached_key(QuotaRecordWrite::store_key);
+        let next = items.partition_point(|item| item.store_key() <= self.last_written_key);
         items.rotate_left(next);
         items
     }
 
     /// Where a record is kept, the version that it replaces, and its value.
-    fn to_write(&self, item: &Item) -> (String, u64, serde_json::Value) {
+    fn prepared_write(&self, item: &QuotaRecordWrite) -> (String, u64, serde_json::Value) {
         let (version, value) = match item {
-            Item::Members(record) => (self.members_version, to_value(record)),
-            Item::Home(team, record) => {
-                let version = self.homes.get(team).map_or(0, |home| home.key_version);
+            QuotaRecordWrite::Membership(record) => (self.membership_key_version, to_value(record)),
+            QuotaRecordWrite::Coordinator(team, record) => {
+                let version = self
+                    .coordinators
+                    .get(team)
+                    .map_or(0, |home| home.key_version);
                 (version, to_value(record))
             }
-            Item::Hold(team, record) => {
-                let holder = self.holders.get(team);
+            QuotaRecordWrite::Participant(team, record) => {
+                let holder = self.participants.get(team);
                 let version = holder.map_or(0, |holder| holder.key_version);
                 (version, to_value(record))
             }
         };
-        (item.key(), version, value)
+        (item.store_key(), version, value)
     }
 
-    fn stored(&mut self, item: Item, version: u64, now: Millis) {
+    fn on_record_stored(&mut self, item: QuotaRecordWrite, version: u64, now: Millis) {
         match item {
-            Item::Members(record) => {
-                self.members = record;
-                self.members_version = version;
+            QuotaRecordWrite::Membership(record) => {
+                self.membership = record;
+                self.membership_key_version = version;
             }
-            Item::Home(team, record) => {
-                if let Some(home) = self.homes.get_mut(&team) {
-                    home.stored_as(record, version, now);
+            QuotaRecordWrite::Coordinator(team, record) => {
+                if let Some(home) = self.coordinators.get_mut(&team) {
+                    home.on_stored(record, version, now);
                 }
             }
-            Item::Hold(team, record) => {
-                if let Some(holder) = self.holders.get_mut(&team) {
-                    holder.stored_as(record, version);
+            QuotaRecordWrite::Participant(team, record) => {
+                if let Some(holder) = self.participants.get_mut(&team) {
+                    holder.on_stored(record, version);
                 }
             }
         }
@@ -829,11 +861,11 @@
 }
 
 /// Stops what a team runs above what its home has told it to come down to.
-fn stop_excess(quotas: &Quotas, books: &mut Books, now: Millis) {
-    for index in 0..books.teams.len() as u32 {
-        let team = &books.teams[TeamIx(index).at()];
-        let used = quota_used(&team.booked);
-        let excess = match quotas.holders.get(&team.name) {
+fn preempt_excess(quotas: &CellQuotas, cluster: &mut ClusterState, now: Millis) {
+    for index in 0..cluster.teams.len() as u32 {
+        let team = &cluster.teams[TeamIndex(index).as_usize()];
+        let used = resources_to_quota(&team.reserved);
+        let excess = match quotas.participants.get(&team.name) {
             Some(holder) => holder.excess(used),
             None => Quota::ZERO,
         };
@@ -841,7 +873,12 @@
             continue;
         }
         let name = team.name.clone();
-        let victims = scheduling::above(books, TeamIx(index), &amounts(excess), now);
+        let victims = scheduling::select_stops_over_limit(
+            cluster,
+            TeamIndex(index),
+            &quota_to_resources(excess),
+            now,
+        );
         if !victims.is_empty() {
             tracing::info!(
                 team = name,
@@ -850,21 +887,23 @@
             );
         }
         for (machine, at) in victims {
-            let job = books.job(books.machine(machine).attempts[at].job);
+            let job = cluster.job(cluster.machine(machine).attempts[at].job);
             let grace_s = if job.checkpoint_s > 0.0 {
                 job.save_s
             } else {
                 0.0
             };
-            books.stop(machine, at, grace_s);
+            cluster.request_stop(machine, at, grace_s);
         }
     }
 }
 
-impl Leading {
+impl LeaderState {
     /// Whether tasks may be placed as far as quotas go: what this cell holds is known.
-    pub(super) fn quotas_known(&self) -> bool {
-        self.quotas.as_ref().is_none_or(|quotas| quotas.loaded)
+    pub(super) fn has_loaded_quotas(&self) -> bool {
+        self.cell_quotas
+            .as_ref()
+            .is_none_or(|quotas| quotas.is_loaded)
     }
 }
 
--- a/src/coordination/quota/tests.rs
+++ b/src/coordination/quota/tests.rs
@@ -6,20 +6,20 @@
 };
 
 /// Teams whose homes are the first and the second of the cells a, b and c.
-fn team_of(home: &str) -> String {
+fn team_coordinated_by(home: &str) -> String {
     let cells = ["a", "b", "c"].map(String::from);
     let names = (0..).map(|number| format!("team-{number}"));
-    let mut names = names.filter(|name| home_of(name, &cells) == Some(home));
+    let mut names = names.filter(|name| coordinator_of(name, &cells) == Some(home));
     names.next().expect("some team has its home there")
 }
 
-fn quotas() -> Quotas {
+fn cell_quotas() -> CellQuotas {
     let peers = ["b", "c"].map(|name| PeerCell {
         name: name.into(),
         addrs: Vec::new(),
     });
-    let mut quotas = Quotas::new(&Cells::new("a", &peers).unwrap());
-    quotas.loaded = true;
+    let mut quotas = CellQuotas::new(&CellTopology::new("a", &peers).unwrap());
+    quotas.is_loaded = true;
     quotas
 }
 
@@ -34,151 +34,180 @@
 }
 
 /// Writes all that is to be written, as version 1, 2 and so on; how many records.
-fn write(quotas: &mut Quotas, settings: &Settings, books: &Books, version: u64) -> usize {
-    let items = quotas.items(&settings.teams, books, 0);
+fn write(
+    quotas: &mut CellQuotas,
+    settings: &Settings,
+    cluster: &ClusterState,
+    version: u64,
+) -> usize {
+    let items = quotas.records_to_write(&settings.teams, cluster, 0);
     let count = items.len();
     for item in items {
-        quotas.stored(item, version, 0);
+        quotas.on_record_stored(item, version, 0);
     }
     count
 }
 
-fn statement(from: &str, cells: &[&str]) -> CellStatement {
-    CellStatement {
+fn cell_report(from: &str, cells: &[&str]) -> CellReport {
+    CellReport {
         from: from.into(),
         cells: cells.iter().map(|cell| (*cell).to_owned()).collect(),
-        teams: Vec::new(),
+        positions: Vec::new(),
     }
 }
 
 #[test]
-fn a_home_grants_nothing_before_all_cells_have_named_the_same_list() {
-    let team = team_of("a");
+fn coordinator_grants_nothing_until_all_cells_confirm_the_same_list() {
+    let team = team_coordinated_by("a");
     let settings = settings(&team);
-    let books = Books::new(&settings, &[]);
-    let mut quotas = quotas();
+    let cluster = ClusterState::new(&settings, &[]);
+    let mut quotas = cell_quotas();
     let list = ["a", "b", "c"];
     for (version, cell) in [(1, "b"), (2, "c")] {
-        write(&mut quotas, &settings, &books, version);
-        assert!(!quotas.homes.contains_key(&team), "before {cell}");
-        assert!(quotas.stated(&statement(cell, &list), 0).is_some());
+        write(&mut quotas, &settings, &cluster, version);
+        assert!(!quotas.coordinators.contains_key(&team), "before {cell}");
+        assert!(
+            quotas
+                .answer_cell_report(&cell_report(cell, &list), 0)
+                .is_some()
+        );
     }
-    write(&mut quotas, &settings, &books, 3);
+    write(&mut quotas, &settings, &cluster, 3);
     assert!(
-        quotas.members.complete(),
+        quotas.membership.is_complete(),
         "stored before anything is granted"
     );
-    write(&mut quotas, &settings, &books, 4);
-    assert_eq!(quotas.homes[&team].stored().version, 1);
+    write(&mut quotas, &settings, &cluster, 4);
+    assert_eq!(quotas.coordinators[&team].stored().version, 1);
 }
 
 #[test]
-fn who_knows_other_cells_is_not_heard() {
-    let mut quotas = quotas();
+fn message_from_cell_with_another_cell_list_is_rejected() {
+    let mut quotas = cell_quotas();
     for cells in [&["a", "b"][..], &["a", "b", "c", "d"]] {
-        assert_eq!(quotas.stated(&statement("b", cells), 0), None);
+        assert_eq!(quotas.answer_cell_report(&cell_report("b", cells), 0), None);
     }
-    assert_eq!(quotas.stated(&statement("d", &["a", "b", "c"]), 0), None);
-    assert_eq!((quotas.refused, quotas.named.len()), (3, 1));
+    assert_eq!(
+        quotas.answer_cell_report(&cell_report("d", &["a", "b", "c"]), 0),
+        None
+    );
+    assert_eq!(
+        (quotas.rejected_messages, quotas.agreeing_cells.len()),
+        (3, 1)
+    );
 }
 
 #[test]
-fn cells_other_than_those_that_are_stored_change_nothing() {
-    let team = team_of("a");
+fn configured_cells_differing_from_stored_ones_change_nothing() {
+    let team = team_coordinated_by("a");
     let settings = settings(&team);
-    let books = Books::new(&settings, &[]);
-    let mut quotas = quotas();
-    quotas.members = MembersRecord {
+    let cluster = ClusterState::new(&settings, &[]);
+    let mut quotas = cell_quotas();
+    quotas.membership = CellMembershipRecord {
         cells: vec!["a".into(), "b".into()],
         confirmed: ["a".into(), "b".into()].into(),
     };
-    assert_eq!(quotas.stated(&statement("b", &["a", "b", "c"]), 0), None);
-    assert_eq!(write(&mut quotas, &settings, &books, 1), 0);
+    assert_eq!(
+        quotas.answer_cell_report(&cell_report("b", &["a", "b", "c"]), 0),
+        None
+    );
+    assert_eq!(write(&mut quotas, &settings, &cluster, 1), 0);
 }
 
 #[test]
-fn a_second_home_is_refused_and_what_is_held_stays() {
-    let team = team_of("b");
-    let mut quotas = quotas();
+fn grant_from_second_coordinator_is_rejected_and_holdings_stay() {
+    let team = team_coordinated_by("b");
+    let mut quotas = cell_quotas();
     let units = |cpus| Quota { cpus, gpus: 0 };
-    let record = HoldRecord {
-        home: "b".into(),
+    let record = ParticipantRecord {
+        coordinator: "b".into(),
         version: 4,
         target: units(700),
         account: Account {
             granted: units(900),
             returned: units(200),
         },
-        ..HoldRecord::default()
+        ..ParticipantRecord::default()
     };
-    quotas.holders.insert(team.clone(), Holder::new(record, 1));
+    quotas
+        .participants
+        .insert(team.clone(), Participant::new(record, 1));
     let grant = Grant {
         version: 9,
         granted: units(5000),
         target: units(5000),
         ..Grant::default()
     };
-    let answer = CellAnswer {
+    let answer = CellGrants {
         from: "c".into(),
         cells: ["a", "b", "c"].map(String::from).to_vec(),
-        teams: vec![(team.clone(), grant)],
+        grants: vec![(team.clone(), grant)],
     };
-    quotas.answered("c", answer, 0);
-    assert_eq!(quotas.refused, 1);
-    assert_eq!(quotas.holders[&team].ceiling(), units(700));
+    quotas.apply_grants("c", answer, 0);
+    assert_eq!(quotas.rejected_messages, 1);
+    assert_eq!(quotas.participants[&team].new_work_ceiling(), units(700));
     assert_eq!(
-        quotas.holders.get_mut(&team).unwrap().next(Quota::ZERO),
+        quotas
+            .participants
+            .get_mut(&team)
+            .unwrap()
+            .next_record(Quota::ZERO),
         None
     );
 }
 
 #[test]
-fn nothing_may_be_used_before_what_is_held_was_read() {
-    let team = team_of("a");
+fn no_quota_is_usable_before_records_are_read() {
+    let team = team_coordinated_by("a");
     let settings = settings(&team);
-    let mut books = Books::new(&settings, &[]);
-    let mut quotas = quotas();
+    let mut cluster = ClusterState::new(&settings, &[]);
+    let mut quotas = cell_quotas();
     let held = Quota {
         cpus: 8000,
         gpus: 0,
     };
-    let record = HoldRecord {
-        home: "a".into(),
+    let record = ParticipantRecord {
+        coordinator: "a".into(),
         version: 1,
         target: held,
         account: Account {
             granted: held,
             returned: Quota::ZERO,
         },
-        ..HoldRecord::default()
+        ..ParticipantRecord::default()
     };
-    quotas.holders.insert(team, Holder::new(record, 1));
-    quotas.loaded = false;
-    quotas.apply(&mut books);
-    assert_eq!(books.teams[0].limit.cpus, 0.0);
-    quotas.loaded = true;
-    quotas.apply(&mut books);
-    assert_eq!(books.teams[0].limit.cpus, 8.0);
+    quotas
+        .participants
+        .insert(team, Participant::new(record, 1));
+    quotas.is_loaded = false;
+    quotas.apply_limits(&mut cluster);
+    assert_eq!(cluster.teams[0].limit.cpus, 0.0);
+    quotas.is_loaded = true;
+    quotas.apply_limits(&mut cluster);
+    assert_eq!(cluster.teams[0].limit.cpus, 8.0);
 }
 
 /// A drill of 330 teams had changes that came to be in force after 18 s: each write began with the first teams, which
 /// had something to write each time.
 #[test]
-fn every_record_is_written_in_its_turn_however_much_there_is_to_write() {
+fn every_quota_record_is_written_despite_transaction_limit() {
     const TEAMS: usize = 100;
     const AT_ONCE: usize = 8;
-    let mut quotas = quotas();
+    let mut quotas = cell_quotas();
     let mut written = BTreeSet::new();
     for _ in 0..(2 * TEAMS).div_ceil(AT_ONCE) {
         let names = (0..TEAMS).map(|team| format!("team-{team:03}"));
         let items = names.flat_map(|team| {
-            let hold = Item::Hold(team.clone(), HoldRecord::default());
-            [Item::Home(team, HomeRecord::default()), hold]
+            let hold = QuotaRecordWrite::Participant(team.clone(), ParticipantRecord::default());
+            [
+                QuotaRecordWrite::Coordinator(team, CoordinatorRecord::default()),
+                hold,
+            ]
         });
-        let items = quotas.in_turn(items.collect());
+        let items = quotas.in_write_order(items.collect());
         for item in items.iter().take(AT_ONCE) {
-            quotas.written_last = item.key();
-            written.insert(item.key());
+            quotas.last_written_key = item.store_key();
+            written.insert(item.store_key());
         }
     }
     assert_eq!(written.len(), 2 * TEAMS);
--- a/src/coordination/rate_limit_shares.rs
+++ b/src/coordination/rate_limit_shares.rs
@@ -1,22 +1,22 @@
-//! Parts of the services' limits: the leader writes what it does and asks the cloud, followers write for users only.
+//! QuotaShares of the services' limits: the leader writes what it does and asks the cloud, followers write for users only.
 
 /// What is kept free of the services' limits, for clocks that differ.
-const HEADROOM: f64 = 0.92;
+const USABLE_FRACTION: f64 = 0.92;
 /// The leader's parts. Followers ask the cloud for nothing but its machine types when they start.
-const STATE: f64 = 0.5;
-const WRITES: f64 = 0.6;
-const CLOUD: f64 = 0.8;
+const LEADER_REQUEST_SHARE: f64 = 0.5;
+const LEADER_WRITE_SHARE: f64 = 0.6;
+const LEADER_CLOUD_SHARE: f64 = 0.8;
 
 /// The parts of one node, from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Shares {
-    pub requests: f64,
-    pub writes: f64,
+pub struct RateLimitShares {
+    pub state_requests: f64,
+    pub state_writes: f64,
     pub cloud: f64,
 }
 
 /// A node's parts among so many nodes: the followers have equal parts of what the leader leaves.
-pub fn of(nodes: f64, leads: bool) -> Shares {
+pub fn shares_for(nodes: f64, leads: bool) -> RateLimitShares {
     let others = (nodes - 1.0).max(1.0);
     let part = |leaders: f64| {
         let part = if leads || nodes <= 1.0 {
@@ -24,11 +24,11 @@
         } else {
             (1.0 - leaders) / others
         };
-        HEADROOM * part
+        USABLE_FRACTION * part
     };
-    Shares {
-        requests: part(STATE),
-        writes: part(WRITES),
-        cloud: part(CLOUD),
+    RateLimitShares {
+        state_requests: part(LEADER_REQUEST_SHARE),
+        state_writes: part(LEADER_WRITE_SHARE),
+        cloud: part(LEADER_CLOUD_SHARE),
     }
 }
--- a/src/coordination/registry/tests.rs
+++ b/src/coordination/registry/tests.rs
@@ -20,9 +20,9 @@
     JobRecord::Live { at_ms: id, spec }
 }
 
-fn put(directory: &mut Directory, id: u64, record: JobRecord) -> Vec<u64> {
-    match directory.put_job(JobId(id), record, 1) {
-        Change::Jobs(jobs) => jobs.into_iter().map(|id| id.0).collect(),
+fn put(directory: &mut JobRegistry, id: u64, record: JobRecord) -> Vec<u64> {
+    match directory.put_job_record(JobId(id), record, 1) {
+        RegistryChange::Jobs(jobs) => jobs.into_iter().map(|id| id.0).collect(),
         _ => Vec::new(),
     }
 }
@@ -30,7 +30,7 @@
 /// Pipelines of any shape, whose records come in any order: whoever has read them all says the same,
 /// and what it says is what follows from them.
 #[test]
-fn what_follows_for_a_pipeline_does_not_depend_on_the_order_of_reading() {
+fn dependency_outcomes_do_not_depend_on_read_order() {
     for seed in 0..300 {
         let mut rng = StdRng::seed_from_u64(seed);
         let count = rng.random_range(1..30u64);
@@ -58,7 +58,7 @@
             records.extend(ends[id as usize].clone().map(|end| (id, end)));
         }
         records.shuffle(&mut rng);
-        let mut directory = Directory::default();
+        let mut directory = JobRegistry::default();
         for (id, record) in records {
             put(&mut directory, id, record);
         }
@@ -75,21 +75,30 @@
             };
             cancelled.push(ended == Some(JobStatus::Cancelled));
             let entry = directory.get(JobId(id)).expect("it was read");
-            assert_eq!(entry.ended(), ended, "job {id}, seed {seed}");
-            let Entry::Live(job) = entry else { continue };
+            assert_eq!(entry.final_status(), ended, "job {id}, seed {seed}");
+            let RegisteredJob::Live(job) = entry else {
+                continue;
+            };
             let done = |each: &&u64| ends[**each as usize].is_none();
             assert_eq!(
-                job.left,
+                job.dependencies_left,
                 own.iter().filter(done).count(),
                 "job {id}, seed {seed}"
             );
-            if job.left == 0 {
+            if job.dependencies_left == 0 {
                 let last = own.iter().map(|each| 1000 + each).max();
-                assert_eq!(job.released_ms, last.unwrap_or(id), "job {id}, seed {seed}");
+                assert_eq!(
+                    job.released_at_ms,
+                    last.unwrap_or(id),
+                    "job {id}, seed {seed}"
+                );
             }
         }
         // Each stands behind a cancelled one that it needs, or that one's record says so.
-        let doomed: Vec<JobId> = directory.doomed().map(|(id, _)| id).collect();
+        let doomed: Vec<JobId> = directory
+            .jobs_cancelled_by_dependency()
+            .map(|(id, _)| id)
+            .collect();
         for (at, id) in doomed.iter().enumerate() {
             let follows = |each: &u64| {
                 let stored = matches!(ends[*each as usize], Some(JobRecord::Cancelled));
@@ -106,8 +115,8 @@
 /// A node that had lost its way to the state service had each user wait for as long as a request may
 /// take before it asked a member.
 #[test]
-fn a_node_that_the_state_service_does_not_answer_relays_at_once() {
-    use crate::coordination::{Ask, Command, Effect, Now};
+fn node_without_state_service_answers_relays_requests_at_once() {
+    use crate::coordination::{ApiRequest, ClockReading, Command, Effect};
     let config = serde_json::from_value(serde_json::json!({
         "label": "n0", "domain": "a", "listen": "127.0.0.1:1", "mesh_addr": "127.0.0.1:2",
         "members": [{"label": "n1", "domain": "b", "address": "127.0.0.1:5"}],
@@ -120,31 +129,35 @@
         }
     }));
     let mut node = Node::new(config.expect("valid settings"));
-    node.directory.loaded = true;
-    node.loading = Loading::Done;
+    node.registry.loaded = true;
+    node.registry_load = RegistryLoad::Done;
     let kind = serde_json::json!({"sku": "c16", "cpus": 16.0, "ram_gb": 64.0, "hourly": 1.0,
         "ready_s": 10.0, "pull_gb_per_s": 1.0, "local_gb": 50.0, "yards": ["a"]});
-    node.types = vec![serde_json::from_value(kind).expect("a machine type")];
-    let mut relayed = |result, asks: Vec<Ask>| {
-        let tag = StateTag::Sync { generation: 0 };
+    node.machine_types = vec![serde_json::from_value(kind).expect("a machine type")];
+    let mut relayed = |result, asks: Vec<ApiRequest>| {
+        let tag = StateTag::ReadBarrier { generation: 0 };
         let sent_at = 0;
-        let mut commands = vec![Command::State {
+        let mut commands = vec![Command::StateResponse {
             tag,
             sent_at,
             result,
         }];
-        commands.extend((1..).zip(asks).map(|(id, ask)| Command::Ask(id, ask)));
-        let now = Now {
-            steady: 1000,
-            wall: 0,
+        commands.extend(
+            (1..)
+                .zip(asks)
+                .map(|(id, ask)| Command::ApiRequest(id, ask)),
+        );
+        let now = ClockReading {
+            monotonic_ms: 1000,
+            wall_ms: 0,
         };
         let effects = node.step(commands, now);
         let relays = effects
             .iter()
-            .filter(|each| matches!(each, Effect::Relay { .. }));
+            .filter(|each| matches!(each, Effect::RelayRequest { .. }));
         relays.count()
     };
-    let asks = || vec![Ask::Poll(JobId(1)), Ask::Submit(spec(1, &[]))];
+    let asks = || vec![ApiRequest::Poll(JobId(1)), ApiRequest::Submit(spec(1, &[]))];
     assert_eq!(relayed(Err(StateError::NoAnswer), asks()), 2);
     assert_eq!(
         relayed(Err(StateError::Refused(503)), asks()),
@@ -155,10 +168,10 @@
 
 /// However deep or wide: no recursion, and each job is looked at once.
 #[test]
-fn a_cancellation_reaches_all_of_a_deep_or_wide_pipeline_at_once() {
+fn cancellation_propagates_through_deep_and_wide_job_graphs_at_once() {
     const JOBS: u64 = 50_000;
     for wide in [false, true] {
-        let mut directory = Directory::default();
+        let mut directory = JobRegistry::default();
         put(&mut directory, 0, live(0, &[]));
         for id in 1..JOBS {
             let before = if wide { 0 } else { id - 1 };
@@ -166,30 +179,36 @@
         }
         let changed = put(&mut directory, 0, JobRecord::Cancelled);
         assert_eq!(changed.len() as u64, JOBS);
-        let last = directory.get(JobId(JOBS - 1)).and_then(Entry::ended);
+        let last = directory
+            .get(JobId(JOBS - 1))
+            .and_then(RegisteredJob::final_status);
         assert_eq!(last, Some(JobStatus::Cancelled));
         // One that comes later and names any of them.
         assert_eq!(put(&mut directory, JOBS, live(JOBS, &[JOBS - 1])), [JOBS]);
-        let last = directory.get(JobId(JOBS)).and_then(Entry::ended);
+        let last = directory
+            .get(JobId(JOBS))
+            .and_then(RegisteredJob::final_status);
         assert_eq!(last, Some(JobStatus::Cancelled));
     }
 }
 
 /// Whatever comes later, late or twice.
 #[test]
-fn what_is_final_stays_so() {
+fn final_job_status_never_changes() {
     let done = || JobRecord::Done { at_ms: Some(5) };
     let others = || vec![live(1, &[]), done(), JobRecord::Cancelled];
     for (end, status) in [
         (done(), JobStatus::Done),
         (JobRecord::Cancelled, JobStatus::Cancelled),
     ] {
-        let mut directory = Directory::default();
+        let mut directory = JobRegistry::default();
         put(&mut directory, 1, live(1, &[]));
         put(&mut directory, 1, end);
         for other in others() {
             put(&mut directory, 1, other);
-            let ended = directory.get(JobId(1)).and_then(Entry::ended);
+            let ended = directory
+                .get(JobId(1))
+                .and_then(RegisteredJob::final_status);
             assert_eq!(ended, Some(status));
         }
     }
@@ -197,43 +216,54 @@
 
 /// The keys of a long record are read page by page, in any order, and its end may come first.
 #[test]
-fn a_record_of_several_keys_counts_once_all_are_read() {
+fn split_record_is_registered_once_all_parts_are_read() {
     let mut job = spec(7, &[]);
     job.types = Some((0..60).map(|n| format!("{n:0>60}")).collect());
-    let (record, texts) = storage::live_record(5, &job, 2048);
+    let (record, texts) = storage::live_job_record(5, &job, 2048);
     assert!(texts.len() > 1);
     let keys: Vec<(String, Value)> = texts
         .iter()
         .zip(0..)
-        .map(|(text, part)| (storage::part_key(JobId(7), part), storage::to_value(text)))
+        .map(|(text, part)| {
+            (
+                storage::job_part_key(JobId(7), part),
+                storage::to_value(text),
+            )
+        })
         .chain([(storage::job_key(JobId(7)), storage::to_value(&record))])
         .collect();
     for first in 0..keys.len() {
-        let mut directory = Directory::default();
+        let mut directory = JobRegistry::default();
         let mut order = keys.clone();
         order.rotate_left(first);
         for (at, (key, value)) in order.into_iter().enumerate() {
             assert_eq!(directory.get(JobId(7)).is_some(), at == keys.len());
-            directory.put(&key, value, 3);
+            directory.put_row(&key, value, 3);
         }
         let entry = directory.live_job(JobId(7)).expect("all is read");
         assert_eq!((&*entry.spec, entry.version), (&*job, 3));
         let mut txn = Txn::default();
-        entry.end(JobId(7), &JobRecord::Cancelled, &mut txn);
+        entry.append_outcome(JobId(7), &JobRecord::Cancelled, &mut txn);
         assert_eq!(txn.writes.len(), keys.len(), "all of them go with it");
     }
-    let mut directory = Directory::default();
+    let mut directory = JobRegistry::default();
     put(&mut directory, 7, JobRecord::Cancelled);
     for (key, value) in keys {
-        directory.put(&key, value, 3);
+        directory.put_row(&key, value, 3);
     }
-    let ended = directory.get(JobId(7)).and_then(Entry::ended);
+    let ended = directory
+        .get(JobId(7))
+        .and_then(RegisteredJob::final_status);
     assert_eq!(ended, Some(JobStatus::Cancelled));
-    assert!(directory.split.is_empty());
+    assert!(directory.partial_records.is_empty());
 }
 
 /// Each node keeps an entry for every job there ever was.
 #[test]
-fn a_job_that_is_over_takes_little_memory() {
-    assert!(size_of::<Entry>() <= 24, "{} bytes", size_of::<Entry>());
+fn ended_job_keeps_little_memory() {
+    assert!(
+        size_of::<RegisteredJob>() <= 24,
+        "{} bytes",
+        size_of::<RegisteredJob>()
+    );
 }
--- a/src/coordination/status.rs
+++ b/src/coordination/status.rs
@@ -1,37 +1,37 @@
 //! What a node says of itself to whoever watches it.
 
-use super::{Class, Counts, Node, QuotaStatus};
+use super::{AdmissionCounts, Node, QuotaStatus, WorkloadClassName};
 use crate::{
     cluster::MachineState, coordination::registry::LiveJob, protocol::ids::JobId,
-    scheduling::fair_share::Standing, time::Millis,
+    scheduling::fair_share::ShareStatus, time::Millis,
 };
 
 /// A look at the owner; what only a leader knows is empty elsewhere.
 #[derive(Clone, Debug, Default)]
-pub struct Status {
-    pub leading: bool,
+pub struct NodeStatus {
+    pub is_leader: bool,
     pub term: u64,
     /// How long workers may still be renewed without another sync.
     pub entitlement_ms: Millis,
     /// Unfinished jobs that wait for others, and jobs that were cancelled with one that they need and
     /// whose records don't say so yet.
-    pub awaiting: usize,
-    pub ends_unwritten: usize,
+    pub jobs_awaiting_dependencies: usize,
+    pub outcomes_unwritten: usize,
     /// Each team's waiting tasks and booked units.
     pub teams: Vec<(String, usize, f64)>,
     /// How many machines there are in each state.
     pub machines: Vec<(&'static str, usize)>,
-    /// Tasks whose last change is not stored yet.
-    pub unwritten: usize,
+    /// TaskModel whose last change is not stored yet.
+    pub unlogged_tasks: usize,
     /// How submissions of each class fare at this node.
-    pub submissions: Vec<(Class, Counts)>,
+    pub submissions: Vec<(WorkloadClassName, AdmissionCounts)>,
     /// The admission table that this node follows, and what it may let in by it, a second.
-    pub table: u64,
-    pub part: f64,
+    pub admission_quotas_seq: u64,
+    pub admitted_per_s: f64,
     /// The part of its time in which the processor could not follow.
-    pub late: f64,
+    pub lateness: f64,
     /// On the leader: how each class of each team is served.
-    pub classes: Vec<(Class, Standing)>,
+    pub share_statuses: Vec<(WorkloadClassName, ShareStatus)>,
     /// What the tasks that started since the last look had waited for.
     pub start_waits: Vec<Millis>,
     /// On the leader, where cells share quotas: how those stand.
@@ -39,40 +39,46 @@
 }
 
 impl Node {
-    pub fn status(&mut self) -> Status {
-        let until = self.renews_until().unwrap_or(0);
-        let waits = |(_, job): &(JobId, &LiveJob)| job.left > 0;
-        let mut status = Status {
-            awaiting: self.directory.live().filter(waits).count(),
-            ends_unwritten: self.directory.doomed().count(),
-            term: self.directory.term,
+    pub fn status(&mut self) -> NodeStatus {
+        let until = self.renewal_right_ends_at().unwrap_or(0);
+        let waits = |(_, job): &(JobId, &LiveJob)| job.dependencies_left > 0;
+        let mut status = NodeStatus {
+            jobs_awaiting_dependencies: self.registry.live_jobs().filter(waits).count(),
+            outcomes_unwritten: self.registry.jobs_cancelled_by_dependency().count(),
+            term: self.registry.term,
             entitlement_ms: until.saturating_sub(self.now),
-            submissions: self.served_here(),
-            table: self.admission.seq(),
-            part: self.parts().whole(),
-            late: self.admission.late(),
+            submissions: self.local_admission_counts(),
+            admission_quotas_seq: self.admission.quotas_seq(),
+            admitted_per_s: self.quota_shares().total(),
+            lateness: self.admission.lateness(),
             quotas: self.quota_status(),
-            ..Status::default()
+            ..NodeStatus::default()
         };
-        let Some(leading) = &mut self.leading else {
+        let Some(leading) = &mut self.leader_state else {
             return status;
         };
-        status.leading = true;
-        let Some(books) = &mut leading.books else {
+        status.is_leader = true;
+        let Some(cluster) = &mut leading.cluster else {
             return status;
         };
-        status.unwritten = books.unlogged.len() + books.logging.len();
-        status.start_waits = std::mem::take(&mut books.start_waits);
-        status.teams = books
+        status.unlogged_tasks = cluster.unlogged_tasks.len() + cluster.tasks_being_logged.len();
+        status.start_waits = std::mem::take(&mut cluster.start_wait_samples);
+        status.teams = cluster
             .teams
             .iter()
             .map(|team| {
                 let queue = team.queue.iter();
-                let waiting = queue.map(|&(_, _, job)| books.job(job).waiting.len()).sum();
-                (team.name.clone(), waiting, books.units(&team.booked))
+                let waiting = queue
+                    .map(|&(_, _, job)| cluster.job(job).waiting.len())
+                    .sum();
+                (
+                    team.name.clone(),
+                    waiting,
+                    cluster.accounted_units(&team.reserved),
+                )
             })
             .collect();
-        status.classes = books.named_standings();
+        status.share_statuses = cluster.named_share_statuses();
         let states = [
             ("booting", MachineState::Booting),
             ("up", MachineState::Up),
@@ -82,7 +88,7 @@
         status.machines = states
             .into_iter()
             .map(|(name, state)| {
-                let machines = books.machines.iter();
+                let machines = cluster.machines.iter();
                 (
                     name,
                     machines.filter(|machine| machine.state == state).count(),
--- a/src/coordination/takeover/tests.rs
+++ b/src/coordination/takeover/tests.rs
@@ -2,46 +2,46 @@
 
 use super::*;
 use crate::{
-    cluster::{MachineIx, TaskStatus},
+    cluster::{MachineIndex, TaskStatus},
     coordination::Effect,
     protocol::state::{Changes, Event, Page, Write},
 };
 
-fn entry(seq: u64, first: u64, notes: &[TaskNote]) -> (u32, u64, LogRecord) {
-    let job = JobNote {
+fn log_row(seq: u64, first: u64, notes: &[TaskRecord]) -> (u32, u64, LogRecord) {
+    let job = JobSummary {
         team: "red".into(),
-        of: 4,
+        task_count: 4,
         cpus: 1.0,
         gpus: 0.0,
         ram_gb: 1.0,
     };
-    let machine = |name: &str| MachineNote {
+    let machine = |name: &str| MachineRecord {
         name: name.into(),
-        kind: "c16".into(),
+        machine_type: "c16".into(),
         zone: "a".into(),
         spot: false,
         addr: None,
     };
     let record = LogRecord {
         seq,
-        first,
+        first_live_seq: first,
         machines: vec![machine("vm-1"), machine("vm-2")],
         jobs: vec![(JobId(1), job, notes.to_vec())],
     };
     (seq as u32, seq, record)
 }
 
-fn says(entries: Vec<(u32, u64, LogRecord)>) -> Vec<(u32, u32, u8, Option<String>)> {
-    let found = Found {
-        entries,
-        ..Found::default()
+fn recovered_tasks(entries: Vec<(u32, u64, LogRecord)>) -> Vec<(u32, u32, u8, Option<String>)> {
+    let found = RecoveredState {
+        records: entries,
+        ..RecoveredState::default()
     };
-    let mut says: Vec<_> = merged(&found)
+    let mut says: Vec<_> = merge_recovered_jobs(&found)
         .into_values()
         .flat_map(|noted| noted.tasks)
         .map(|(task, latest)| {
-            let on = latest.on.map(|machine| machine.name.clone());
-            (task, latest.attempt, latest.rank, on)
+            let on = latest.machine.map(|machine| machine.name.clone());
+            (task, latest.attempt, latest.progress_rank, on)
         })
         .collect();
     says.sort();
@@ -51,26 +51,35 @@
 /// A write that got no answer may be applied after those that repeat it: an older note must not
 /// hide a newer one, in whatever order the slots are read.
 #[test]
-fn notes_say_the_same_in_any_order() {
+fn recovered_state_does_not_depend_on_record_order() {
     let entries = [
-        entry(
+        log_row(
             3,
             2,
-            &[TaskNote(0, 1, Note::On(0)), TaskNote(1, 1, Note::On(0))],
+            &[
+                TaskRecord(0, 1, RecordedStatus::OnMachine(0)),
+                TaskRecord(1, 1, RecordedStatus::OnMachine(0)),
+            ],
         ),
-        entry(
+        log_row(
             4,
             2,
-            &[TaskNote(0, 2, Note::On(1)), TaskNote(1, 1, Note::Done)],
+            &[
+                TaskRecord(0, 2, RecordedStatus::OnMachine(1)),
+                TaskRecord(1, 1, RecordedStatus::Done),
+            ],
         ),
-        entry(5, 3, &[TaskNote(2, 1, Note::On(1))]),
-        entry(
+        log_row(5, 3, &[TaskRecord(2, 1, RecordedStatus::OnMachine(1))]),
+        log_row(
             6,
             3,
-            &[TaskNote(2, 1, Note::Waiting), TaskNote(0, 2, Note::On(1))],
+            &[
+                TaskRecord(2, 1, RecordedStatus::Waiting),
+                TaskRecord(0, 2, RecordedStatus::OnMachine(1)),
+            ],
         ),
         // Before what the others call the first: pages hold it.
-        entry(2, 1, &[TaskNote(3, 9, Note::On(0))]),
+        log_row(2, 1, &[TaskRecord(3, 9, RecordedStatus::OnMachine(0))]),
     ];
     let expected = vec![
         (0, 2, 0, Some("vm-2".to_owned())),
@@ -80,10 +89,10 @@
     for start in 0..entries.len() {
         let mut order = entries.to_vec();
         order.rotate_left(start);
-        assert_eq!(says(order.clone()), expected);
+        assert_eq!(recovered_tasks(order.clone()), expected);
         order.reverse();
         order.extend_from_within(..2);
-        assert_eq!(says(order), expected);
+        assert_eq!(recovered_tasks(order), expected);
     }
 }
 
@@ -102,8 +111,8 @@
     }));
     let mut node = Node::new(config.expect("valid settings"));
     node.now = 1000;
-    node.granted(900, Ok(StateReply::Granted(7)));
-    node.acquire_answered(7, Ok(StateReply::Committed(5)));
+    node.on_leader_lease_granted(900, Ok(StateReply::Granted(7)));
+    node.on_acquire_response(7, Ok(StateReply::Committed(5)));
     node
 }
 
@@ -113,7 +122,7 @@
         more: false,
         revision: 9,
     };
-    node.books_read(7, Ok(StateReply::Page(notes)));
+    node.on_leader_log_read(7, Ok(StateReply::Page(notes)));
 }
 
 fn synced(node: &mut Node, sent_at: Millis, events: Vec<Event>) {
@@ -121,7 +130,7 @@
         revision: 9,
         events,
     };
-    node.synced(0, sent_at, Ok(StateReply::Changes(changes)));
+    node.on_read_barrier(0, sent_at, Ok(StateReply::Changes(changes)));
 }
 
 /// Job 1, of four tasks, was accepted.
@@ -133,7 +142,7 @@
         "guess_s": 10.0, "bookmark_s": 0.0, "stash_s": 0.0
     }))
     .expect("a submission");
-    let (record, _) = storage::live_record(1, &spec, 16 * 1024);
+    let (record, _) = storage::live_job_record(1, &spec, 16 * 1024);
     Event::Put {
         key: storage::job_key(JobId(1)),
         value: storage::to_value(&record),
@@ -144,43 +153,46 @@
 /// Pages of the version before, which counted them by 99 tasks, and of this one, by 9, tell of the
 /// same tasks. Both count, neither is written for the other, and both go when the job is over.
 #[test]
-fn pages_of_every_length_are_read_and_deleted() {
+fn snapshots_of_every_range_length_are_read_and_deleted() {
     let mut node = successor();
-    let (.., log) = entry(3, 1, &[TaskNote(3, 1, Note::On(1))]);
-    let page = |tasks: &[TaskNote]| ChunkRecord {
+    let (.., log) = log_row(3, 1, &[TaskRecord(3, 1, RecordedStatus::OnMachine(1))]);
+    let page = |tasks: &[TaskRecord]| SnapshotRecord {
         job: log.jobs[0].1.clone(),
         machines: log.machines.clone(),
         tasks: tasks.to_vec(),
     };
     let old = page(&[
-        TaskNote(0, 1, Note::On(0)),
-        TaskNote(1, 1, Note::Done),
-        TaskNote(2, 2, Note::On(0)),
+        TaskRecord(0, 1, RecordedStatus::OnMachine(0)),
+        TaskRecord(1, 1, RecordedStatus::Done),
+        TaskRecord(2, 2, RecordedStatus::OnMachine(0)),
+    ]);
+    let new = page(&[
+        TaskRecord(0, 2, RecordedStatus::OnMachine(1)),
+        TaskRecord(2, 1, RecordedStatus::Waiting),
     ]);
-    let new = page(&[TaskNote(0, 2, Note::On(1)), TaskNote(2, 1, Note::Waiting)]);
     let row = |key: String, value, version| Row {
         key,
         value,
         version,
     };
-    let length = storage::chunk_len(2.0);
-    let numbers = [PageNumber(0), PageNumber::new(length, 0)];
-    let keys = numbers.map(|number| storage::page_key(JobId(1), number));
+    let length = storage::task_range_len(2.0);
+    let numbers = [SnapshotNumber(0), SnapshotNumber::new(length, 0)];
+    let keys = numbers.map(|number| storage::snapshot_key(JobId(1), number));
     let rows = vec![
-        row(storage::slot_key(3), storage::to_value(&log), 3),
+        row(storage::log_slot_key(3), storage::to_value(&log), 3),
         row(keys[0].clone(), storage::to_value(&old), 2),
         row(keys[1].clone(), storage::to_value(&new), 6),
     ];
     read(&mut node, rows);
     synced(&mut node, 1010, vec![accepted()]);
-    let leading = node.leading.as_mut().expect("it leads");
-    let books = leading.books.as_mut().expect("they are made");
-    assert_eq!(books.chunk_len, length);
-    let job = books.job_index[&JobId(1)];
+    let leading = node.leader_state.as_mut().expect("it leads");
+    let cluster = leading.cluster.as_mut().expect("they are made");
+    assert_eq!(cluster.task_range_len, length);
+    let job = cluster.jobs_by_id[&JobId(1)];
     let stands = |task: usize| {
-        let task = books.job(job).tasks[task];
+        let task = cluster.job(job).tasks[task];
         let on = match task.status {
-            TaskStatus::Active(on) => Some(books.machine(on).name.clone()),
+            TaskStatus::Active(on) => Some(cluster.machine(on).name.clone()),
             _ => None,
         };
         (task.attempt, task.status == TaskStatus::Done, on)
@@ -190,20 +202,20 @@
     assert_eq!(stands(1), (1, true, None));
     assert_eq!(stands(2), (2, false, on("vm-1")));
     assert_eq!(stands(3), (1, false, on("vm-2")));
-    let own = books.job(job).chunks[0].version;
-    assert_eq!((own, books.pages(job).len()), (6, 2));
+    let own = cluster.job(job).task_ranges[0].key_version;
+    assert_eq!((own, cluster.stored_snapshots(job).len()), (6, 2));
     // Over, and nothing of it is left on a machine.
-    books.close_job(job);
-    for machine in 0..books.machines.len() as u32 {
-        super::super::fleet::lose(books, MachineIx(machine), 2000);
+    cluster.close_job(job);
+    for machine in 0..cluster.machines.len() as u32 {
+        super::super::fleet::mark_lost(cluster, MachineIndex(machine), 2000);
     }
     node.now = 2000;
-    node.out.clear();
-    node.sweep();
-    let Some(Effect::State {
+    node.effects.clear();
+    node.collect_finished_jobs();
+    let Some(Effect::CallStateService {
         request: StateRequest::Txn(txn),
         ..
-    }) = node.out.pop()
+    }) = node.effects.pop()
     else {
         panic!("nothing is swept");
     };
@@ -216,53 +228,57 @@
         })
         .collect();
     assert_eq!(deleted, HashSet::from(keys));
-    node.swept(7, Ok(StateReply::Committed(10)));
-    let books = node.leading.as_ref().and_then(|l| l.books.as_ref());
-    assert!(books.is_some_and(|books| books.pages(job).is_empty()));
+    node.on_snapshots_deleted(7, Ok(StateReply::Committed(10)));
+    let cluster = node.leader_state.as_ref().and_then(|l| l.cluster.as_ref());
+    assert!(cluster.is_some_and(|cluster| cluster.stored_snapshots(job).is_empty()));
 }
 
 /// A job that was accepted elsewhere just before the takeover, and placed by the predecessor, was not
 /// known yet when the notes had been read: it was taken for one that is over, and what ran of it
 /// would have been stopped for good.
 #[test]
-fn a_leaders_rights_count_from_when_its_last_good_touch_was_sent() {
+fn leadership_is_valid_from_send_time_of_last_successful_renewal() {
     let mut node = successor();
-    node.sync.ok = Some(100_000);
+    node.read_barrier.confirmed_at = Some(100_000);
     let may_start_at = |node: &mut Node, now| {
         node.now = now;
-        node.may_start()
+        node.can_start_tasks()
     };
     assert!(may_start_at(&mut node, 900 + 3100));
     assert!(!may_start_at(&mut node, 900 + 3300), "granted at 900");
     node.now = 4000;
-    node.touched(7, 2000, Ok(StateReply::Touched));
+    node.on_leader_lease_renewed(7, 2000, Ok(StateReply::Touched));
     assert!(may_start_at(&mut node, 2000 + 3100));
     assert!(!may_start_at(&mut node, 2000 + 3300), "sent at 2000");
 }
 
 #[test]
-fn the_books_wait_for_a_sync_that_began_after_the_takeover() {
+fn rebuild_waits_for_a_sync_started_after_takeover() {
     let mut node = successor();
-    let (slot, version, record) = entry(3, 1, &[TaskNote(0, 1, Note::On(0))]);
+    let (slot, version, record) = log_row(3, 1, &[TaskRecord(0, 1, RecordedStatus::OnMachine(0))]);
     let row = Row {
-        key: storage::slot_key(slot),
+        key: storage::log_slot_key(slot),
         value: storage::to_value(&record),
         version,
     };
     read(&mut node, vec![row]);
     // One that was under way already.
     synced(&mut node, 990, Vec::new());
-    let made = |node: &Node| node.leading.as_ref().is_some_and(|l| l.books.is_some());
+    let made = |node: &Node| {
+        node.leader_state
+            .as_ref()
+            .is_some_and(|l| l.cluster.is_some())
+    };
     assert!(!made(&node));
     synced(&mut node, 1010, vec![accepted()]);
     assert!(made(&node));
-    let books = node.leading.as_ref().and_then(|l| l.books.as_ref());
-    let books = books.expect("they are made");
-    let job = books.job(books.job_index[&JobId(1)]);
+    let cluster = node.leader_state.as_ref().and_then(|l| l.cluster.as_ref());
+    let cluster = cluster.expect("they are made");
+    let job = cluster.job(cluster.jobs_by_id[&JobId(1)]);
     assert!(!job.closed);
     assert_eq!(
-        (job.waiting.len(), books.machines[0].attempts.len()),
+        (job.waiting.len(), cluster.machines[0].attempts.len()),
         (3, 1)
     );
-    assert!(books.machines[0].attempts[0].stop.is_none());
+    assert!(cluster.machines[0].attempts[0].stop_grace_s.is_none());
 }
--- a/src/daemon/settings_file.rs
+++ b/src/daemon/settings_file.rs
@@ -7,27 +7,27 @@
 
 use tokio::sync::mpsc;
 
-use crate::{cells::Cells, config::Config, coordination::Command};
+use crate::{cells::CellTopology, config::Config, coordination::Command};
 
 /// How often the file is looked at.
-const LOOK: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What shows that a file was written again.
-type Mark = Option<(SystemTime, u64)>;
+type FileFingerprint = Option<(SystemTime, u64)>;
 
-fn mark(path: &Path) -> Mark {
+fn fingerprint(path: &Path) -> FileFingerprint {
     let file = std::fs::metadata(path).ok()?;
     Some((file.modified().ok()?, file.len()))
 }
 
 /// Tells the owner of the teams whenever the file has changed and has no mistake. With a mistake, which is told of on
 /// one line, all stays as it was. Returns when the owner is gone.
-pub async fn follow(path: PathBuf, owner: mpsc::UnboundedSender<Command>) {
-    let mut known = mark(&path);
-    let mut clock = tokio::time::interval(LOOK);
+pub async fn watch_settings_file(path: PathBuf, owner: mpsc::UnboundedSender<Command>) {
+    let mut known = fingerprint(&path);
+    let mut clock = tokio::time::interval(POLL_INTERVAL);
     loop {
         clock.tick().await;
-        let now = mark(&path);
+        let now = fingerprint(&path);
         if now == known {
             continue;
         }
@@ -39,11 +39,11 @@
                 continue;
             }
         };
-        if let Err(error) = Cells::check_teams(&teams) {
+        if let Err(error) = CellTopology::validate_teams(&teams) {
             tracing::error!(%error, "the settings before stay in force");
             continue;
         }
-        if owner.send(Command::Teams(teams)).is_err() {
+        if owner.send(Command::TeamsChanged(teams)).is_err() {
             return;
         }
     }
--- a/src/daemon/settings_file/tests.rs
+++ b/src/daemon/settings_file/tests.rs
@@ -12,25 +12,25 @@
 }
 
 #[tokio::test]
-async fn a_change_is_told_once_and_a_mistake_never() {
+async fn changed_settings_are_sent_once_and_invalid_settings_never() {
     let name = format!("dalelb-follow-{}.json", std::process::id());
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, settings("1.0")).unwrap();
     let (owner, mut told) = mpsc::unbounded_channel();
-    tokio::spawn(follow(path.clone(), owner));
-    tokio::time::sleep(2 * LOOK).await;
+    tokio::spawn(watch_settings_file(path.clone(), owner));
+    tokio::time::sleep(2 * POLL_INTERVAL).await;
     assert!(told.try_recv().is_err(), "nothing has changed");
     for wrong in ["-100.0", "\"many\""] {
         std::fs::write(&path, settings(wrong)).unwrap();
-        tokio::time::sleep(3 * LOOK).await;
+        tokio::time::sleep(3 * POLL_INTERVAL).await;
         assert!(told.try_recv().is_err(), "{wrong}");
     }
     std::fs::write(&path, settings("250.0")).unwrap();
-    let Some(Command::Teams(teams)) = told.recv().await else {
+    let Some(Command::TeamsChanged(teams)) = told.recv().await else {
         panic!("no teams");
     };
     assert_eq!(teams[0].cpus_max, 250.0);
-    tokio::time::sleep(3 * LOOK).await;
+    tokio::time::sleep(3 * POLL_INTERVAL).await;
     assert!(told.try_recv().is_err(), "told once");
     std::fs::remove_file(path).unwrap();
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -4,7 +4,7 @@
 
 use clap::{Parser, Subcommand};
 use dalelb::{
-    cells::{CellError, Cells, PeerCell},
+    cells::{CellError, CellTopology, PeerCell},
     config::Config,
     daemon,
 };
@@ -64,7 +64,7 @@
         println!("{}: ok", path.display());
         return ExitCode::SUCCESS;
     }
-    config.cells = match cells(&cli.command, &config) {
+    config.cells = match parse_cell_topology(&cli.command, &config) {
         Ok(cells) => cells,
         Err(error) => {
             eprintln!("dalelb: {error}");
@@ -90,7 +90,10 @@
 }
 
 /// The cells that share quotas, if operators name this one.
-fn cells(command: &Command, config: &Config) -> Result<Option<Cells>, CellError> {
+fn parse_cell_topology(
+    command: &Command,
+    config: &Config,
+) -> Result<Option<CellTopology>, CellError> {
     let Command::Serve {
         cell: Some(own),
         peer_cells,
@@ -99,6 +102,6 @@
     else {
         return Ok(None);
     };
-    Cells::check_teams(&config.settings.teams)?;
-    Cells::new(own, peer_cells).map(Some)
+    CellTopology::validate_teams(&config.settings.teams)?;
+    CellTopology::new(own, peer_cells).map(Some)
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -15,7 +15,7 @@
 };
 
 use crate::{
-    coordination::{self, Status},
+    coordination::{self, NodeStatus},
     protocol::{cloud::CloudError, state::StateError},
 };
 
@@ -25,39 +25,39 @@
 pub const MEDIA_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Call {
+struct FailedCallLabels {
     service: &'static str,
     error: &'static str,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Team {
+struct TeamLabels {
     team: String,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Class {
+struct ClassLabels {
     team: String,
     class: String,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Outcome {
+struct OutcomeLabels {
     team: String,
     class: String,
     outcome: &'static str,
 }
 
-impl Class {
-    fn of(class: &coordination::Class) -> Self {
-        Class {
+impl ClassLabels {
+    fn from_class(class: &coordination::WorkloadClassName) -> Self {
+        ClassLabels {
             team: class.team.clone(),
             class: class.class.clone(),
         }
     }
 
-    fn outcome(&self, outcome: &'static str) -> Outcome {
-        Outcome {
+    fn with_outcome(&self, outcome: &'static str) -> OutcomeLabels {
+        OutcomeLabels {
             team: self.team.clone(),
             class: self.class.clone(),
             outcome,
@@ -66,59 +66,59 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct State {
+struct MachineStateLabels {
     state: &'static str,
 }
 
 /// What is shed as sockets run out.
 #[derive(Clone, Copy, Debug)]
-pub enum Shed {
+pub enum ShedConnection {
     /// Connections to workers that were kept open for the next orders.
-    Workers,
+    IdleToWorker,
     /// Workers' connections, after a report.
-    Reports,
+    AfterReport,
     /// Users' connections, after a poll.
-    Polls,
+    AfterPoll,
     /// Connections from outside, at once.
-    Refused,
+    RefusedInbound,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct What {
+struct ShedLabels {
     what: &'static str,
 }
 
-type Amount = Gauge<f64, AtomicU64>;
-type Count = Gauge<i64, AtomicI64>;
+type FloatGauge = Gauge<f64, AtomicU64>;
+type IntGauge = Gauge<i64, AtomicI64>;
 
 /// A node's metrics and their registry.
 pub struct Metrics {
     registry: Registry,
-    errors: Family<Call, Counter>,
-    shed: Family<What, Counter>,
-    passes: Histogram,
-    queue: Count,
-    leading: Count,
-    term: Count,
-    entitlement: Amount,
-    waiting: Family<Team, Count>,
-    booked: Family<Team, Amount>,
-    machines: Family<State, Count>,
-    unwritten: Count,
-    awaiting: Count,
-    ends_unwritten: Count,
-    start_waits: Histogram,
-    submissions: Family<Outcome, Count>,
-    table: Count,
-    part: Amount,
-    late: Amount,
-    class_waiting: Family<Class, Count>,
-    oldest: Family<Class, Amount>,
-    due: Family<Class, Amount>,
-    got: Family<Class, Amount>,
-    behind: Family<Class, Count>,
-    tasks: Family<Outcome, Count>,
-    jobs: Family<Outcome, Count>,
+    failed_calls: Family<FailedCallLabels, Counter>,
+    shed_connections: Family<ShedLabels, Counter>,
+    batch_durations: Histogram,
+    queued_commands: IntGauge,
+    is_leading: IntGauge,
+    term: IntGauge,
+    renewal_entitlement_s: FloatGauge,
+    waiting_tasks: Family<TeamLabels, IntGauge>,
+    reserved_units: Family<TeamLabels, FloatGauge>,
+    machines: Family<MachineStateLabels, IntGauge>,
+    unwritten_tasks: IntGauge,
+    jobs_awaiting_dependencies: IntGauge,
+    unwritten_job_outcomes: IntGauge,
+    start_wait_durations: Histogram,
+    submissions: Family<OutcomeLabels, IntGauge>,
+    admission_quota_version: IntGauge,
+    admission_rate: FloatGauge,
+    cpu_overload_fraction: FloatGauge,
+    class_waiting_tasks: Family<ClassLabels, IntGauge>,
+    class_oldest_wait_s: Family<ClassLabels, FloatGauge>,
+    class_entitled: Family<ClassLabels, FloatGauge>,
+    class_allocated: Family<ClassLabels, FloatGauge>,
+    class_starved: Family<ClassLabels, IntGauge>,
+    task_outcomes: Family<OutcomeLabels, IntGauge>,
+    job_outcomes: Family<OutcomeLabels, IntGauge>,
     quotas: quotas::QuotaMetrics,
 }
 
@@ -130,31 +130,31 @@
         let waits = [0.5, 1.0, 2.0, 4.0, 8.0, 15.0, 30.0, 60.0, 120.0, 300.0];
         let mut metrics = Metrics {
             registry: Registry::with_prefix("dalelb"),
-            errors: Family::default(),
-            shed: Family::default(),
-            passes: Histogram::new(passes),
-            queue: Count::default(),
-            leading: Count::default(),
-            term: Count::default(),
-            entitlement: Amount::default(),
-            waiting: Family::default(),
-            booked: Family::default(),
+            failed_calls: Family::default(),
+            shed_connections: Family::default(),
+            batch_durations: Histogram::new(passes),
+            queued_commands: IntGauge::default(),
+            is_leading: IntGauge::default(),
+            term: IntGauge::default(),
+            renewal_entitlement_s: FloatGauge::default(),
+            waiting_tasks: Family::default(),
+            reserved_units: Family::default(),
             machines: Family::default(),
-            unwritten: Count::default(),
-            awaiting: Count::default(),
-            ends_unwritten: Count::default(),
-            start_waits: Histogram::new(waits),
+            unwritten_tasks: IntGauge::default(),
+            jobs_awaiting_dependencies: IntGauge::default(),
+            unwritten_job_outcomes: IntGauge::default(),
+            start_wait_durations: Histogram::new(waits),
             submissions: Family::default(),
-            table: Count::default(),
-            part: Amount::default(),
-            late: Amount::default(),
-            class_waiting: Family::default(),
-            oldest: Family::default(),
-            due: Family::default(),
-            got: Family::default(),
-            behind: Family::default(),
-            tasks: Family::default(),
-            jobs: Family::default(),
+            admission_quota_version: IntGauge::default(),
+            admission_rate: FloatGauge::default(),
+            cpu_overload_fraction: FloatGauge::default(),
+            class_waiting_tasks: Family::default(),
+            class_oldest_wait_s: Family::default(),
+            class_entitled: Family::default(),
+            class_allocated: Family::default(),
+            class_starved: Family::default(),
+            task_outcomes: Family::default(),
+            job_outcomes: Family::default(),
             quotas: quotas::QuotaMetrics::default(),
         };
         metrics.register();
@@ -165,58 +165,62 @@
 impl Metrics {
     fn register(&mut self) {
         let all = &mut self.registry;
-        all.register("errors", "Calls that failed", self.errors.clone());
+        all.register("errors", "Calls that failed", self.failed_calls.clone());
         all.register(
             "shed",
             "Connections closed or refused as sockets ran out",
-            self.shed.clone(),
+            self.shed_connections.clone(),
         );
         all.register_with_unit(
             "pass",
             "The owner's passes over a batch of commands, rounds included",
             Unit::Seconds,
-            self.passes.clone(),
+            self.batch_durations.clone(),
         );
         all.register(
             "queue",
             "Commands that wait for the owner",
-            self.queue.clone(),
+            self.queued_commands.clone(),
         );
-        all.register("leading", "1 on the leader", self.leading.clone());
+        all.register("leading", "1 on the leader", self.is_leading.clone());
         all.register("term", "The term that this node knows", self.term.clone());
         all.register_with_unit(
             "entitlement",
             "How long this node may still renew workers' leases",
             Unit::Seconds,
-            self.entitlement.clone(),
+            self.renewal_entitlement_s.clone(),
         );
         all.register(
             "tasks_waiting",
             "Tasks without a place",
-            self.waiting.clone(),
+            self.waiting_tasks.clone(),
+        );
+        all.register(
+            "booked",
+            "Booked units of each team",
+            self.reserved_units.clone(),
         );
-        all.register("booked", "Booked units of each team", self.booked.clone());
         all.register("machines", "Machines by state", self.machines.clone());
         all.register(
             "tasks_unwritten",
             "Tasks whose last change is not in the state service yet",
-            self.unwritten.clone(),
+            self.unwritten_tasks.clone(),
         );
         all.register(
             "jobs_awaiting",
             "Unfinished jobs that wait for others",
-            self.awaiting.clone(),
+            self.jobs_awaiting_dependencies.clone(),
         );
         all.register(
             "ends_unwritten",
             "Jobs cancelled with one that they need whose records do not say so yet",
-            self.ends_unwritten.clone(),
+            self.unwritten_job_outcomes.clone(),
         );
         all.register_with_unit(
             "start_wait",
             "From a job's arrival to the start of each of its tasks",
             Unit::Seconds,
-            self.start_waits.clone(),
+            self.start_wait_durations.clone(),
         );
         self.register_admission();
         self.quotas.register(&mut self.registry);
@@ -232,168 +236,190 @@
         all.register(
             "admission_table",
             "The admission table that this node follows",
-            self.table.clone(),
+            self.admission_quota_version.clone(),
         );
         all.register(
             "admission_part",
             "Submissions a second that this node may let in now",
-            self.part.clone(),
+            self.admission_rate.clone(),
         );
         all.register(
             "late",
             "The part of its time in which the processor could not follow, 0 to 1",
-            self.late.clone(),
+            self.cpu_overload_fraction.clone(),
         );
         all.register(
             "class_waiting",
             "Tasks without a place",
-            self.class_waiting.clone(),
+            self.class_waiting_tasks.clone(),
         );
         all.register_with_unit(
             "class_oldest",
             "For how long the leader has known the oldest job with waiting tasks",
             Unit::Seconds,
-            self.oldest.clone(),
+            self.class_oldest_wait_s.clone(),
+        );
+        all.register(
+            "class_due",
+            "Units due, a mean",
+            self.class_entitled.clone(),
+        );
+        all.register(
+            "class_got",
+            "Units that run, a mean",
+            self.class_allocated.clone(),
         );
-        all.register("class_due", "Units due, a mean", self.due.clone());
-        all.register("class_got", "Units that run, a mean", self.got.clone());
         all.register(
             "class_behind",
             "1 while a class catches up with its due",
-            self.behind.clone(),
+            self.class_starved.clone(),
         );
         all.register(
             "tasks",
             "Tasks that this leader saw start and end, and attempts that gave way",
-            self.tasks.clone(),
+            self.task_outcomes.clone(),
         );
         all.register(
             "jobs",
             "Arrays that this leader saw done, and those by the first time aimed at",
-            self.jobs.clone(),
+            self.job_outcomes.clone(),
         );
     }
 
-    fn record_admission(&self, status: &Status) {
-        self.table.set(status.table as i64);
-        self.part.set(status.part);
-        self.late.set(status.late);
+    fn record_admission(&self, status: &NodeStatus) {
+        self.admission_quota_version
+            .set(status.admission_quotas_seq as i64);
+        self.admission_rate.set(status.admitted_per_s);
+        self.cpu_overload_fraction.set(status.lateness);
         for (class, counts) in &status.submissions {
-            let of = Class::of(class);
+            let of = ClassLabels::from_class(class);
             let outcomes = [
-                ("came", counts.came),
+                ("came", counts.arrived),
                 ("accepted", counts.accepted),
-                ("in_time", counts.in_time),
-                ("sent_away", counts.sent_away),
-                ("no_turn", counts.no_turn),
-                ("given_up", counts.given_up),
+                ("in_time", counts.accepted_promptly),
+                ("sent_away", counts.deferred),
+                ("no_turn", counts.deferred_unreserved),
+                ("given_up", counts.abandoned),
             ];
             for (outcome, count) in outcomes {
-                let outcome = of.outcome(outcome);
+                let outcome = of.with_outcome(outcome);
                 let count = count as i64;
                 self.submissions.get_or_create(&outcome).set(count);
             }
         }
-        self.class_waiting.clear();
-        self.oldest.clear();
-        self.due.clear();
-        self.got.clear();
-        self.behind.clear();
-        self.tasks.clear();
-        self.jobs.clear();
-        for (class, standing) in &status.classes {
-            let of = Class::of(class);
-            let waiting = standing.waiting as i64;
-            self.class_waiting.get_or_create(&of).set(waiting);
-            let oldest_s = standing.oldest as f64 / 1000.0;
-            self.oldest.get_or_create(&of).set(oldest_s);
-            self.due.get_or_create(&of).set(standing.due);
-            self.got.get_or_create(&of).set(standing.got);
-            let behind = i64::from(standing.behind);
-            self.behind.get_or_create(&of).set(behind);
+        self.class_waiting_tasks.clear();
+        self.class_oldest_wait_s.clear();
+        self.class_entitled.clear();
+        self.class_allocated.clear();
+        self.class_starved.clear();
+        self.task_outcomes.clear();
+        self.job_outcomes.clear();
+        for (class, standing) in &status.share_statuses {
+            let of = ClassLabels::from_class(class);
+            let waiting = standing.waiting_tasks as i64;
+            self.class_waiting_tasks.get_or_create(&of).set(waiting);
+            let oldest_s = standing.oldest_wait_ms as f64 / 1000.0;
+            self.class_oldest_wait_s.get_or_create(&of).set(oldest_s);
+            self.class_entitled
+                .get_or_create(&of)
+                .set(standing.entitled);
+            self.class_allocated
+                .get_or_create(&of)
+                .set(standing.allocated);
+            let behind = i64::from(standing.starved);
+            self.class_starved.get_or_create(&of).set(behind);
             let outcomes = [
-                ("started", standing.started),
-                ("done", standing.done),
-                ("gave_way", standing.gave_way),
+                ("started", standing.tasks_started),
+                ("done", standing.tasks_completed),
+                ("gave_way", standing.attempts_preempted),
             ];
             for (outcome, count) in outcomes {
-                let outcome = of.outcome(outcome);
-                self.tasks.get_or_create(&outcome).set(count as i64);
+                let outcome = of.with_outcome(outcome);
+                self.task_outcomes.get_or_create(&outcome).set(count as i64);
             }
             let outcomes = [
-                ("done", standing.jobs_done),
-                ("in_time", standing.jobs_in_time),
+                ("done", standing.jobs_completed),
+                ("in_time", standing.jobs_on_time),
             ];
             for (outcome, count) in outcomes {
-                let outcome = of.outcome(outcome);
-                self.jobs.get_or_create(&outcome).set(count as i64);
+                let outcome = of.with_outcome(outcome);
+                self.job_outcomes.get_or_create(&outcome).set(count as i64);
             }
         }
     }
 
-    pub fn state_failed(&self, error: &StateError) {
+    pub fn record_state_error(&self, error: &StateError) {
         let error = match error {
             StateError::NoAnswer => "no_answer",
             _ => "refused",
         };
         let service = "state";
-        self.errors.get_or_create(&Call { service, error }).inc();
+        self.failed_calls
+            .get_or_create(&FailedCallLabels { service, error })
+            .inc();
     }
 
-    pub fn cloud_failed(&self, error: &CloudError) {
+    pub fn record_cloud_error(&self, error: &CloudError) {
         let error = match error {
             CloudError::NoAnswer => "no_answer",
             _ => "refused",
         };
         let service = "cloud";
-        self.errors.get_or_create(&Call { service, error }).inc();
+        self.failed_calls
+            .get_or_create(&FailedCallLabels { service, error })
+            .inc();
     }
 
-    pub fn shed(&self, shed: Shed) {
+    pub fn record_shed(&self, shed: ShedConnection) {
         let what = match shed {
-            Shed::Workers => "workers",
-            Shed::Reports => "reports",
-            Shed::Polls => "polls",
-            Shed::Refused => "refused",
+            ShedConnection::IdleToWorker => "workers",
+            ShedConnection::AfterReport => "reports",
+            ShedConnection::AfterPoll => "polls",
+            ShedConnection::RefusedInbound => "refused",
         };
-        self.shed.get_or_create(&What { what }).inc();
+        self.shed_connections
+            .get_or_create(&ShedLabels { what })
+            .inc();
     }
 
     /// The owner took `time` for a batch.
-    pub fn passed(&self, time: Duration) {
-        self.passes.observe(time.as_secs_f64());
+    pub fn record_batch_duration(&self, time: Duration) {
+        self.batch_durations.observe(time.as_secs_f64());
     }
 
     /// Takes over what the owner says of itself.
-    pub fn record(&self, status: Status, queue: usize) {
-        self.queue.set(queue as i64);
-        self.leading.set(i64::from(status.leading));
+    pub fn record_status(&self, status: NodeStatus, queue: usize) {
+        self.queued_commands.set(queue as i64);
+        self.is_leading.set(i64::from(status.is_leader));
         self.term.set(status.term as i64);
-        self.entitlement.set(status.entitlement_ms as f64 / 1000.0);
-        self.unwritten.set(status.unwritten as i64);
-        self.awaiting.set(status.awaiting as i64);
-        self.ends_unwritten.set(status.ends_unwritten as i64);
+        self.renewal_entitlement_s
+            .set(status.entitlement_ms as f64 / 1000.0);
+        self.unwritten_tasks.set(status.unlogged_tasks as i64);
+        self.jobs_awaiting_dependencies
+            .set(status.jobs_awaiting_dependencies as i64);
+        self.unwritten_job_outcomes
+            .set(status.outcomes_unwritten as i64);
         self.record_admission(&status);
         self.quotas.record(status.quotas);
         // A node that leads no more has nothing to tell of these.
-        self.waiting.clear();
-        self.booked.clear();
+        self.waiting_tasks.clear();
+        self.reserved_units.clear();
         self.machines.clear();
         for (team, waiting, booked) in status.teams {
-            let team = Team { team };
-            self.waiting.get_or_create(&team).set(waiting as i64);
-            self.booked.get_or_create(&team).set(booked);
+            let team = TeamLabels { team };
+            self.waiting_tasks.get_or_create(&team).set(waiting as i64);
+            self.reserved_units.get_or_create(&team).set(booked);
         }
         for (state, machines) in status.machines {
-            let state = State { state };
+            let state = MachineStateLabels { state };
             self.machines.get_or_create(&state).set(machines as i64);
         }
         for wait in status.start_waits {
-            self.start_waits.observe(wait as f64 / 1000.0);
+            self.start_wait_durations.observe(wait as f64 / 1000.0);
         }
     }
 
-    pub fn text(&self) -> String {
+    pub fn render(&self) -> String {
         let mut text = String::new();
         if let Err(error) = encode(&mut text, &self.registry) {
             tracing::warn!(%error, "metrics");
--- a/src/metrics/quotas.rs
+++ b/src/metrics/quotas.rs
@@ -11,27 +11,27 @@
 use crate::coordination::QuotaStatus;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Team {
+struct TeamLabels {
     team: String,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Cell {
+struct CellLabels {
     cell: String,
 }
 
-type Amount = Gauge<f64, AtomicU64>;
-type Count = Gauge<i64, AtomicI64>;
+type FloatGauge = Gauge<f64, AtomicU64>;
+type IntGauge = Gauge<i64, AtomicI64>;
 
 /// Metrics of quotas.
 #[derive(Default)]
 pub(super) struct QuotaMetrics {
-    allocation: Family<Team, Amount>,
-    used: Family<Team, Amount>,
-    version: Family<Team, Count>,
-    oldest_change: Family<Cell, Amount>,
-    behind: Family<Cell, Count>,
-    refused: Family<Cell, Count>,
+    allocation: Family<TeamLabels, FloatGauge>,
+    used: Family<TeamLabels, FloatGauge>,
+    version: Family<TeamLabels, IntGauge>,
+    oldest_change: Family<CellLabels, FloatGauge>,
+    cells_behind: Family<CellLabels, IntGauge>,
+    refused_cells: Family<CellLabels, IntGauge>,
 }
 
 impl QuotaMetrics {
@@ -60,12 +60,12 @@
         all.register(
             "quota_behind",
             "Teams whose latest quota is not in force in a cell, as their home knows",
-            self.behind.clone(),
+            self.cells_behind.clone(),
         );
         all.register(
             "quota_refused",
             "Messages of other cells that were not taken",
-            self.refused.clone(),
+            self.refused_cells.clone(),
         );
     }
 
@@ -76,25 +76,33 @@
         }
         self.version.clear();
         self.oldest_change.clear();
-        for each in [&self.behind, &self.refused] {
+        for each in [&self.cells_behind, &self.refused_cells] {
             each.clear();
         }
         let Some(status) = status else {
             return;
         };
         for each in status.teams {
-            let team = Team { team: each.team };
-            self.allocation.get_or_create(&team).set(each.allocation);
-            self.used.get_or_create(&team).set(each.used);
-            self.version.get_or_create(&team).set(each.version as i64);
+            let team = TeamLabels { team: each.team };
+            self.allocation
+                .get_or_create(&team)
+                .set(each.allocated_units);
+            self.used.get_or_create(&team).set(each.used_units);
+            self.version
+                .get_or_create(&team)
+                .set(each.quota_version as i64);
         }
-        for (cell, teams) in status.behind {
-            let cell = Cell { cell };
-            self.behind.get_or_create(&cell).set(teams as i64);
+        for (cell, teams) in status.cells_behind {
+            let cell = CellLabels { cell };
+            self.cells_behind.get_or_create(&cell).set(teams as i64);
         }
-        let own = Cell { cell: status.own };
+        let own = CellLabels {
+            cell: status.own_cell,
+        };
         let seconds = status.oldest_change_ms as f64 / 1000.0;
         self.oldest_change.get_or_create(&own).set(seconds);
-        self.refused.get_or_create(&own).set(status.refused as i64);
+        self.refused_cells
+            .get_or_create(&own)
+            .set(status.rejected_messages as i64);
     }
 }
--- a/src/protocol/ids.rs
+++ b/src/protocol/ids.rs
@@ -1,4 +1,4 @@
-//! Names that carry structure: job ids and task ids.
+//! Interner that carry structure: job ids and task ids.
 
 use std::{fmt, str::FromStr};
 
@@ -18,7 +18,7 @@
 
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("not a job or task id")]
-pub struct BadId;
+pub struct ParseIdError;
 
 impl fmt::Display for JobId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -44,31 +44,31 @@
     }
 }
 
-fn digits<T: FromStr>(text: &str, least: usize) -> Result<T, BadId> {
+fn parse_digits<T: FromStr>(text: &str, least: usize) -> Result<T, ParseIdError> {
     let plain = text.len() >= least && text.bytes().all(|b| b.is_ascii_digit());
     let canonical = text.len() == least || !text.starts_with('0');
     if !plain || !canonical {
-        return Err(BadId);
+        return Err(ParseIdError);
     }
-    text.parse().map_err(|_| BadId)
+    text.parse().map_err(|_| ParseIdError)
 }
 
 impl FromStr for JobId {
-    type Err = BadId;
+    type Err = ParseIdError;
 
-    fn from_str(text: &str) -> Result<Self, BadId> {
-        digits(text.strip_prefix("j-").ok_or(BadId)?, 6).map(JobId)
+    fn from_str(text: &str) -> Result<Self, ParseIdError> {
+        parse_digits(text.strip_prefix("j-").ok_or(ParseIdError)?, 6).map(JobId)
     }
 }
 
 impl FromStr for TaskId {
-    type Err = BadId;
+    type Err = ParseIdError;
 
-    fn from_str(text: &str) -> Result<Self, BadId> {
-        let (job, index) = text.split_once('/').ok_or(BadId)?;
+    fn from_str(text: &str) -> Result<Self, ParseIdError> {
+        let (job, index) = text.split_once('/').ok_or(ParseIdError)?;
         Ok(TaskId {
             job: job.parse()?,
-            index: digits(index, 1)?,
+            index: parse_digits(index, 1)?,
         })
     }
 }
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -6,14 +6,14 @@
 
 use super::{DecodeError, ids::JobId};
 
-pub const MAX_TASKS: u32 = 100_000;
-const MAX_NAME: usize = 200;
-const MAX_TYPES: usize = 64;
+pub const MAX_TASKS_PER_JOB: u32 = 100_000;
+const MAX_NAME_LEN: usize = 200;
+const MAX_MACHINE_TYPES_PER_JOB: usize = 64;
 /// Far above any machine or wait; keeps sums of amounts finite.
-const MAX_AMOUNT: f64 = 1e12;
+const MAX_RESOURCE_AMOUNT: f64 = 1e12;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum JobKind {
     #[serde(rename = "array")]
     Array,
     /// All tasks run at the same time, or none.
@@ -45,7 +45,7 @@
     #[serde(rename = "crew")]
     pub team: String,
     #[serde(rename = "shape")]
-    pub kind: Kind,
+    pub kind: JobKind,
     #[serde(rename = "urgency")]
     pub priority: Priority,
     #[serde(rename = "pieces")]
@@ -79,14 +79,17 @@
     /// versions that do not know it wrote it.
     #[serde(
         default,
-        deserialize_with = "listed_once",
+        deserialize_with = "deserialize_unique_ids",
         skip_serializing_if = "Vec::is_empty"
     )]
-    pub awaits: Vec<JobId>,
+    #[serde(rename = "awaits")]
+    pub dependencies: Vec<JobId>,
 }
 
 /// A list that may be null, without repetitions.
-fn listed_once<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<JobId>, D::Error> {
+fn deserialize_unique_ids<'de, D: Deserializer<'de>>(
+    deserializer: D,
+) -> Result<Vec<JobId>, D::Error> {
     let mut jobs = Option::<Vec<JobId>>::deserialize(deserializer)?.unwrap_or_default();
     let mut seen = HashSet::new();
     jobs.retain(|job| seen.insert(*job));
@@ -97,13 +100,13 @@
     /// Decodes and checks a request body.
     pub fn from_body(body: &[u8]) -> Result<Self, DecodeError> {
         let submission: Submission = super::decode(body)?;
-        submission.check()?;
+        submission.validate()?;
         Ok(submission)
     }
 
-    fn check(&self) -> Result<(), DecodeError> {
+    fn validate(&self) -> Result<(), DecodeError> {
         let name = |field, text: &str| {
-            if text.is_empty() || text.len() > MAX_NAME {
+            if text.is_empty() || text.len() > MAX_NAME_LEN {
                 return Err(DecodeError::Invalid {
                     field,
                     reason: "must hold 1 to 200 bytes",
@@ -112,7 +115,9 @@
             Ok(())
         };
         let amount = |field, value: f64, zero: bool| {
-            if !value.is_finite() || !(0.0..=MAX_AMOUNT).contains(&value) || (value == 0.0 && !zero)
+            if !value.is_finite()
+                || !(0.0..=MAX_RESOURCE_AMOUNT).contains(&value)
+                || (value == 0.0 && !zero)
             {
                 return Err(DecodeError::Invalid {
                     field,
@@ -128,7 +133,7 @@
             name("yard", zone)?;
         }
         if let Some(types) = &self.types {
-            if types.len() > MAX_TYPES {
+            if types.len() > MAX_MACHINE_TYPES_PER_JOB {
                 return Err(DecodeError::Invalid {
                     field: "builds",
                     reason: "names too many machine types",
@@ -138,7 +143,7 @@
                 name("builds", each)?;
             }
         }
-        if self.tasks == 0 || self.tasks > MAX_TASKS {
+        if self.tasks == 0 || self.tasks > MAX_TASKS_PER_JOB {
             return Err(DecodeError::Invalid {
                 field: "pieces",
                 reason: "must be 1 to 100000",
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -12,7 +12,7 @@
 use serde::{Serialize, de::DeserializeOwned};
 
 /// The largest request body that is read.
-pub const MAX_BODY: u64 = 64 * 1024;
+pub const MAX_BODY_BYTES: u64 = 64 * 1024;
 
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum DecodeError {
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -93,7 +93,8 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    pub life_ms: u64,
+    #[serde(rename = "life_ms")]
+    pub ttl_ms: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -142,7 +143,7 @@
     },
     Txn(Txn),
     Grant {
-        life_ms: u64,
+        ttl_ms: u64,
     },
     Touch {
         lease: u64,
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -20,7 +20,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Cause {
+pub enum FailureCause {
     #[serde(rename = "done")]
     Done,
     #[serde(rename = "halted")]
@@ -53,7 +53,7 @@
     #[serde(rename = "status")]
     pub state: TaskState,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub cause: Option<Cause>,
+    pub cause: Option<FailureCause>,
     #[serde(rename = "kept", default)]
     pub saved: Option<bool>,
 }
@@ -71,7 +71,7 @@
     #[serde(rename = "loaners", default)]
     pub spot: bool,
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub incarnation: u64,
     #[serde(rename = "tick")]
     pub seq: u64,
     #[serde(rename = "baton", default)]
@@ -124,7 +124,7 @@
     #[serde(rename = "baton")]
     pub token: u64,
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub incarnation: u64,
     pub orders: Vec<Order>,
 }
 
--- a/src/quota/coordinator.rs
+++ b/src/quota/coordinator.rs
@@ -4,33 +4,33 @@
 
 use crate::{
     quota::{
-        Account, Grant, HomeRecord, Position, Quota, QuotaError, TeamQuota, Units,
-        plan::{self, Move, Share},
+        Account, CoordinatorRecord, Grant, ParticipantReport, Quota, QuotaError, TeamQuota, Units,
+        plan::{self, CellShare, Transfer},
     },
     time::Millis,
 };
 
 /// A cell that was not heard of for this long gets no more. Nothing but who gets new units depends on it.
-const REACHABLE: Millis = 5000;
+const REACHABLE_TIMEOUT_MS: Millis = 5000;
 
 /// What a home last heard of a cell.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
-    position: Position,
-    at: Millis,
+struct LastReport {
+    report: ParticipantReport,
+    received_at: Millis,
 }
 
-/// Cells that come down to a lowered limit: what each was told stays until all have, so that none is told to come down
+/// CellTopology that come down to a lowered limit: what each was told stays until all have, so that none is told to come down
 /// to less and to more in turn.
 #[derive(Clone, Debug, Default)]
-struct Lowering {
+struct LimitReduction {
     limit: Units,
     targets: Vec<Units>,
 }
 
-impl Lowering {
+impl LimitReduction {
     /// Keeps the targets of moves that lower; takes them up from then on until the limit is kept or another one.
-    fn hold(&mut self, limit: Units, outstanding: &[Units], moves: &mut [Move]) {
+    fn pin_targets(&mut self, limit: Units, outstanding: &[Units], moves: &mut [Transfer]) {
         if outstanding.iter().sum::<Units>() <= limit {
             self.targets.clear();
             return;
@@ -48,64 +48,74 @@
 
 /// A team at its home.
 #[derive(Clone, Debug)]
-pub struct Home {
+pub struct Coordinator {
     cells: Vec<String>,
-    stored: HomeRecord,
+    stored: CoordinatorRecord,
     /// The version of the key that holds it; 0: not stored.
     pub key_version: u64,
-    heard: BTreeMap<String, Heard>,
+    last_reports: BTreeMap<String, LastReport>,
     /// Since when the stored version has been the latest.
-    since: Millis,
+    version_since: Millis,
     targets: BTreeMap<String, Quota>,
-    lowering_cpus: Lowering,
-    lowering_gpus: Lowering,
+    cpu_reduction: LimitReduction,
+    gpu_reduction: LimitReduction,
 }
 
-impl Home {
+impl Coordinator {
     /// A team as its home has it stored; by default, one that was never stored.
-    pub fn new(cells: &[String], stored: HomeRecord, key_version: u64, now: Millis) -> Self {
-        Home {
+    pub fn new(cells: &[String], stored: CoordinatorRecord, key_version: u64, now: Millis) -> Self {
+        Coordinator {
             cells: cells.to_vec(),
             stored,
             key_version,
-            heard: BTreeMap::new(),
-            since: now,
+            last_reports: BTreeMap::new(),
+            version_since: now,
             targets: BTreeMap::new(),
-            lowering_cpus: Lowering::default(),
-            lowering_gpus: Lowering::default(),
+            cpu_reduction: LimitReduction::default(),
+            gpu_reduction: LimitReduction::default(),
         }
     }
 
     /// What is stored.
-    pub fn stored(&self) -> &HomeRecord {
+    pub fn stored(&self) -> &CoordinatorRecord {
         &self.stored
     }
 
     /// A cell tells how it stands.
-    pub fn hear(&mut self, cell: &str, position: Position, now: Millis) -> Result<(), QuotaError> {
+    pub fn on_report(
+        &mut self,
+        cell: &str,
+        position: ParticipantReport,
+        now: Millis,
+    ) -> Result<(), QuotaError> {
         if !self.cells.iter().any(|known| known == cell) {
             return Err(QuotaError::UnknownCell(cell.to_owned()));
         }
         let granted = self.account(cell).granted;
-        if !position.account.returned.within(granted) {
-            return Err(QuotaError::Impossible(cell.to_owned()));
+        if !position.account.returned.fits_within(granted) {
+            return Err(QuotaError::ReturnedMoreThanGranted(cell.to_owned()));
         }
         let mut position = position;
-        if let Some(heard) = self.heard.get(cell) {
+        if let Some(heard) = self.last_reports.get(cell) {
             // A message that was overtaken: the totals show it.
-            position.account.merge(&heard.position.account);
-            position.version = position.version.max(heard.position.version);
+            position.account.merge(&heard.report.account);
+            position.version = position.version.max(heard.report.version);
         }
-        let heard = Heard { position, at: now };
-        self.heard.insert(cell.to_owned(), heard);
+        let heard = LastReport {
+            report: position,
+            received_at: now,
+        };
+        self.last_reports.insert(cell.to_owned(), heard);
         Ok(())
     }
 
     /// What a cell was granted, and is known to have returned.
     pub fn account(&self, cell: &str) -> Account {
         let mut account = self.stored.accounts.get(cell).copied().unwrap_or_default();
-        if let Some(heard) = self.heard.get(cell) {
-            account.returned = account.returned.most(heard.position.account.returned);
+        if let Some(heard) = self.last_reports.get(cell) {
+            account.returned = account
+                .returned
+                .componentwise_max(heard.report.account.returned);
         }
         account
     }
@@ -114,18 +124,18 @@
     pub fn outstanding(&self) -> Quota {
         let accounts = self.cells.iter().map(|cell| self.account(cell));
         let outstanding = accounts.map(|account| account.outstanding());
-        outstanding.fold(Quota::ZERO, Quota::plus)
+        outstanding.fold(Quota::ZERO, Quota::saturating_add)
     }
 
     /// What is to be stored next, if anything: a new version of the quota, or more for some cells.
-    pub fn next(&mut self, configured: TeamQuota, now: Millis) -> Option<HomeRecord> {
+    pub fn next_record(&mut self, configured: TeamQuota, now: Millis) -> Option<CoordinatorRecord> {
         let mut next = self.stored.clone();
         let changed = next.version == 0 || next.quota != configured;
         if changed {
             next.version += 1;
             next.quota = configured;
         }
-        let moves = self.moves(&next.quota.limit, now);
+        let moves = self.plan_transfers(&next.quota.limit, now);
         let mut granted = false;
         for (cell, (cpus, gpus)) in self.cells.iter().zip(moves) {
             let target = Quota {
@@ -140,52 +150,56 @@
             let account = self.account(cell);
             let entry = next.accounts.entry(cell.clone()).or_default();
             entry.merge(&account);
-            entry.granted = entry.granted.plus(grant);
+            entry.granted = entry.granted.saturating_add(grant);
             granted |= grant != Quota::ZERO;
         }
         (changed || granted).then_some(next)
     }
 
     /// Moves of CPUs and of GPUs for each cell, in their order.
-    fn moves(&mut self, limit: &Quota, now: Millis) -> Vec<(Move, Move)> {
-        let mut cpus = self.plan(limit.cpus, |quota| quota.cpus, now);
-        let mut gpus = self.plan(limit.gpus, |quota| quota.gpus, now);
+    fn plan_transfers(&mut self, limit: &Quota, now: Millis) -> Vec<(Transfer, Transfer)> {
+        let mut cpus = self.plan_units(limit.cpus, |quota| quota.cpus, now);
+        let mut gpus = self.plan_units(limit.gpus, |quota| quota.gpus, now);
         let held = self
             .cells
             .iter()
             .map(|cell| self.account(cell).outstanding());
         let (held_cpus, held_gpus): (Vec<_>, Vec<_>) =
             held.map(|quota| (quota.cpus, quota.gpus)).unzip();
-        self.lowering_cpus.hold(limit.cpus, &held_cpus, &mut cpus);
-        self.lowering_gpus.hold(limit.gpus, &held_gpus, &mut gpus);
+        self.cpu_reduction
+            .pin_targets(limit.cpus, &held_cpus, &mut cpus);
+        self.gpu_reduction
+            .pin_targets(limit.gpus, &held_gpus, &mut gpus);
         cpus.into_iter().zip(gpus).collect()
     }
 
-    fn plan(&self, limit: Units, of: impl Fn(Quota) -> Units, now: Millis) -> Vec<Move> {
+    fn plan_units(&self, limit: Units, of: impl Fn(Quota) -> Units, now: Millis) -> Vec<Transfer> {
         let share = |cell: &String| {
             let outstanding = of(self.account(cell).outstanding());
-            match self.heard.get(cell) {
+            match self.last_reports.get(cell) {
                 // Not heard of since this leader began: it may use all that it holds.
-                None => Share {
+                None => CellShare {
                     outstanding,
                     used: outstanding,
                     wanted: outstanding,
-                    least: 0,
-                    grain: 0,
+                    first_request: 0,
+                    largest_task: 0,
                 },
-                Some(Heard { position, .. }) => Share {
+                Some(LastReport {
+                    report: position, ..
+                }) => CellShare {
                     outstanding,
                     used: of(position.used).min(outstanding),
                     wanted: of(position.wanted).max(of(position.used)).min(limit),
-                    least: of(position.least),
-                    grain: of(position.grain),
+                    first_request: of(position.first_request),
+                    largest_task: of(position.largest_task),
                 },
             }
         };
-        let shares: Vec<Share> = self.cells.iter().map(share).collect();
-        let mut moves = plan::plan(limit, &shares);
+        let shares: Vec<CellShare> = self.cells.iter().map(share).collect();
+        let mut moves = plan::plan_transfers(limit, &shares);
         for (each, cell) in moves.iter_mut().zip(&self.cells) {
-            if !self.reachable(cell, now) {
+            if !self.is_reachable(cell, now) {
                 each.target -= each.grant;
                 each.grant = 0;
             }
@@ -193,18 +207,18 @@
         moves
     }
 
-    fn reachable(&self, cell: &str, now: Millis) -> bool {
-        let heard = self.heard.get(cell);
-        heard.is_some_and(|heard| heard.at + REACHABLE >= now)
+    fn is_reachable(&self, cell: &str, now: Millis) -> bool {
+        let heard = self.last_reports.get(cell);
+        heard.is_some_and(|heard| heard.received_at + REACHABLE_TIMEOUT_MS >= now)
     }
 
     /// The record is stored under this version of its key.
-    pub fn stored_as(&mut self, record: HomeRecord, key_version: u64, now: Millis) {
+    pub fn on_stored(&mut self, record: CoordinatorRecord, key_version: u64, now: Millis) {
         if key_version <= self.key_version {
             return;
         }
         if record.version != self.stored.version {
-            self.since = now;
+            self.version_since = now;
         }
         self.stored = record;
         self.key_version = key_version;
@@ -228,50 +242,53 @@
             guarantee: self.guarantee(cell),
             granted,
             target: self.targets.get(cell).copied().unwrap_or(held),
-            lowered: !self.outstanding().within(self.stored.quota.limit),
+            limit_lowered: !self.outstanding().fits_within(self.stored.quota.limit),
         })
     }
 
     /// A cell's part of the guarantee: where the demand is, and the rest in equal parts.
     fn guarantee(&self, cell: &str) -> Quota {
         Quota {
-            cpus: self.guaranteed(cell, |quota| quota.cpus),
-            gpus: self.guaranteed(cell, |quota| quota.gpus),
+            cpus: self.guaranteed_units(cell, |quota| quota.cpus),
+            gpus: self.guaranteed_units(cell, |quota| quota.gpus),
         }
     }
 
-    fn guaranteed(&self, cell: &str, of: impl Fn(Quota) -> Units) -> Units {
+    fn guaranteed_units(&self, cell: &str, of: impl Fn(Quota) -> Units) -> Units {
         let Some(at) = self.cells.iter().position(|known| known == cell) else {
             return 0;
         };
         let total = of(self.stored.quota.guarantee);
-        let wanted = self.cells.iter().map(|cell| match self.heard.get(cell) {
-            Some(heard) => of(heard.position.wanted),
-            None => of(self.account(cell).outstanding()),
-        });
-        let parts = plan::divide(total, &wanted.collect::<Vec<_>>());
+        let wanted = self
+            .cells
+            .iter()
+            .map(|cell| match self.last_reports.get(cell) {
+                Some(heard) => of(heard.report.wanted),
+                None => of(self.account(cell).outstanding()),
+            });
+        let parts = plan::divide_with_caps(total, &wanted.collect::<Vec<_>>());
         let left = total - parts.iter().sum::<Units>();
         parts[at] + left / self.cells.len() as Units
     }
 
-    /// Cells in which the stored version is not in force.
-    pub fn behind(&self) -> Vec<&str> {
+    /// CellTopology in which the stored version is not in force.
+    pub fn outdated_cells(&self) -> Vec<&str> {
         let behind = self.cells.iter().filter(|cell| {
-            let heard = self.heard.get(*cell);
-            heard.is_none_or(|heard| heard.position.version < self.stored.version)
+            let heard = self.last_reports.get(*cell);
+            heard.is_none_or(|heard| heard.report.version < self.stored.version)
         });
         behind.map(String::as_str).collect()
     }
 
     /// How old the stored version is, as far as this leader knows.
-    pub fn age(&self, now: Millis) -> Millis {
-        now.saturating_sub(self.since)
+    pub fn version_age(&self, now: Millis) -> Millis {
+        now.saturating_sub(self.version_since)
     }
 
     /// For how long a change has waited to be in force everywhere; `None`: it is.
-    pub fn waiting(&self, now: Millis) -> Option<Millis> {
-        let over = !self.outstanding().within(self.stored.quota.limit);
-        (over || !self.behind().is_empty()).then(|| now.saturating_sub(self.since))
+    pub fn pending_for(&self, now: Millis) -> Option<Millis> {
+        let over = !self.outstanding().fits_within(self.stored.quota.limit);
+        (over || !self.outdated_cells().is_empty()).then(|| now.saturating_sub(self.version_since))
     }
 }
 
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -42,7 +42,7 @@
     pub const ZERO: Quota = Quota { cpus: 0, gpus: 0 };
 
     /// Combines both kinds of units with another's.
-    pub fn with(self, other: Quota, combine: impl Fn(Units, Units) -> Units) -> Quota {
+    pub fn combine(self, other: Quota, combine: impl Fn(Units, Units) -> Units) -> Quota {
         Quota {
             cpus: combine(self.cpus, other.cpus),
             gpus: combine(self.gpus, other.gpus),
@@ -50,27 +50,27 @@
     }
 
     /// The sum.
-    pub fn plus(self, other: Quota) -> Quota {
-        self.with(other, Units::saturating_add)
+    pub fn saturating_add(self, other: Quota) -> Quota {
+        self.combine(other, Units::saturating_add)
     }
 
     /// What is left without `other`, at least nothing.
-    pub fn less(self, other: Quota) -> Quota {
-        self.with(other, Units::saturating_sub)
+    pub fn saturating_sub(self, other: Quota) -> Quota {
+        self.combine(other, Units::saturating_sub)
     }
 
     /// The larger of each.
-    pub fn most(self, other: Quota) -> Quota {
-        self.with(other, Units::max)
+    pub fn componentwise_max(self, other: Quota) -> Quota {
+        self.combine(other, Units::max)
     }
 
     /// The smaller of each.
-    pub fn least(self, other: Quota) -> Quota {
-        self.with(other, Units::min)
+    pub fn componentwise_min(self, other: Quota) -> Quota {
+        self.combine(other, Units::min)
     }
 
     /// Whether neither is above the other's.
-    pub fn within(self, other: Quota) -> bool {
+    pub fn fits_within(self, other: Quota) -> bool {
         self.cpus <= other.cpus && self.gpus <= other.gpus
     }
 }
@@ -115,19 +115,19 @@
 impl Account {
     /// What the cell may hold.
     pub fn outstanding(&self) -> Quota {
-        self.granted.less(self.returned)
+        self.granted.saturating_sub(self.returned)
     }
 
     /// The later of two states: totals only rise.
     pub fn merge(&mut self, other: &Account) {
-        self.granted = self.granted.most(other.granted);
-        self.returned = self.returned.most(other.returned);
+        self.granted = self.granted.componentwise_max(other.granted);
+        self.returned = self.returned.componentwise_max(other.returned);
     }
 }
 
 /// What a home stores of a team.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HomeRecord {
+pub struct CoordinatorRecord {
     /// Counts changes of the quota.
     pub version: u64,
     /// The quota of that version.
@@ -138,9 +138,10 @@
 
 /// What a cell stores of a team.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HoldRecord {
+pub struct ParticipantRecord {
     /// The home whose word counts for the team.
-    pub home: String,
+    #[serde(rename = "home")]
+    pub coordinator: String,
     /// The latest version of the quota that the cell has heard of.
     pub version: u64,
     /// The cell's part of the guarantee.
@@ -153,7 +154,7 @@
 
 /// What a cell tells a team's home. All that it says of its account is stored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Position {
+pub struct ParticipantReport {
     /// The latest version that the cell's books obey.
     pub version: u64,
     /// As stored.
@@ -163,9 +164,9 @@
     /// That, what waits, and a margin.
     pub wanted: Quota,
     /// What the first of its waiting work needs at once.
-    pub least: Quota,
+    pub first_request: Quota,
     /// What its largest running task takes: what can't be divided further.
-    pub grain: Quota,
+    pub largest_task: Quota,
 }
 
 /// What a home tells a cell of a team. All that it says is stored, but for the target.
@@ -181,17 +182,17 @@
     pub target: Quota,
     /// The limit was lowered below what all cells hold: what runs above the target has to stop. Else it may go on, and
     /// only what is not used is asked back.
-    pub lowered: bool,
+    pub limit_lowered: bool,
 }
 
 /// Why what another cell says is not taken.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum QuotaError {
     /// Two homes are claimed for one team.
-    #[error("{claimed:?} claims to be the home, which is {home:?}")]
-    OtherHome {
+    #[error("{claimed:?} claims to be the home, which is {coordinator:?}")]
+    OtherCoordinator {
         /// The home that the cell knows.
-        home: String,
+        coordinator: String,
         /// The one that claims to be it.
         claimed: String,
     },
@@ -200,11 +201,11 @@
     UnknownCell(String),
     /// More is said to be returned than was granted.
     #[error("{0:?} says that it returned more than it was granted")]
-    Impossible(String),
+    ReturnedMoreThanGranted(String),
 }
 
 /// The home of a team: the same for all who know the same cells.
-pub fn home_of<'a>(team: &str, cells: &'a [String]) -> Option<&'a str> {
+pub fn coordinator_of<'a>(team: &str, cells: &'a [String]) -> Option<&'a str> {
     // FNV-1a: a fixed function, also for versions and machines to come.
     const BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
--- a/src/quota/participant.rs
+++ b/src/quota/participant.rs
@@ -1,150 +1,154 @@
 //! A cell's side of a team: what it holds, may use, and gives back.
 
-use crate::quota::{Account, Grant, HoldRecord, Position, Quota, QuotaError};
+use crate::quota::{Account, Grant, ParticipantRecord, ParticipantReport, Quota, QuotaError};
 
 /// What the books say of a team in this cell.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Demand {
+pub struct TeamDemand {
     /// What may be running.
     pub used: Quota,
     /// What waits.
     pub waiting: Quota,
     /// What the first of that needs at once.
-    pub least: Quota,
+    pub first_request: Quota,
     /// What the largest running task takes.
-    pub grain: Quota,
+    pub largest_task: Quota,
 }
 
 /// New work is expected to be this part of what there is, as a divisor: it is asked for ahead.
-const MARGIN: u64 = 8;
+const DEMAND_MARGIN_DIVISOR: u64 = 8;
 
 /// A team in a cell.
 #[derive(Clone, Debug, Default)]
-pub struct Holder {
-    stored: HoldRecord,
+pub struct Participant {
+    stored: ParticipantRecord,
     /// The version of the key that holds it; 0: not stored.
     pub key_version: u64,
     /// What is to be stored next. Its returns count at once, its grants once they are stored.
-    next: HoldRecord,
+    pending: ParticipantRecord,
     /// The latest version that the books obey.
-    obeyed: u64,
+    enforced_version: u64,
     /// The home has told this leader that what runs above the target has to stop.
-    lowered: bool,
+    limit_lowered: bool,
 }
 
-impl Holder {
+impl Participant {
     /// A team as its cell has it stored; by default, one that was never stored.
-    pub fn new(stored: HoldRecord, key_version: u64) -> Self {
-        Holder {
-            next: stored.clone(),
+    pub fn new(stored: ParticipantRecord, key_version: u64) -> Self {
+        Participant {
+            pending: stored.clone(),
             stored,
             key_version,
-            obeyed: 0,
-            lowered: false,
+            enforced_version: 0,
+            limit_lowered: false,
         }
     }
 
     /// What is stored.
-    pub fn stored(&self) -> &HoldRecord {
+    pub fn stored(&self) -> &ParticipantRecord {
         &self.stored
     }
 
     /// The home tells what the cell was granted.
-    pub fn hear(&mut self, home: &str, grant: Grant) -> Result<(), QuotaError> {
-        let known = &mut self.next;
-        if known.home.is_empty() {
-            known.home = home.to_owned();
-        } else if known.home != home {
-            return Err(QuotaError::OtherHome {
-                home: known.home.clone(),
+    pub fn on_grant(&mut self, home: &str, grant: Grant) -> Result<(), QuotaError> {
+        let known = &mut self.pending;
+        if known.coordinator.is_empty() {
+            known.coordinator = home.to_owned();
+        } else if known.coordinator != home {
+            return Err(QuotaError::OtherCoordinator {
+                coordinator: known.coordinator.clone(),
                 claimed: home.to_owned(),
             });
         }
-        known.account.granted = known.account.granted.most(grant.granted);
+        known.account.granted = known.account.granted.componentwise_max(grant.granted);
         if grant.version >= known.version {
             known.version = grant.version;
             known.guarantee = grant.guarantee;
             known.target = grant.target;
-            self.lowered = grant.lowered;
+            self.limit_lowered = grant.limit_lowered;
         }
         Ok(())
     }
 
     /// What the team may use here at most: granted and stored, not about to be returned.
-    pub fn allocation(&self) -> Quota {
+    pub fn usable_quota(&self) -> Quota {
         let account = Account {
             granted: self.stored.account.granted,
-            returned: self.next.account.returned,
+            returned: self.pending.account.returned,
         };
         account.outstanding()
     }
 
     /// What new work may bring the team's use up to: nothing new above what it is to come down to.
-    pub fn ceiling(&self) -> Quota {
-        self.allocation().least(self.next.target)
+    pub fn new_work_ceiling(&self) -> Quota {
+        self.usable_quota().componentwise_min(self.pending.target)
     }
 
     /// The cell's part of the guarantee.
     pub fn guarantee(&self) -> Quota {
-        self.next.guarantee
+        self.pending.guarantee
     }
 
     /// What runs above what the team is to come down to, by the word of its home.
     pub fn excess(&self, used: Quota) -> Quota {
-        if self.lowered {
-            used.less(self.ceiling())
+        if self.limit_lowered {
+            used.saturating_sub(self.new_work_ceiling())
         } else {
             Quota::ZERO
         }
     }
 
     /// Gives back what is not used and not to be kept, and tells what is to be stored, if anything. What is returned
-    /// must not be used from this moment on: [`Holder::ceiling`] tells so.
-    pub fn next(&mut self, used: Quota) -> Option<HoldRecord> {
-        let held = self.allocation();
-        let kept = self.next.target.most(used).least(held);
-        let returned = held.less(kept);
-        self.next.account.returned = self.next.account.returned.plus(returned);
+    /// must not be used from this moment on: [`Participant::ceiling`] tells so.
+    pub fn next_record(&mut self, used: Quota) -> Option<ParticipantRecord> {
+        let held = self.usable_quota();
+        let kept = self
+            .pending
+            .target
+            .componentwise_max(used)
+            .componentwise_min(held);
+        let returned = held.saturating_sub(kept);
+        self.pending.account.returned = self.pending.account.returned.saturating_add(returned);
         // Targets and parts of the guarantee follow demand, and nothing that is safe depends on them: they go with
         // other changes.
-        let stored = HoldRecord {
-            guarantee: self.next.guarantee,
-            target: self.next.target,
+        let stored = ParticipantRecord {
+            guarantee: self.pending.guarantee,
+            target: self.pending.target,
             ..self.stored.clone()
         };
-        (stored != self.next).then(|| self.next.clone())
+        (stored != self.pending).then(|| self.pending.clone())
     }
 
     /// The record is stored under this version of its key.
-    pub fn stored_as(&mut self, record: HoldRecord, key_version: u64) {
+    pub fn on_stored(&mut self, record: ParticipantRecord, key_version: u64) {
         if key_version <= self.key_version {
             return;
         }
-        self.next.account.merge(&record.account);
-        if self.next.home.is_empty() {
-            self.next.home = record.home.clone();
+        self.pending.account.merge(&record.account);
+        if self.pending.coordinator.is_empty() {
+            self.pending.coordinator = record.coordinator.clone();
         }
         self.stored = record;
         self.key_version = key_version;
     }
 
     /// What the home is told.
-    pub fn position(&mut self, demand: &Demand) -> Position {
-        if !self.lowered || demand.used.within(self.ceiling()) {
-            self.obeyed = self.obeyed.max(self.stored.version);
+    pub fn report(&mut self, demand: &TeamDemand) -> ParticipantReport {
+        if !self.limit_lowered || demand.used.fits_within(self.new_work_ceiling()) {
+            self.enforced_version = self.enforced_version.max(self.stored.version);
         }
-        let whole = demand.used.plus(demand.waiting);
+        let whole = demand.used.saturating_add(demand.waiting);
         let margin = Quota {
-            cpus: demand.waiting.cpus.min(whole.cpus / MARGIN),
-            gpus: demand.waiting.gpus.min(whole.gpus / MARGIN),
+            cpus: demand.waiting.cpus.min(whole.cpus / DEMAND_MARGIN_DIVISOR),
+            gpus: demand.waiting.gpus.min(whole.gpus / DEMAND_MARGIN_DIVISOR),
         };
-        Position {
-            version: self.obeyed,
+        ParticipantReport {
+            version: self.enforced_version,
             account: self.stored.account,
             used: demand.used,
-            wanted: whole.plus(margin),
-            least: demand.least,
-            grain: demand.grain,
+            wanted: whole.saturating_add(margin),
+            first_request: demand.first_request,
+            largest_task: demand.largest_task,
         }
     }
 }
--- a/src/quota/plan.rs
+++ b/src/quota/plan.rs
@@ -10,13 +10,13 @@
 use crate::quota::Units;
 
 /// A cell that wants this part more than it holds, as a divisor, is short.
-const SHORT: Units = 16;
+const SHORTFALL_DIVISOR: Units = 16;
 /// Spare units are handed out only where this part is missing, as a divisor.
-const SPARE: Units = 8;
+const SPARE_GRANT_DIVISOR: Units = 8;
 
 /// One cell's part of a limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Share {
+pub struct CellShare {
     /// What it may hold.
     pub outstanding: Units,
     /// What may be running.
@@ -24,14 +24,14 @@
     /// That, what waits, and a margin.
     pub wanted: Units,
     /// What its first waiting work needs at once.
-    pub least: Units,
+    pub first_request: Units,
     /// What its largest running task takes.
-    pub grain: Units,
+    pub largest_task: Units,
 }
 
 /// What is to become of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Move {
+pub struct Transfer {
     /// More that it gets now.
     pub grant: Units,
     /// What it is to come down to.
@@ -39,7 +39,7 @@
 }
 
 /// Divides a total equally, up to each one's cap.
-pub fn divide(total: Units, caps: &[Units]) -> Vec<Units> {
+pub fn divide_with_caps(total: Units, caps: &[Units]) -> Vec<Units> {
     let mut parts = vec![0; caps.len()];
     let mut rest = total;
     loop {
@@ -64,21 +64,24 @@
 
 /// What each cell keeps of what runs above the limit: equal parts, in whole tasks, so that no more has to stop than
 /// the limit asks for.
-fn keep(limit: Units, shares: &[Share]) -> Vec<Units> {
+fn divide_among_running(limit: Units, shares: &[CellShare]) -> Vec<Units> {
     let used: Vec<Units> = shares.iter().map(|share| share.used).collect();
-    let mut parts = divide(limit, &used);
+    let mut parts = divide_with_caps(limit, &used);
     for (part, share) in parts.iter_mut().zip(shares) {
         if *part < share.used {
-            *part -= part.checked_rem(share.grain).unwrap_or(0);
+            *part -= part.checked_rem(share.largest_task).unwrap_or(0);
         }
     }
     let mut rest = limit - parts.iter().sum::<Units>();
     loop {
         let mut given = false;
         for (part, share) in parts.iter_mut().zip(shares) {
-            if share.grain > 0 && share.grain <= rest && *part + share.grain <= share.used {
-                *part += share.grain;
-                rest -= share.grain;
+            if share.largest_task > 0
+                && share.largest_task <= rest
+                && *part + share.largest_task <= share.used
+            {
+                *part += share.largest_task;
+                rest -= share.largest_task;
                 given = true;
             }
         }
@@ -89,17 +92,17 @@
 }
 
 /// What each cell should have of what is wanted.
-fn fill(limit: Units, shares: &[Share]) -> Vec<Units> {
+fn compute_allocations(limit: Units, shares: &[CellShare]) -> Vec<Units> {
     let used: Vec<Units> = shares.iter().map(|share| share.used).collect();
     let in_use: Units = used.iter().sum();
     if in_use >= limit {
-        return keep(limit, shares);
+        return divide_among_running(limit, shares);
     }
     let (mut parts, mut rest) = (used, limit - in_use);
     let mut order: Vec<usize> = (0..shares.len()).collect();
     order.sort_by_key(|at| (shares[*at].used, *at));
     for at in order {
-        let least = shares[at].least;
+        let least = shares[at].first_request;
         if least <= rest && parts[at] + least <= shares[at].wanted {
             parts[at] += least;
             rest -= least;
@@ -109,7 +112,7 @@
     let missing: Vec<Units> = missing
         .map(|(share, part)| share.wanted.saturating_sub(*part))
         .collect();
-    let more = divide(rest, &missing);
+    let more = divide_with_caps(rest, &missing);
     parts
         .iter()
         .zip(more)
@@ -118,8 +121,8 @@
 }
 
 /// Plans moves for all cells of one limit. What is granted never exceeds what is free.
-pub fn plan(limit: Units, shares: &[Share]) -> Vec<Move> {
-    let fill = fill(limit, shares);
+pub fn plan_transfers(limit: Units, shares: &[CellShare]) -> Vec<Transfer> {
+    let fill = compute_allocations(limit, shares);
     let spare = limit - fill.iter().sum::<Units>();
     let each = spare.checked_div(shares.len() as Units).unwrap_or(0);
     let ideal: Vec<Units> = fill.iter().map(|part| part + each).collect();
@@ -128,11 +131,11 @@
     let missing: Vec<Units> = shares
         .iter()
         .zip(&fill)
-        .map(|(share, fill)| short(share, *fill))
+        .map(|(share, fill)| worthwhile_shortfall(share, *fill))
         .collect();
     let lowered = outstanding > limit;
     let moves = missing.iter().sum::<Units>() > free;
-    let target = |share: &Share, ideal: Units| {
+    let target = |share: &CellShare, ideal: Units| {
         let least = match (lowered, moves) {
             (true, _) => ideal,
             (false, true) => ideal.max(share.used),
@@ -140,15 +143,15 @@
         };
         least.min(share.outstanding)
     };
-    let mut planned: Vec<Move> = shares
+    let mut planned: Vec<Transfer> = shares
         .iter()
         .zip(&ideal)
-        .map(|(share, ideal)| Move {
+        .map(|(share, ideal)| Transfer {
             grant: 0,
             target: target(share, *ideal),
         })
         .collect();
-    for (each, grant) in planned.iter_mut().zip(divide(free, &missing)) {
+    for (each, grant) in planned.iter_mut().zip(divide_with_caps(free, &missing)) {
         each.grant = grant;
         each.target += grant;
         free -= grant;
@@ -156,7 +159,7 @@
     if !moves {
         for ((each, share), ideal) in planned.iter_mut().zip(shares).zip(&ideal) {
             let lacks = ideal.saturating_sub(share.outstanding + each.grant);
-            if lacks > ideal / SPARE {
+            if lacks > ideal / SPARE_GRANT_DIVISOR {
                 let grant = lacks.min(free);
                 each.grant += grant;
                 each.target += grant;
@@ -168,10 +171,10 @@
 }
 
 /// How much a cell lacks, if that is worth a move.
-fn short(share: &Share, fill: Units) -> Units {
+fn worthwhile_shortfall(share: &CellShare, fill: Units) -> Units {
     let lacks = fill.saturating_sub(share.outstanding);
-    let at_once = share.used + share.least;
-    let matters = lacks >= fill / SHORT || share.outstanding < at_once;
+    let at_once = share.used + share.first_request;
+    let matters = lacks >= fill / SHORTFALL_DIVISOR || share.outstanding < at_once;
     if matters { lacks } else { 0 }
 }
 
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -14,7 +14,7 @@
 //! * `quota/cells`, `quota/home/<team>`, `quota/hold/<team>`: which cells share quotas, what a team's home has granted
 //!   to each, and what this cell holds. Only where cells are named.
 //!
-//! Notes on one task are put in order by attempt and by what can follow what, so that it makes no
+//! LeaderLog on one task are put in order by attempt and by what can follow what, so that it makes no
 //! difference in which order a successor reads them, or whether it reads one twice.
 
 use std::collections::HashMap;
@@ -23,7 +23,7 @@
 use serde_json::Value;
 
 use crate::{
-    cluster::{Books, ImageIx, JobIx, MachineIx, MachineState, Task, TaskStatus},
+    cluster::{ClusterState, ImageIndex, JobIndex, MachineIndex, MachineState, Task, TaskStatus},
     protocol::{
         cloud::{MachineType, MachineTypes},
         ids::JobId,
@@ -31,52 +31,52 @@
     },
 };
 
-pub const SHARED: &str = "shared/";
-pub const LEADER: &str = "shared/leader";
-pub const TERM: &str = "shared/term";
-pub const TYPES: &str = "shared/types";
+pub const SHARED_PREFIX: &str = "shared/";
+pub const LEADER_KEY: &str = "shared/leader";
+pub const TERM_KEY: &str = "shared/term";
+pub const MACHINE_TYPES_KEY: &str = "shared/types";
 /// The agreed table of what the nodes may let in (`coordination/admission`).
-pub const TABLE: &str = "shared/admission";
-const DEPUTY: &str = "shared/deputy/";
-pub const BOOKS: &str = "books/";
+pub const ADMISSION_QUOTAS_KEY: &str = "shared/admission";
+const LEASE_RENEWER_PREFIX: &str = "shared/deputy/";
+pub const CLUSTER_PREFIX: &str = "books/";
 /// Quotas that cells share; nothing is kept there unless cells are named.
-pub const QUOTA: &str = "quota/";
-pub const QUOTA_CELLS: &str = "quota/cells";
-const QUOTA_HOME: &str = "quota/home/";
-const QUOTA_HOLD: &str = "quota/hold/";
-const JOB: &str = "shared/job/";
-const PART: &str = "shared/part/";
-const TASK: &str = "books/task/";
-const LOG: &str = "books/log/";
-const IMAGES: &str = "books/images/";
+pub const QUOTA_PREFIX: &str = "quota/";
+pub const QUOTA_CELLS_KEY: &str = "quota/cells";
+const QUOTA_COORDINATOR_PREFIX: &str = "quota/home/";
+const QUOTA_PARTICIPANT_PREFIX: &str = "quota/hold/";
+const JOB_PREFIX: &str = "shared/job/";
+const JOB_PART_PREFIX: &str = "shared/part/";
+const SNAPSHOT_PREFIX: &str = "books/task/";
+const LOG_PREFIX: &str = "books/log/";
+const IMAGES_PREFIX: &str = "books/images/";
 /// Entries that the ring has room for.
-pub const SLOTS: u32 = 256;
+pub const LOG_RING_SLOTS: u32 = 256;
 
 pub fn job_key(id: JobId) -> String {
-    format!("{JOB}{id}")
+    format!("{JOB_PREFIX}{id}")
 }
 
 pub fn parse_job_key(key: &str) -> Option<JobId> {
-    key.strip_prefix(JOB)?.parse().ok()
+    key.strip_prefix(JOB_PREFIX)?.parse().ok()
 }
 
 /// One of the further keys of a record that is too long for one value.
-pub fn part_key(id: JobId, part: u32) -> String {
-    format!("{PART}{id}/{part:05}")
+pub fn job_part_key(id: JobId, part: u32) -> String {
+    format!("{JOB_PART_PREFIX}{id}/{part:05}")
 }
 
-pub fn parse_part_key(key: &str) -> Option<(JobId, u32)> {
-    let (id, part) = key.strip_prefix(PART)?.split_once('/')?;
+pub fn parse_job_part_key(key: &str) -> Option<(JobId, u32)> {
+    let (id, part) = key.strip_prefix(JOB_PART_PREFIX)?.split_once('/')?;
     Some((id.parse().ok()?, part.parse().ok()?))
 }
 
-/// Held by a node on a lease of its own while it may renew workers' leases.
-pub fn deputy_key(label: &str) -> String {
-    format!("{DEPUTY}{label}")
+/// HeldTask by a node on a lease of its own while it may renew workers' leases.
+pub fn lease_renewer_key(label: &str) -> String {
+    format!("{LEASE_RENEWER_PREFIX}{label}")
 }
 
-pub fn parse_deputy_key(key: &str) -> Option<&str> {
-    key.strip_prefix(DEPUTY)
+pub fn parse_lease_renewer_key(key: &str) -> Option<&str> {
+    key.strip_prefix(LEASE_RENEWER_PREFIX)
 }
 
 /// A page's number in its key: how many tasks it stands for, and which of them.
@@ -87,62 +87,62 @@
 /// both, and merging them is harmless, for of two notes on a task the later one is known. Versions
 /// that only counted, up to 100,000, read these pages as well, and never write them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct PageNumber(pub u32);
+pub struct SnapshotNumber(pub u32);
 
-const LENGTHS: u32 = 1_000_000;
+const SNAPSHOT_LENGTH_FACTOR: u32 = 1_000_000;
 
-impl PageNumber {
+impl SnapshotNumber {
     pub fn new(length: u32, chunk: u32) -> Self {
-        PageNumber(length * LENGTHS + chunk)
+        SnapshotNumber(length * SNAPSHOT_LENGTH_FACTOR + chunk)
     }
 
     /// Which stretch it is, for who writes pages of this length.
-    pub fn chunk(self, length: u32) -> Option<u32> {
-        (self.0 / LENGTHS == length).then_some(self.0 % LENGTHS)
+    pub fn range_index(self, length: u32) -> Option<u32> {
+        (self.0 / SNAPSHOT_LENGTH_FACTOR == length).then_some(self.0 % SNAPSHOT_LENGTH_FACTOR)
     }
 }
 
-pub fn page_key(id: JobId, page: PageNumber) -> String {
-    format!("{TASK}{id}/{:05}", page.0)
+pub fn snapshot_key(id: JobId, page: SnapshotNumber) -> String {
+    format!("{SNAPSHOT_PREFIX}{id}/{:05}", page.0)
 }
 
-pub fn parse_page_key(key: &str) -> Option<(JobId, PageNumber)> {
-    let (id, number) = key.strip_prefix(TASK)?.split_once('/')?;
-    Some((id.parse().ok()?, PageNumber(number.parse().ok()?)))
+pub fn parse_snapshot_key(key: &str) -> Option<(JobId, SnapshotNumber)> {
+    let (id, number) = key.strip_prefix(SNAPSHOT_PREFIX)?.split_once('/')?;
+    Some((id.parse().ok()?, SnapshotNumber(number.parse().ok()?)))
 }
 
 pub fn images_key(part: usize) -> String {
-    format!("{IMAGES}{part:05}")
+    format!("{IMAGES_PREFIX}{part:05}")
 }
 
 pub fn is_images_key(key: &str) -> bool {
-    key.starts_with(IMAGES)
+    key.starts_with(IMAGES_PREFIX)
 }
 
 /// What a team's home keeps of it.
-pub fn quota_home_key(team: &str) -> String {
-    format!("{QUOTA_HOME}{team}")
+pub fn quota_coordinator_key(team: &str) -> String {
+    format!("{QUOTA_COORDINATOR_PREFIX}{team}")
 }
 
-pub fn parse_quota_home_key(key: &str) -> Option<&str> {
-    key.strip_prefix(QUOTA_HOME)
+pub fn parse_quota_coordinator_key(key: &str) -> Option<&str> {
+    key.strip_prefix(QUOTA_COORDINATOR_PREFIX)
 }
 
 /// What this cell holds of a team's quota.
-pub fn quota_hold_key(team: &str) -> String {
-    format!("{QUOTA_HOLD}{team}")
+pub fn quota_participant_key(team: &str) -> String {
+    format!("{QUOTA_PARTICIPANT_PREFIX}{team}")
 }
 
-pub fn parse_quota_hold_key(key: &str) -> Option<&str> {
-    key.strip_prefix(QUOTA_HOLD)
+pub fn parse_quota_participant_key(key: &str) -> Option<&str> {
+    key.strip_prefix(QUOTA_PARTICIPANT_PREFIX)
 }
 
-pub fn slot_key(slot: u32) -> String {
-    format!("{LOG}{slot:05}")
+pub fn log_slot_key(slot: u32) -> String {
+    format!("{LOG_PREFIX}{slot:05}")
 }
 
-pub fn parse_slot_key(key: &str) -> Option<u32> {
-    key.strip_prefix(LOG)?.parse().ok()
+pub fn parse_log_slot_key(key: &str) -> Option<u32> {
+    key.strip_prefix(LOG_PREFIX)?.parse().ok()
 }
 
 /// A job's record: the submission until the job is over, then only how it ended.
@@ -170,15 +170,15 @@
 }
 
 /// What is kept free in a value besides what is counted.
-const VALUE_SPARE: usize = 64;
+const VALUE_HEADROOM_BYTES: usize = 64;
 
 /// A live job's record and the texts of its further keys, none of them longer than `bytes` as JSON.
-pub fn live_record(at_ms: u64, spec: &Submission, bytes: usize) -> (JobRecord, Vec<String>) {
+pub fn live_job_record(at_ms: u64, spec: &Submission, bytes: usize) -> (JobRecord, Vec<String>) {
     let whole = JobRecord::Live {
         at_ms,
         spec: Box::new(spec.clone()),
     };
-    let room = bytes.saturating_sub(VALUE_SPARE);
+    let room = bytes.saturating_sub(VALUE_HEADROOM_BYTES);
     if json_len(&whole) <= room {
         return (whole, Vec::new());
     }
@@ -200,8 +200,8 @@
 
 /// The keys and values that machine types are kept under, none of them longer than `bytes` as JSON: one,
 /// as ever, where that holds them all, else several that are only read together.
-pub fn types_records(types: &[MachineType], bytes: usize) -> Vec<(String, Value)> {
-    let room = bytes.saturating_sub(VALUE_SPARE);
+pub fn machine_types_records(types: &[MachineType], bytes: usize) -> Vec<(String, Value)> {
+    let room = bytes.saturating_sub(VALUE_HEADROOM_BYTES);
     let value = |types: &[MachineType]| {
         to_value(&MachineTypes {
             types: types.to_vec(),
@@ -209,7 +209,7 @@
     };
     let whole = value(types);
     if json_len(&whole) <= room {
-        return vec![(TYPES.into(), whole)];
+        return vec![(MACHINE_TYPES_KEY.into(), whole)];
     }
     let mut parts: Vec<Vec<MachineType>> = vec![Vec::new()];
     let mut used = 0;
@@ -225,21 +225,28 @@
     let count = parts.len();
     let parts = parts.into_iter().enumerate();
     parts
-        .map(|(at, part)| (format!("{TYPES}/{at:05}-{count:05}"), value(&part)))
+        .map(|(at, part)| {
+            (
+                format!("{MACHINE_TYPES_KEY}/{at:05}-{count:05}"),
+                value(&part),
+            )
+        })
         .collect()
 }
 
 /// Which part of how many a key of machine types is.
-pub fn parse_types_key(key: &str) -> Option<(u32, u32)> {
+pub fn parse_machine_types_key(key: &str) -> Option<(u32, u32)> {
     let (part, count) = key
-        .strip_prefix(TYPES)?
+        .strip_prefix(MACHINE_TYPES_KEY)?
         .strip_prefix('/')?
         .split_once('-')?;
     Some((part.parse().ok()?, count.parse().ok()?))
 }
 
 /// Puts the texts of a record's further keys together.
-pub fn joined<'a>(texts: impl Iterator<Item = &'a str>) -> Result<Submission, serde_json::Error> {
+pub fn join_submission_parts<'a>(
+    texts: impl Iterator<Item = &'a str>,
+) -> Result<Submission, serde_json::Error> {
     serde_json::from_str(&texts.collect::<String>())
 }
 
@@ -259,7 +266,7 @@
 
 /// A node that may renew workers' leases.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DeputyRecord {
+pub struct LeaseRenewerRecord {
     pub lease: u64,
 }
 
@@ -270,47 +277,49 @@
 
 /// A task as its chunk records it: index, latest attempt, and how it stands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TaskNote(pub u32, pub u32, pub Note);
+pub struct TaskRecord(pub u32, pub u32, pub RecordedStatus);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Note {
+pub enum RecordedStatus {
     /// It may be on this one of the record's machines.
     #[serde(rename = "m")]
-    On(u32),
+    OnMachine(u32),
     #[serde(rename = "w")]
     Waiting,
     #[serde(rename = "d")]
     Done,
 }
 
-impl Note {
-    /// Notes on one attempt, the later ones higher: an attempt that was noted as gone does not
+impl RecordedStatus {
+    /// LeaderLog on one attempt, the later ones higher: an attempt that was noted as gone does not
     /// come back, and what is done stays so.
-    pub fn rank(self) -> u8 {
+    pub fn precedence(self) -> u8 {
         match self {
-            Note::On(_) => 0,
-            Note::Waiting => 1,
-            Note::Done => 2,
+            RecordedStatus::OnMachine(_) => 0,
+            RecordedStatus::Waiting => 1,
+            RecordedStatus::Done => 2,
         }
     }
 }
 
 /// Enough of a machine to ask it, and to count what runs there, before it is heard of.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MachineNote {
+pub struct MachineRecord {
     pub name: String,
-    pub kind: String,
+    #[serde(rename = "kind")]
+    pub machine_type: String,
     pub zone: String,
     pub spot: bool,
     pub addr: Option<String>,
 }
 
-/// What a job takes. Notes repeat it: the job's own record forgets it when the job is cancelled, but
+/// What a job takes. LeaderLog repeat it: the job's own record forgets it when the job is cancelled, but
 /// what is still being stopped counts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct JobNote {
+pub struct JobSummary {
     pub team: String,
-    pub of: u32,
+    #[serde(rename = "of")]
+    pub task_count: u32,
     pub cpus: f64,
     pub gpus: f64,
     pub ram_gb: f64,
@@ -318,11 +327,11 @@
 
 /// A page: a stretch of a job's tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ChunkRecord {
+pub struct SnapshotRecord {
     #[serde(flatten)]
-    pub job: JobNote,
-    pub machines: Vec<MachineNote>,
-    pub tasks: Vec<TaskNote>,
+    pub job: JobSummary,
+    pub machines: Vec<MachineRecord>,
+    pub tasks: Vec<TaskRecord>,
 }
 
 /// An entry of the log: the latest on tasks that changed, job by job.
@@ -331,9 +340,10 @@
     /// Counts entries; never used again.
     pub seq: u64,
     /// Entries before this one count no more: pages hold what they said.
-    pub first: u64,
-    pub machines: Vec<MachineNote>,
-    pub jobs: Vec<(JobId, JobNote, Vec<TaskNote>)>,
+    #[serde(rename = "first")]
+    pub first_live_seq: u64,
+    pub machines: Vec<MachineRecord>,
+    pub jobs: Vec<(JobId, JobSummary, Vec<TaskRecord>)>,
 }
 
 /// Which of a table's images each of some machines holds.
@@ -341,51 +351,52 @@
 pub struct ImagesRecord {
     /// Name and size.
     pub images: Vec<(String, f64)>,
-    /// A machine's name, and a bit for each image, and [`TO_BE_REPLACED`].
+    /// A machine's name, and a bit for each image, and [`REPLACEMENT_BIT`].
     pub machines: Vec<(String, u64)>,
     /// Jobs that fail everywhere; in the first record only.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub at_fault: Vec<JobId>,
+    #[serde(rename = "at_fault")]
+    pub quarantined: Vec<JobId>,
 }
 
 /// Jobs at fault that are told of.
-const AT_FAULT_TOLD: usize = 64;
+const MAX_QUARANTINED_JOBS_RECORDED: usize = 64;
 /// The longest id of a job, with its quotes and a comma.
-const JOB_BYTES: usize = 25;
+const MAX_JOB_ID_JSON_BYTES: usize = 25;
 /// What a record has besides its lists' entries.
-const IMAGES_HEAD: usize = 64;
+const IMAGES_RECORD_HEADER_BYTES: usize = 64;
 
 /// Set for a machine on which nothing more is to be placed: it failed its tasks, or was slow.
-pub const TO_BE_REPLACED: u64 = 1 << IMAGES_TOLD;
+pub const REPLACEMENT_BIT: u64 = 1 << MAX_IMAGES_PER_RECORD;
 
 /// Images that one record tells of.
-pub const IMAGES_TOLD: usize = 48;
+pub const MAX_IMAGES_PER_RECORD: usize = 48;
 
 /// What the books know of machines' images and faults, in records whose JSON has at most `bytes` bytes each.
-pub fn images_records(books: &Books, bytes: usize) -> Vec<ImagesRecord> {
-    let mut names: HashMap<ImageIx, &str> = HashMap::new();
-    for (name, index) in books.images.iter() {
-        names.insert(ImageIx(index), name);
+pub fn images_records(cluster: &ClusterState, bytes: usize) -> Vec<ImagesRecord> {
+    let mut names: HashMap<ImageIndex, &str> = HashMap::new();
+    for (name, index) in cluster.image_interner.iter() {
+        names.insert(ImageIndex(index), name);
     }
     let up = || {
-        books
+        cluster
             .machines
             .iter()
             .filter(|m| m.state == MachineState::Up)
     };
-    let mut count: HashMap<ImageIx, (usize, f64)> = HashMap::new();
-    for &(image, gb) in up().flat_map(|machine| &machine.images) {
+    let mut count: HashMap<ImageIndex, (usize, f64)> = HashMap::new();
+    for &(image, gb) in up().flat_map(|machine| &machine.cached_images) {
         let known = count.entry(image).or_insert((0, gb));
         known.0 += 1;
     }
-    let mut table: Vec<(ImageIx, usize, f64)> = count
+    let mut table: Vec<(ImageIndex, usize, f64)> = count
         .into_iter()
         .map(|(image, (held, gb))| (image, held, gb))
         .collect();
     table.sort_by_key(|&(image, held, _)| (std::cmp::Reverse(held), image));
-    table.truncate(IMAGES_TOLD);
+    table.truncate(MAX_IMAGES_PER_RECORD);
     // What is held most comes first; half of a record is for the machines.
-    let mut head = IMAGES_HEAD;
+    let mut head = IMAGES_RECORD_HEADER_BYTES;
     let mut images: Vec<(String, f64)> = Vec::new();
     for (image, _, gb) in &table {
         let Some(name) = names.get(image) else {
@@ -398,33 +409,34 @@
         }
         images.push(image);
     }
-    let bit: HashMap<ImageIx, usize> = table.iter().map(|row| row.0).zip(0..images.len()).collect();
+    let bit: HashMap<ImageIndex, usize> =
+        table.iter().map(|row| row.0).zip(0..images.len()).collect();
     let mut records: Vec<ImagesRecord> = Vec::new();
     let mut used = usize::MAX;
-    let at_fault = books.job_index.values().map(|index| books.job(*index));
+    let at_fault = cluster.jobs_by_id.values().map(|index| cluster.job(*index));
     let mut at_fault: Vec<JobId> = at_fault
-        .filter(|job| job.at_fault && !job.closed)
+        .filter(|job| job.quarantined && !job.closed)
         .map(|job| job.id)
-        .take(AT_FAULT_TOLD.min(bytes / 4 / JOB_BYTES))
+        .take(MAX_QUARANTINED_JOBS_RECORDED.min(bytes / 4 / MAX_JOB_ID_JSON_BYTES))
         .collect();
     for machine in up() {
         let held = machine
-            .images
+            .cached_images
             .iter()
             .filter_map(|(image, _)| bit.get(image))
             .fold(0, |held, bit| held | 1 << bit);
-        let held = held | if machine.draining { TO_BE_REPLACED } else { 0 };
+        let held = held | if machine.draining { REPLACEMENT_BIT } else { 0 };
         if held == 0 {
             continue;
         }
         let machine = (machine.name.clone(), held);
         let size = json_len(&machine) + 1;
         if used.saturating_add(size) > bytes {
-            used = head + at_fault.len() * JOB_BYTES;
+            used = head + at_fault.len() * MAX_JOB_ID_JSON_BYTES;
             records.push(ImagesRecord {
                 images: images.clone(),
                 machines: Vec::new(),
-                at_fault: std::mem::take(&mut at_fault),
+                quarantined: std::mem::take(&mut at_fault),
             });
         }
         used += size;
@@ -436,11 +448,11 @@
 }
 
 /// The longest note with a machine of its own, as JSON.
-const NOTE_BYTES: f64 = 160.0;
+const MAX_TASK_RECORD_BYTES: f64 = 160.0;
 
 /// How many tasks share a chunk, so that a chunk stays within a value's limit.
-pub fn chunk_len(value_kb: f64) -> u32 {
-    ((value_kb * 1024.0 - 512.0) / NOTE_BYTES).clamp(1.0, 128.0) as u32
+pub fn task_range_len(value_kb: f64) -> u32 {
+    ((value_kb * 1024.0 - 512.0) / MAX_TASK_RECORD_BYTES).clamp(1.0, 128.0) as u32
 }
 
 pub fn to_value<T: Serialize>(record: &T) -> Value {
@@ -449,97 +461,101 @@
 
 /// Machines that a record names, each once.
 #[derive(Default)]
-struct Named {
-    at: HashMap<MachineIx, u32>,
-    notes: Vec<MachineNote>,
+struct MachineTable {
+    index_by_machine: HashMap<MachineIndex, u32>,
+    records: Vec<MachineRecord>,
 }
 
-impl Named {
-    fn note(&mut self, books: &Books, machine: MachineIx) -> u32 {
-        *self.at.entry(machine).or_insert_with(|| {
-            let machine = books.machine(machine);
-            self.notes.push(MachineNote {
+impl MachineTable {
+    fn machine_index(&mut self, cluster: &ClusterState, machine: MachineIndex) -> u32 {
+        *self.index_by_machine.entry(machine).or_insert_with(|| {
+            let machine = cluster.machine(machine);
+            self.records.push(MachineRecord {
                 name: machine.name.clone(),
-                kind: books.types[machine.type_ix.at()].name.clone(),
-                zone: books.zone_names[machine.zone.at()].clone(),
+                machine_type: cluster.machine_types[machine.machine_type.as_usize()]
+                    .name
+                    .clone(),
+                zone: cluster.zone_names[machine.zone.as_usize()].clone(),
                 spot: machine.spot,
                 addr: machine.addr.clone(),
             });
-            self.notes.len() as u32 - 1
+            self.records.len() as u32 - 1
         })
     }
 
-    fn task(&mut self, books: &Books, index: u32, task: &Task) -> TaskNote {
+    fn task_record(&mut self, cluster: &ClusterState, index: u32, task: &Task) -> TaskRecord {
         let note = match task.status {
-            TaskStatus::Waiting => Note::Waiting,
-            TaskStatus::Done => Note::Done,
-            TaskStatus::Active(machine) => Note::On(self.note(books, machine)),
+            TaskStatus::Waiting => RecordedStatus::Waiting,
+            TaskStatus::Done => RecordedStatus::Done,
+            TaskStatus::Active(machine) => {
+                RecordedStatus::OnMachine(self.machine_index(cluster, machine))
+            }
         };
-        TaskNote(index, task.attempt, note)
+        TaskRecord(index, task.attempt, note)
     }
 }
 
-fn job_note(books: &Books, index: JobIx) -> JobNote {
-    let job = books.job(index);
-    JobNote {
-        team: books.teams[job.team.at()].name.clone(),
-        of: job.tasks.len() as u32,
-        cpus: job.need.cpus,
-        gpus: job.need.gpus,
-        ram_gb: job.need.ram_gb,
+fn job_summary(cluster: &ClusterState, index: JobIndex) -> JobSummary {
+    let job = cluster.job(index);
+    JobSummary {
+        team: cluster.teams[job.team.as_usize()].name.clone(),
+        task_count: job.tasks.len() as u32,
+        cpus: job.requested.cpus,
+        gpus: job.requested.gpus,
+        ram_gb: job.requested.ram_gb,
     }
 }
 
 /// The record of a chunk as the books have it now.
-pub fn chunk_record(books: &Books, index: JobIx, chunk: u32) -> ChunkRecord {
-    let tasks = &books.job(index).tasks;
-    let first = (chunk * books.chunk_len) as usize;
-    let last = (first + books.chunk_len as usize).min(tasks.len());
-    let mut named = Named::default();
+pub fn snapshot_record(cluster: &ClusterState, index: JobIndex, chunk: u32) -> SnapshotRecord {
+    let tasks = &cluster.job(index).tasks;
+    let first = (chunk * cluster.task_range_len) as usize;
+    let last = (first + cluster.task_range_len as usize).min(tasks.len());
+    let mut named = MachineTable::default();
     let notes = tasks[first..last]
         .iter()
         .enumerate()
         .filter(|(_, task)| task.attempt > 0 || task.status != TaskStatus::Waiting)
-        .map(|(at, task)| named.task(books, (first + at) as u32, task))
+        .map(|(at, task)| named.task_record(cluster, (first + at) as u32, task))
         .collect();
-    ChunkRecord {
-        job: job_note(books, index),
-        machines: named.notes,
+    SnapshotRecord {
+        job: job_summary(cluster, index),
+        machines: named.records,
         tasks: notes,
     }
 }
 
 /// An entry without any job or machine, with the largest numbers.
-const LOG_HEAD: usize = 96;
+const LOG_RECORD_HEADER_BYTES: usize = 96;
 
 /// Takes tasks off the front of `tasks` for one entry whose JSON has at most `bytes` bytes; at least
 /// one is taken.
 pub fn log_record(
-    books: &Books,
-    tasks: &mut std::iter::Peekable<impl Iterator<Item = (JobIx, u32)>>,
+    cluster: &ClusterState,
+    tasks: &mut std::iter::Peekable<impl Iterator<Item = (JobIndex, u32)>>,
     (seq, first): (u64, u64),
     bytes: usize,
 ) -> LogRecord {
-    let mut named = Named::default();
-    let mut jobs: Vec<(JobId, JobNote, Vec<TaskNote>)> = Vec::new();
-    let mut used = LOG_HEAD;
+    let mut named = MachineTable::default();
+    let mut jobs: Vec<(JobId, JobSummary, Vec<TaskRecord>)> = Vec::new();
+    let mut used = LOG_RECORD_HEADER_BYTES;
     while let Some(&(index, task)) = tasks.peek() {
-        let job = books.job(index);
+        let job = cluster.job(index);
         let entry = &job.tasks[task as usize];
-        let machines = named.notes.len();
-        let note = named.task(books, task, entry);
+        let machines = named.records.len();
+        let note = named.task_record(cluster, task, entry);
         used += json_len(&note) + 1;
-        used += named.notes[machines..]
+        used += named.records[machines..]
             .iter()
             .map(|machine| json_len(machine) + 1)
             .sum::<usize>();
         let new_job = jobs.last().is_none_or(|(id, ..)| *id != job.id);
-        let head = new_job.then(|| job_note(books, index));
+        let head = new_job.then(|| job_summary(cluster, index));
         if let Some(head) = &head {
             used += json_len(&job.id) + json_len(head) + 6;
         }
         if used > bytes && !jobs.is_empty() {
-            named.notes.truncate(machines);
+            named.records.truncate(machines);
             break;
         }
         if let Some(head) = head {
@@ -552,8 +568,8 @@
     }
     LogRecord {
         seq,
-        first,
-        machines: named.notes,
+        first_live_seq: first,
+        machines: named.records,
         jobs,
     }
 }
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -13,7 +13,7 @@
 use tokio::sync::Semaphore;
 
 use crate::{
-    metrics::{Metrics, Shed},
+    metrics::{Metrics, ShedConnection},
     protocol::{
         self,
         cloud::{CloudError, CloudReply, CloudRequest, MachineNames},
@@ -23,38 +23,41 @@
         },
         worker::{DirectOrders, WorkerReply},
     },
-    transport::connection_limiter::Lately,
+    transport::connection_limiter::RecentCallCounter,
 };
 
 /// An answer: the status and the body.
-pub type Answer = (u16, Bytes);
+pub type HttpResponse = (u16, Bytes);
 
-const IDLE: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Orders to a worker come in bursts. There are hundreds of workers, and sockets and memory for a
 /// connection to each besides its own to us are better kept for those who ask.
-const IDLE_WORKER: Duration = Duration::from_secs(Lately::SECONDS as u64);
+const WORKER_IDLE_TIMEOUT: Duration = Duration::from_secs(RecentCallCounter::WINDOW_S as u64);
 
 /// One pool of connections. A request that gets no answer leaves the pool to be thrown away:
 /// behind a cut, its idle connections are as dead as the one that was used.
-pub struct Http {
+pub struct HttpClient {
     client: RefCell<Client<HttpConnector, Full<Bytes>>>,
     idle_per_host: usize,
-    idle_for: Duration,
-    shared_fate: bool,
+    idle_timeout: Duration,
+    single_host: bool,
 }
 
-impl Http {
+impl HttpClient {
     /// `shared_fate`: all requests go to one host, so that one dead connection speaks for all.
     pub fn new(idle_per_host: usize, idle_for: Duration, shared_fate: bool) -> Self {
-        Http {
-            client: RefCell::new(Self::client(idle_per_host, idle_for)),
+        HttpClient {
+            client: RefCell::new(Self::build_client(idle_per_host, idle_for)),
             idle_per_host,
-            idle_for,
-            shared_fate,
+            idle_timeout: idle_for,
+            single_host: shared_fate,
         }
     }
 
-    fn client(idle_per_host: usize, idle_for: Duration) -> Client<HttpConnector, Full<Bytes>> {
+    fn build_client(
+        idle_per_host: usize,
+        idle_for: Duration,
+    ) -> Client<HttpConnector, Full<Bytes>> {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(Duration::from_secs(2)));
@@ -74,7 +77,7 @@
         body: Vec<u8>,
         keep: bool,
         timeout: Duration,
-    ) -> Option<Answer> {
+    ) -> Option<HttpResponse> {
         let mut request = Request::builder()
             .method(method)
             .uri(format!("http://{addr}{path}"))
@@ -95,8 +98,9 @@
         match tokio::time::timeout(timeout, exchange).await {
             Ok(answer) => answer,
             Err(_) => {
-                if self.shared_fate {
-                    *self.client.borrow_mut() = Self::client(self.idle_per_host, self.idle_for);
+                if self.single_host {
+                    *self.client.borrow_mut() =
+                        Self::build_client(self.idle_per_host, self.idle_timeout);
                 }
                 None
             }
@@ -104,12 +108,12 @@
     }
 }
 
-fn parse<T: DeserializeOwned>(body: &Bytes) -> Option<T> {
+fn decode_body<T: DeserializeOwned>(body: &Bytes) -> Option<T> {
     protocol::decode(body).ok()
 }
 
 /// Percent-encodes what a query value may not hold as it is.
-fn escape(text: &str) -> String {
+fn percent_encode(text: &str) -> String {
     let mut escaped = String::with_capacity(text.len());
     for byte in text.bytes() {
         match byte {
@@ -158,18 +162,18 @@
         } => {
             let after = after
                 .as_deref()
-                .map(|key| format!("&after={}", escape(key)))
+                .map(|key| format!("&after={}", percent_encode(key)))
                 .unwrap_or_default();
             HttpRequest::get(format!("/kv?starts={prefix}{after}&limit={limit}"))
         }
         StateRequest::Get { key } => HttpRequest::get(format!("/kv/{key}")),
         StateRequest::Txn(txn) => HttpRequest::post("/txn", protocol::encode(txn)),
-        StateRequest::Grant { life_ms } => {
-            let body = protocol::encode(&LeaseRequest { life_ms: *life_ms });
+        StateRequest::Grant { ttl_ms } => {
+            let body = protocol::encode(&LeaseRequest { ttl_ms: *ttl_ms });
             HttpRequest::post("/holds", body)
         }
         StateRequest::Touch { lease } => {
-            HttpRequest::post(format!("/holds/{lease}/touch"), EMPTY_MAP.to_vec())
+            HttpRequest::post(format!("/holds/{lease}/touch"), EMPTY_MSGPACK_MAP.to_vec())
         }
         StateRequest::Release { lease } => HttpRequest {
             method: Method::DELETE,
@@ -200,7 +204,7 @@
         CloudRequest::List { after } => {
             let after = after
                 .as_deref()
-                .map(|name| format!("after={}&", escape(name)))
+                .map(|name| format!("after={}&", percent_encode(name)))
                 .unwrap_or_default();
             HttpRequest::get(format!("/machines?{after}limit=500"))
         }
@@ -217,16 +221,16 @@
 
 /// Speaks to the state service.
 pub struct StateClient {
-    http: Http,
-    watch: Http,
+    http: HttpClient,
+    watch_http: HttpClient,
     addr: String,
 }
 
 impl StateClient {
     pub fn new(addr: SocketAddrV4) -> Self {
         StateClient {
-            http: Http::new(8, IDLE, true),
-            watch: Http::new(1, IDLE, true),
+            http: HttpClient::new(8, IDLE_TIMEOUT, true),
+            watch_http: HttpClient::new(1, IDLE_TIMEOUT, true),
             addr: addr.to_string(),
         }
     }
@@ -238,7 +242,7 @@
     ) -> Result<StateReply, StateError> {
         let HttpRequest { method, path, body } = state_request(request);
         let pool = match request {
-            StateRequest::Changes { hold_ms, .. } if *hold_ms > 0 => &self.watch,
+            StateRequest::Changes { hold_ms, .. } if *hold_ms > 0 => &self.watch_http,
             _ => &self.http,
         };
         let (status, body) = pool
@@ -246,21 +250,21 @@
             .await
             .ok_or(StateError::NoAnswer)?;
         let reply = match (request, status) {
-            (StateRequest::List { .. }, 200) => parse::<Page>(&body).map(StateReply::Page),
-            (StateRequest::Get { .. }, 200) => parse::<Row>(&body).map(StateReply::Row),
+            (StateRequest::List { .. }, 200) => decode_body::<Page>(&body).map(StateReply::Page),
+            (StateRequest::Get { .. }, 200) => decode_body::<Row>(&body).map(StateReply::Row),
             (StateRequest::Get { .. }, 404) => Some(StateReply::Missing),
             (StateRequest::Txn(_), 200) => {
-                parse::<Committed>(&body).map(|done| StateReply::Committed(done.revision))
+                decode_body::<Committed>(&body).map(|done| StateReply::Committed(done.revision))
             }
             (StateRequest::Txn(_), 409) => {
-                parse::<Conflict>(&body).map(|conflict| StateReply::Conflict(conflict.failed))
+                decode_body::<Conflict>(&body).map(|conflict| StateReply::Conflict(conflict.failed))
             }
             (StateRequest::Txn(_), 400) => {
                 tracing::debug!(body = %String::from_utf8_lossy(&body), "transaction refused");
                 Some(StateReply::NoLease)
             }
             (StateRequest::Grant { .. }, 200) => {
-                parse::<Lease>(&body).map(|lease| StateReply::Granted(lease.id))
+                decode_body::<Lease>(&body).map(|lease| StateReply::Granted(lease.id))
             }
             (StateRequest::Touch { .. } | StateRequest::Release { .. }, 200..=204) => {
                 Some(StateReply::Touched)
@@ -268,7 +272,9 @@
             (StateRequest::Touch { .. } | StateRequest::Release { .. }, 404) => {
                 Some(StateReply::NoLease)
             }
-            (StateRequest::Changes { .. }, 200) => parse::<Changes>(&body).map(StateReply::Changes),
+            (StateRequest::Changes { .. }, 200) => {
+                decode_body::<Changes>(&body).map(StateReply::Changes)
+            }
             (StateRequest::Changes { .. }, 410) => Some(StateReply::TooOld),
             (_, status) => return Err(StateError::Refused(status)),
         };
@@ -276,17 +282,17 @@
     }
 }
 
-const EMPTY_MAP: &[u8] = &[0x80];
+const EMPTY_MSGPACK_MAP: &[u8] = &[0x80];
 
 pub struct CloudClient {
-    http: Http,
+    http: HttpClient,
     addr: String,
 }
 
 impl CloudClient {
     pub fn new(addr: SocketAddrV4) -> Self {
         CloudClient {
-            http: Http::new(2, IDLE, true),
+            http: HttpClient::new(2, IDLE_TIMEOUT, true),
             addr: addr.to_string(),
         }
     }
@@ -303,9 +309,9 @@
             .await
             .ok_or(CloudError::NoAnswer)?;
         let reply = match (request, status) {
-            (CloudRequest::Types, 200) => parse(&body).map(CloudReply::Types),
+            (CloudRequest::Types, 200) => decode_body(&body).map(CloudReply::Types),
             (CloudRequest::Rent(_), 200) => {
-                parse::<MachineNames>(&body).map(|names| CloudReply::Rented(names.machines))
+                decode_body::<MachineNames>(&body).map(|names| CloudReply::Rented(names.machines))
             }
             (CloudRequest::Rent(_), 503) => {
                 // "no capacity" is an answer; any other 503 is the cloud's own trouble.
@@ -316,7 +322,7 @@
                 }
             }
             (CloudRequest::Delete(_), 200..=204) => Some(CloudReply::Deleted),
-            (CloudRequest::List { .. }, 200) => parse(&body).map(CloudReply::List),
+            (CloudRequest::List { .. }, 200) => decode_body(&body).map(CloudReply::List),
             (_, status) => return Err(CloudError::Refused(status)),
         };
         reply.ok_or(CloudError::NoAnswer)
@@ -324,11 +330,11 @@
 }
 
 pub struct WorkerClient {
-    http: Http,
-    places: Semaphore,
+    http: HttpClient,
+    call_permits: Semaphore,
     /// How many connections may be kept for the next orders, and how many calls there were lately.
-    kept: usize,
-    lately: RefCell<Lately>,
+    max_idle_connections: usize,
+    recent_calls: RefCell<RecentCallCounter>,
     metrics: Arc<Metrics>,
 }
 
@@ -336,10 +342,10 @@
     /// At most `calls` calls are under way, and about `kept` connections are kept for the next ones.
     pub fn new(calls: usize, kept: usize, metrics: Arc<Metrics>) -> Self {
         WorkerClient {
-            http: Http::new(1, IDLE_WORKER, false),
-            places: Semaphore::new(calls),
-            kept,
-            lately: RefCell::new(Lately::new()),
+            http: HttpClient::new(1, WORKER_IDLE_TIMEOUT, false),
+            call_permits: Semaphore::new(calls),
+            max_idle_connections: kept,
+            recent_calls: RefCell::new(RecentCallCounter::new()),
             metrics,
         }
     }
@@ -353,18 +359,18 @@
     ) -> Option<WorkerReply> {
         let HttpRequest { method, path, body } = worker_request(orders);
         // Never closed.
-        let place = self.places.acquire().await.ok()?;
-        let keep = self.lately.borrow_mut().count() <= self.kept;
+        let place = self.call_permits.acquire().await.ok()?;
+        let keep = self.recent_calls.borrow_mut().record_call() <= self.max_idle_connections;
         if !keep {
-            self.metrics.shed(Shed::Workers);
+            self.metrics.record_shed(ShedConnection::IdleToWorker);
         }
         let answer = self.http.call(method, addr, &path, body, keep, timeout);
         let answer = answer.await;
         drop(place);
         let (status, body) = answer?;
         match status {
-            200 => parse(&body).map(WorkerReply::Executed),
-            409 => parse(&body).map(WorkerReply::Rejected),
+            200 => decode_body(&body).map(WorkerReply::Executed),
+            409 => decode_body(&body).map(WorkerReply::Rejected),
             _ => None,
         }
     }
