--- a/src/transport/connection_limiter.rs
+++ b/src/transport/connection_limiter.rs
@@ -19,96 +19,99 @@
     time::Instant,
 };
 
-use crate::metrics::{Metrics, Shed};
+use crate::metrics::{Metrics, ShedConnection};
 
 /// The part of the door's places, as a divisor, below which those that are free are scarce.
-const SCARCE_PART: usize = 8;
+const SCARCITY_DIVISOR: usize = 8;
 /// The log tells of it this often at the most.
-const SAY_EVERY: Duration = Duration::from_secs(10);
+const MIN_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The places for connections from outside.
-pub struct Door {
-    places: Arc<Semaphore>,
-    size: usize,
+pub struct ConnectionLimiter {
+    permits: Arc<Semaphore>,
+    max_connections: usize,
     metrics: Arc<Metrics>,
-    began: Instant,
+    started_at: Instant,
     /// Milliseconds since then at which the log may tell of it again.
-    quiet_until: AtomicU64,
+    next_log_at_ms: AtomicU64,
 }
 
-impl Door {
+impl ConnectionLimiter {
     pub fn new(size: usize, metrics: Arc<Metrics>) -> Self {
-        Door {
-            places: Arc::new(Semaphore::new(size)),
-            size,
+        ConnectionLimiter {
+            permits: Arc::new(Semaphore::new(size)),
+            max_connections: size,
             metrics,
-            began: Instant::now(),
-            quiet_until: AtomicU64::new(0),
+            started_at: Instant::now(),
+            next_log_at_ms: AtomicU64::new(0),
         }
     }
 
     /// A place for a connection. `None`: it has to be refused, for the client to try another node.
-    pub fn enter(&self) -> Option<OwnedSemaphorePermit> {
-        let place = self.places.clone().try_acquire_owned().ok();
+    pub fn try_acquire(&self) -> Option<OwnedSemaphorePermit> {
+        let place = self.permits.clone().try_acquire_owned().ok();
         if place.is_none() {
-            self.metrics.shed(Shed::Refused);
-            self.say("no sockets left: connections are refused");
+            self.metrics.record_shed(ShedConnection::RefusedInbound);
+            self.log_rate_limited("no sockets left: connections are refused");
         }
         place
     }
 
     /// Whether a client that has been answered should come back over a new connection: few places are
     /// free, and what comes every few seconds mostly leaves its connection idle.
-    pub fn sheds(&self, what: Shed) -> bool {
-        let scarce = self.places.available_permits() < self.size / SCARCE_PART;
+    pub fn should_shed(&self, what: ShedConnection) -> bool {
+        let scarce = self.permits.available_permits() < self.max_connections / SCARCITY_DIVISOR;
         if scarce {
-            self.metrics.shed(what);
-            self.say("sockets are scarce: connections are closed after reports and polls");
+            self.metrics.record_shed(what);
+            self.log_rate_limited(
+                "sockets are scarce: connections are closed after reports and polls",
+            );
         }
         scarce
     }
 
-    fn say(&self, what: &'static str) {
-        let now = self.began.elapsed().as_millis() as u64;
-        if now >= self.quiet_until.load(Ordering::Relaxed) {
-            let until = now + SAY_EVERY.as_millis() as u64;
-            self.quiet_until.store(until, Ordering::Relaxed);
-            let free = self.places.available_permits();
-            tracing::warn!(free, of = self.size, "{what}");
+    fn log_rate_limited(&self, what: &'static str) {
+        let now = self.started_at.elapsed().as_millis() as u64;
+        if now >= self.next_log_at_ms.load(Ordering::Relaxed) {
+            let until = now + MIN_LOG_INTERVAL.as_millis() as u64;
+            self.next_log_at_ms.store(until, Ordering::Relaxed);
+            let free = self.permits.available_permits();
+            tracing::warn!(free, of = self.max_connections, "{what}");
         }
     }
 }
 
 /// How many calls were begun lately: about as many connections stay open for the next ones.
-pub struct Lately {
-    began: Instant,
+pub struct RecentCallCounter {
+    started_at: Instant,
     /// Which second it is, and how many calls began in it and in those before.
-    second: u64,
-    calls: [usize; Lately::SECONDS],
+    current_second: u64,
+    calls_by_second: [usize; RecentCallCounter::WINDOW_S],
 }
 
-impl Lately {
+impl RecentCallCounter {
     /// As long as connections to workers are kept.
-    pub const SECONDS: usize = 4;
+    pub const WINDOW_S: usize = 4;
 
     pub fn new() -> Self {
-        Lately {
-            began: Instant::now(),
-            second: 0,
-            calls: [0; Self::SECONDS],
+        RecentCallCounter {
+            started_at: Instant::now(),
+            current_second: 0,
+            calls_by_second: [0; Self::WINDOW_S],
         }
     }
 
     /// Counts one more; how many there were.
-    pub fn count(&mut self) -> usize {
-        let second = self.began.elapsed().as_secs();
-        let passed = (second - self.second).min(Self::SECONDS as u64);
+    pub fn record_call(&mut self) -> usize {
+        let second = self.started_at.elapsed().as_secs();
+        let passed = (second - self.current_second).min(Self::WINDOW_S as u64);
         for past in 1..=passed {
-            self.calls[((self.second + past) % Self::SECONDS as u64) as usize] = 0;
+            self.calls_by_second[((self.current_second + past) % Self::WINDOW_S as u64) as usize] =
+                0;
         }
-        self.second = second;
-        self.calls[(second % Self::SECONDS as u64) as usize] += 1;
-        self.calls.iter().sum()
+        self.current_second = second;
+        self.calls_by_second[(second % Self::WINDOW_S as u64) as usize] += 1;
+        self.calls_by_second.iter().sum()
     }
 }
 
--- a/src/transport/mesh.rs
+++ b/src/transport/mesh.rs
@@ -10,10 +10,11 @@
 
 use crate::{
     coordination::{
-        Answer, Ask, CellAnswer, CellStatement, Command, News, Progress, Revocation, Word,
+        ApiRequest, ApiResponse, CellGrants, CellReport, Command, LeaderAnnouncement,
+        LeaseRevocation, MemberStatus, RenewalReply,
     },
     protocol::{ids::JobId, job::Submission},
-    transport::server::Door,
+    transport::server::RequestSender,
 };
 
 pub mod messages;
@@ -31,25 +32,26 @@
 };
 
 /// Another cell's statement on its way to the owner.
-pub type Statements = mpsc::UnboundedSender<(CellStatement, oneshot::Sender<Option<CellAnswer>>)>;
+pub type CellReportSender =
+    mpsc::UnboundedSender<(CellReport, oneshot::Sender<Option<CellGrants>>)>;
 
 /// A leader's question on its way to the owner.
-pub type Questions = mpsc::UnboundedSender<(Revocation, oneshot::Sender<Word>)>;
-
-struct Service {
-    owner: mpsc::UnboundedSender<Command>,
-    questions: Questions,
-    statements: Statements,
-    door: Door,
-    news: watch::Receiver<News>,
+pub type RevocationSender = mpsc::UnboundedSender<(LeaseRevocation, oneshot::Sender<RenewalReply>)>;
+
+struct MeshService {
+    command_sender: mpsc::UnboundedSender<Command>,
+    revocations: RevocationSender,
+    cell_reports: CellReportSender,
+    request_sender: RequestSender,
+    member_status: watch::Receiver<MemberStatus>,
 }
 
 #[tonic::async_trait]
-impl Mesh for Service {
+impl Mesh for MeshService {
     async fn tell(&self, request: Request<proto::Progress>) -> Result<Response<Told>, Status> {
         let progress = request.into_inner().into();
-        let _ = self.owner.send(Command::Progress(progress));
-        Ok(Response::new(Told::from(&*self.news.borrow())))
+        let _ = self.command_sender.send(Command::LeaderAnnounced(progress));
+        Ok(Response::new(Told::from(&*self.member_status.borrow())))
     }
 
     async fn exchange(
@@ -59,7 +61,7 @@
         let statement = request.into_inner().into();
         let (send, receive) = oneshot::channel();
         let gone = || Status::unavailable("the owner is gone");
-        self.statements
+        self.cell_reports
             .send((statement, send))
             .map_err(|_| gone())?;
         match receive.await.map_err(|_| gone())? {
@@ -76,16 +78,16 @@
     ) -> Result<Response<proto::Reply>, Status> {
         let ask = match request.into_inner().ask {
             Some(Asked::Submit(body)) => Submission::from_body(&body)
-                .map(|submission| Ask::Submit(Box::new(submission)))
+                .map(|submission| ApiRequest::Submit(Box::new(submission)))
                 .map_err(|error| Status::invalid_argument(error.to_string()))?,
-            Some(Asked::Poll(job)) => Ask::Poll(JobId(job)),
-            Some(Asked::Cancel(job)) => Ask::Cancel(JobId(job)),
+            Some(Asked::Poll(job)) => ApiRequest::Poll(JobId(job)),
+            Some(Asked::Cancel(job)) => ApiRequest::Cancel(JobId(job)),
             None => return Err(Status::invalid_argument("asks nothing")),
         };
         let (send, receive) = oneshot::channel();
         let gone = || Status::unavailable("the owner is gone");
-        self.door
-            .send((Ask::Relayed(Box::new(ask)), send))
+        self.request_sender
+            .send((ApiRequest::Relayed(Box::new(ask)), send))
             .map_err(|_| gone())?;
         let answer = receive.await.map_err(|_| gone())?;
         Ok(Response::new(proto::Reply {
@@ -102,7 +104,7 @@
         let revocation = request.into_inner().into();
         let (send, receive) = oneshot::channel();
         let gone = || Status::unavailable("the owner is gone");
-        self.questions
+        self.revocations
             .send((revocation, send))
             .map_err(|_| gone())?;
         let word = receive.await.map_err(|_| gone())?;
@@ -114,17 +116,17 @@
 pub async fn serve(
     addr: SocketAddrV4,
     owner: mpsc::UnboundedSender<Command>,
-    questions: Questions,
-    statements: Statements,
-    door: Door,
-    news: watch::Receiver<News>,
+    questions: RevocationSender,
+    statements: CellReportSender,
+    door: RequestSender,
+    news: watch::Receiver<MemberStatus>,
 ) -> Result<(), tonic::transport::Error> {
-    let service = Service {
-        owner,
-        questions,
-        statements,
-        door,
-        news,
+    let service = MeshService {
+        command_sender: owner,
+        revocations: questions,
+        cell_reports: statements,
+        request_sender: door,
+        member_status: news,
     };
     Server::builder()
         .add_service(MeshServer::new(service))
@@ -133,11 +135,11 @@
 }
 
 /// Connections to the other members, opened when first used.
-pub struct Members {
+pub struct MemberClients {
     channels: HashMap<SocketAddrV4, MeshClient<Channel>>,
 }
 
-impl Members {
+impl MemberClients {
     pub fn new(addrs: impl Iterator<Item = SocketAddrV4>) -> Self {
         let channels = addrs
             .filter_map(|addr| {
@@ -150,12 +152,16 @@
                 Some((addr, MeshClient::new(channel)))
             })
             .collect();
-        Members { channels }
+        MemberClients { channels }
     }
 
     /// Tells a member, and returns what it says of itself. `None`: whether it heard is not known and does not
     /// matter.
-    pub async fn tell(&self, addr: SocketAddrV4, progress: &Progress) -> Option<News> {
+    pub async fn send_progress(
+        &self,
+        addr: SocketAddrV4,
+        progress: &LeaderAnnouncement,
+    ) -> Option<MemberStatus> {
         let mut client = self.channels.get(&addr).cloned()?;
         match client.tell(proto::Progress::from(progress)).await {
             Ok(told) => Some(told.into_inner().into()),
@@ -167,11 +173,15 @@
     }
 
     /// Has a member answer a user's request. `None`: no answer.
-    pub async fn relay(&self, addr: SocketAddrV4, ask: Ask) -> Option<Answer> {
+    pub async fn forward_request(
+        &self,
+        addr: SocketAddrV4,
+        ask: ApiRequest,
+    ) -> Option<ApiResponse> {
         let mut client = self.channels.get(&addr).cloned()?;
-        let message = messages::relayed_request(&ask)?;
+        let message = messages::encode_relayed_request(&ask)?;
         let reply = client.relay(message).await.ok()?.into_inner();
-        Some(Answer {
+        Some(ApiResponse {
             status: reply.status.try_into().ok()?,
             body: reply.body,
             retry_after_s: (reply.retry_after_s > 0).then_some(reply.retry_after_s),
@@ -179,7 +189,11 @@
     }
 
     /// Asks a member about silent machines. `None`: no answer.
-    pub async fn revoke(&self, addr: SocketAddrV4, revocation: Revocation) -> Option<Word> {
+    pub async fn request_revocation(
+        &self,
+        addr: SocketAddrV4,
+        revocation: LeaseRevocation,
+    ) -> Option<RenewalReply> {
         let mut client = self.channels.get(&addr).cloned()?;
         let message = proto::Revocation::from(revocation);
         let reply = client.revoke(message).await.ok()?.into_inner();
--- a/src/transport/mesh/messages.rs
+++ b/src/transport/mesh/messages.rs
@@ -3,30 +3,31 @@
 use super::proto::{self, Renewals, Told, request::Ask as Asked};
 use crate::{
     coordination::{
-        Ask, Class, Counts, JobProgress, News, Progress, Renewal, Revocation, SilentMachine,
-        TurnTold, Word,
+        AdmissionCounts, ApiRequest, JobProgress, LeaderAnnouncement, LeaseRenewalAge,
+        LeaseRevocation, MemberStatus, RenewalReply, ReservationNotice, SilentMachine,
+        WorkloadClassName,
     },
     protocol::{self, ids::JobId},
 };
 
-impl From<proto::Progress> for Progress {
+impl From<proto::Progress> for LeaderAnnouncement {
     fn from(message: proto::Progress) -> Self {
         let jobs = message.jobs.into_iter().map(|job| JobProgress {
             job: JobId(job.job),
             done: job.done,
             running: job.running,
         });
-        Progress {
+        LeaderAnnouncement {
             term: message.term,
             leader: message.leader,
             jobs: jobs.collect(),
-            turns: message.turns.into_iter().map(turn).collect(),
+            reservations: message.turns.into_iter().map(decode_reservation).collect(),
         }
     }
 }
 
-impl From<&Progress> for proto::Progress {
-    fn from(progress: &Progress) -> Self {
+impl From<&LeaderAnnouncement> for proto::Progress {
+    fn from(progress: &LeaderAnnouncement) -> Self {
         let jobs = progress.jobs.iter().map(|job| proto::JobProgress {
             job: job.job.0,
             done: job.done,
@@ -36,20 +37,24 @@
             term: progress.term,
             leader: progress.leader.clone(),
             jobs: jobs.collect(),
-            turns: progress.turns.iter().map(turn_message).collect(),
+            turns: progress
+                .reservations
+                .iter()
+                .map(encode_reservation)
+                .collect(),
         }
     }
 }
 
-fn turn(turn: proto::Turn) -> TurnTold {
-    let class = Class {
+fn decode_reservation(turn: proto::Turn) -> ReservationNotice {
+    let class = WorkloadClassName {
         team: turn.team,
         class: turn.class,
     };
     (JobId(turn.job), class, turn.in_ms)
 }
 
-fn turn_message((job, class, in_ms): &TurnTold) -> proto::Turn {
+fn encode_reservation((job, class, in_ms): &ReservationNotice) -> proto::Turn {
     proto::Turn {
         job: job.0,
         team: class.team.clone(),
@@ -58,35 +63,35 @@
     }
 }
 
-impl From<Told> for News {
+impl From<Told> for MemberStatus {
     fn from(message: Told) -> Self {
-        let of = |demand: &proto::Demand| Class {
+        let of = |demand: &proto::Demand| WorkloadClassName {
             team: demand.team.clone(),
             class: demand.class.clone(),
         };
-        let counts = |demand: &proto::Demand| Counts {
-            came: demand.came,
+        let counts = |demand: &proto::Demand| AdmissionCounts {
+            arrived: demand.came,
             accepted: demand.accepted,
-            in_time: demand.in_time,
-            sent_away: demand.sent_away,
-            no_turn: demand.no_turn,
-            given_up: demand.given_up,
+            accepted_promptly: demand.in_time,
+            deferred: demand.sent_away,
+            deferred_unreserved: demand.no_turn,
+            abandoned: demand.given_up,
         };
         let demands = message.demands.iter();
-        News {
+        MemberStatus {
             label: message.label,
-            seq: message.table,
-            takes: message.takes,
-            late: message.late,
+            quotas_seq: message.table,
+            capacity_per_s: message.takes,
+            lateness: message.late,
             demands: demands.clone().map(|each| (of(each), each.rate)).collect(),
             counts: demands.map(|each| (of(each), counts(each))).collect(),
-            turns: message.turns.into_iter().map(turn).collect(),
+            reservations: message.turns.into_iter().map(decode_reservation).collect(),
         }
     }
 }
 
-impl From<&News> for Told {
-    fn from(news: &News) -> Self {
+impl From<&MemberStatus> for Told {
+    fn from(news: &MemberStatus) -> Self {
         let demands = news.counts.iter().map(|(class, counts)| {
             let mut asked = news.demands.iter();
             let rate = asked.find_map(|(other, rate)| (other == class).then_some(*rate));
@@ -94,91 +99,91 @@
                 team: class.team.clone(),
                 class: class.class.clone(),
                 rate: rate.unwrap_or(0.0),
-                came: counts.came,
+                came: counts.arrived,
                 accepted: counts.accepted,
-                in_time: counts.in_time,
-                sent_away: counts.sent_away,
-                no_turn: counts.no_turn,
-                given_up: counts.given_up,
+                in_time: counts.accepted_promptly,
+                sent_away: counts.deferred,
+                no_turn: counts.deferred_unreserved,
+                given_up: counts.abandoned,
             }
         });
         Told {
             label: news.label.clone(),
-            table: news.seq,
-            takes: news.takes,
-            late: news.late,
+            table: news.quotas_seq,
+            takes: news.capacity_per_s,
+            late: news.lateness,
             demands: demands.collect(),
-            turns: news.turns.iter().map(turn_message).collect(),
+            turns: news.reservations.iter().map(encode_reservation).collect(),
         }
     }
 }
 
-impl From<proto::Revocation> for Revocation {
+impl From<proto::Revocation> for LeaseRevocation {
     fn from(message: proto::Revocation) -> Self {
         let machines = message.machines.into_iter().map(|machine| SilentMachine {
             name: machine.name,
-            session: machine.session,
-            inquiry: machine.inquiry,
+            incarnation: machine.session,
+            is_inquiry: machine.inquiry,
         });
-        Revocation {
+        LeaseRevocation {
             term: message.term,
             machines: machines.collect(),
-            asked_ms: message.asked_ms,
+            asked_at_ms: message.asked_ms,
         }
     }
 }
 
-impl From<Revocation> for proto::Revocation {
-    fn from(revocation: Revocation) -> Self {
+impl From<LeaseRevocation> for proto::Revocation {
+    fn from(revocation: LeaseRevocation) -> Self {
         let machines = revocation.machines.into_iter();
         let machines = machines.map(|machine| proto::SilentMachine {
             name: machine.name,
-            session: machine.session,
-            inquiry: machine.inquiry,
+            session: machine.incarnation,
+            inquiry: machine.is_inquiry,
         });
         proto::Revocation {
             term: revocation.term,
             machines: machines.collect(),
-            asked_ms: revocation.asked_ms,
+            asked_ms: revocation.asked_at_ms,
         }
     }
 }
 
-impl From<Renewals> for Word {
+impl From<Renewals> for RenewalReply {
     fn from(message: Renewals) -> Self {
-        let renewals = message.renewals.into_iter().map(|renewal| Renewal {
+        let renewals = message.renewals.into_iter().map(|renewal| LeaseRenewalAge {
             machine: renewal.machine,
             age_ms: renewal.age_ms,
-            inquiry: renewal.inquiry,
+            is_inquiry: renewal.inquiry,
         });
-        Word {
+        RenewalReply {
             renewals: renewals.collect(),
-            hears: message.hears as usize,
+            workers_heard: message.hears as usize,
         }
     }
 }
 
-impl From<Word> for Renewals {
-    fn from(word: Word) -> Self {
+impl From<RenewalReply> for Renewals {
+    fn from(word: RenewalReply) -> Self {
         let renewals = word.renewals.into_iter().map(|renewal| proto::Renewal {
             machine: renewal.machine,
             age_ms: renewal.age_ms,
-            inquiry: renewal.inquiry,
+            inquiry: renewal.is_inquiry,
         });
         Renewals {
             renewals: renewals.collect(),
-            hears: word.hears as u32,
+            hears: word.workers_heard as u32,
         }
     }
 }
 
 /// A user's request as a member is asked to answer it; `None`: no user asks that.
-pub fn relayed_request(ask: &Ask) -> Option<proto::Request> {
+pub fn encode_relayed_request(ask: &ApiRequest) -> Option<proto::Request> {
     let asked = match ask {
-        Ask::Submit(submission) => Asked::Submit(protocol::encode(&**submission)),
-        Ask::Poll(job) => Asked::Poll(job.0),
-        Ask::Cancel(job) => Asked::Cancel(job.0),
-        Ask::CheckIn(_) | Ask::Ready | Ask::Relayed(_) => return None,
+        ApiRequest::Submit(submission) => Asked::Submit(protocol::encode(&**submission)),
+        ApiRequest::Poll(job) => Asked::Poll(job.0),
+        ApiRequest::Cancel(job) => Asked::Cancel(job.0),
+        ApiRequest::Heartbeat(_) | ApiRequest::Readiness | ApiRequest::Relayed(_) => return None,
     };
     Some(proto::Request { ask: Some(asked) })
 }
--- a/src/transport/mesh/peer_cells.rs
+++ b/src/transport/mesh/peer_cells.rs
@@ -1,4 +1,4 @@
-//! Statements between cells: their messages, and who is asked for a cell.
+//! CellReportSender between cells: their messages, and who is asked for a cell.
 
 use std::{
     cell::Cell,
@@ -10,23 +10,23 @@
 use tonic::transport::{Channel, Endpoint};
 
 use crate::{
-    coordination::{CellAnswer, CellStatement},
-    quota::{Account, Grant, Position, Quota},
+    coordination::{CellGrants, CellReport},
+    quota::{Account, Grant, ParticipantReport, Quota},
     transport::mesh::proto::{self, mesh_client::MeshClient},
 };
 
 /// Regions are further from each other than the members of one.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-const TIMEOUT: Duration = Duration::from_millis(2500);
+const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(2500);
 
-fn quota_message(quota: Quota) -> Option<proto::Quota> {
+fn encode_quota(quota: Quota) -> Option<proto::Quota> {
     Some(proto::Quota {
         cpus: quota.cpus,
         gpus: quota.gpus,
     })
 }
 
-fn quota_heard(message: Option<proto::Quota>) -> Quota {
+fn decode_quota(message: Option<proto::Quota>) -> Quota {
     let message = message.unwrap_or_default();
     Quota {
         cpus: message.cpus,
@@ -34,18 +34,18 @@
     }
 }
 
-impl From<CellStatement> for proto::CellStatement {
-    fn from(statement: CellStatement) -> Self {
-        let teams = statement.teams.into_iter();
+impl From<CellReport> for proto::CellStatement {
+    fn from(statement: CellReport) -> Self {
+        let teams = statement.positions.into_iter();
         let teams = teams.map(|(team, position)| proto::TeamPosition {
             team,
             version: position.version,
-            granted: quota_message(position.account.granted),
-            returned: quota_message(position.account.returned),
-            used: quota_message(position.used),
-            wanted: quota_message(position.wanted),
-            least: quota_message(position.least),
-            grain: quota_message(position.grain),
+            granted: encode_quota(position.account.granted),
+            returned: encode_quota(position.account.returned),
+            used: encode_quota(position.used),
+            wanted: encode_quota(position.wanted),
+            least: encode_quota(position.first_request),
+            grain: encode_quota(position.largest_task),
         });
         proto::CellStatement {
             from: statement.from,
@@ -55,40 +55,40 @@
     }
 }
 
-impl From<proto::CellStatement> for CellStatement {
+impl From<proto::CellStatement> for CellReport {
     fn from(message: proto::CellStatement) -> Self {
         let teams = message.teams.into_iter().map(|position| {
-            let heard = Position {
+            let heard = ParticipantReport {
                 version: position.version,
                 account: Account {
-                    granted: quota_heard(position.granted),
-                    returned: quota_heard(position.returned),
+                    granted: decode_quota(position.granted),
+                    returned: decode_quota(position.returned),
                 },
-                used: quota_heard(position.used),
-                wanted: quota_heard(position.wanted),
-                least: quota_heard(position.least),
-                grain: quota_heard(position.grain),
+                used: decode_quota(position.used),
+                wanted: decode_quota(position.wanted),
+                first_request: decode_quota(position.least),
+                largest_task: decode_quota(position.grain),
             };
             (position.team, heard)
         });
-        CellStatement {
+        CellReport {
             from: message.from,
             cells: message.cells,
-            teams: teams.collect(),
+            positions: teams.collect(),
         }
     }
 }
 
-impl From<CellAnswer> for proto::CellAnswer {
-    fn from(answer: CellAnswer) -> Self {
-        let teams = answer.teams.into_iter();
+impl From<CellGrants> for proto::CellAnswer {
+    fn from(answer: CellGrants) -> Self {
+        let teams = answer.grants.into_iter();
         let teams = teams.map(|(team, grant)| proto::TeamGrant {
             team,
             version: grant.version,
-            guarantee: quota_message(grant.guarantee),
-            granted: quota_message(grant.granted),
-            target: quota_message(grant.target),
-            lowered: grant.lowered,
+            guarantee: encode_quota(grant.guarantee),
+            granted: encode_quota(grant.granted),
+            target: encode_quota(grant.target),
+            lowered: grant.limit_lowered,
         });
         proto::CellAnswer {
             from: answer.from,
@@ -98,38 +98,38 @@
     }
 }
 
-impl From<proto::CellAnswer> for CellAnswer {
+impl From<proto::CellAnswer> for CellGrants {
     fn from(message: proto::CellAnswer) -> Self {
         let teams = message.teams.into_iter().map(|grant| {
             let heard = Grant {
                 version: grant.version,
-                guarantee: quota_heard(grant.guarantee),
-                granted: quota_heard(grant.granted),
-                target: quota_heard(grant.target),
-                lowered: grant.lowered,
+                guarantee: decode_quota(grant.guarantee),
+                granted: decode_quota(grant.granted),
+                target: decode_quota(grant.target),
+                limit_lowered: grant.lowered,
             };
             (grant.team, heard)
         });
-        CellAnswer {
+        CellGrants {
             from: message.from,
             cells: message.cells,
-            teams: teams.collect(),
+            grants: teams.collect(),
         }
     }
 }
 
 /// Another cell's controllers, and the one that answered last.
-struct PeerNodes {
-    nodes: Vec<MeshClient<Channel>>,
-    at: Cell<usize>,
+struct PeerCellClients {
+    clients: Vec<MeshClient<Channel>>,
+    next_client: Cell<usize>,
 }
 
 /// Connections to the controllers of other cells, opened when first used.
-pub struct PeerCells {
-    cells: HashMap<String, PeerNodes>,
+pub struct PeerCellClient {
+    cells: HashMap<String, PeerCellClients>,
 }
 
-impl PeerCells {
+impl PeerCellClient {
     /// The cells and their controllers' addresses.
     pub fn new(cells: &BTreeMap<String, Vec<SocketAddrV4>>) -> Self {
         let cells = cells.iter().map(|(name, addrs)| {
@@ -137,31 +137,32 @@
                 let endpoint = Endpoint::from_shared(format!("http://{addr}")).ok()?;
                 let channel = endpoint
                     .connect_timeout(CONNECT_TIMEOUT)
-                    .timeout(TIMEOUT)
+                    .timeout(EXCHANGE_TIMEOUT)
                     .tcp_nodelay(true)
                     .connect_lazy();
                 Some(MeshClient::new(channel))
             });
-            let nodes = PeerNodes {
-                nodes: nodes.collect(),
-                at: Cell::new(0),
+            let nodes = PeerCellClients {
+                clients: nodes.collect(),
+                next_client: Cell::new(0),
             };
             (name.clone(), nodes)
         });
-        PeerCells {
+        PeerCellClient {
             cells: cells.collect(),
         }
     }
 
     /// Tells a cell how this one stands. `None`: no answer; the next controller is tried next time.
-    pub async fn exchange(&self, cell: &str, statement: CellStatement) -> Option<CellAnswer> {
+    pub async fn exchange(&self, cell: &str, statement: CellReport) -> Option<CellGrants> {
         let peer = self.cells.get(cell)?;
-        let mut client = peer.nodes.get(peer.at.get())?.clone();
+        let mut client = peer.clients.get(peer.next_client.get())?.clone();
         match client.exchange(proto::CellStatement::from(statement)).await {
             Ok(answer) => Some(answer.into_inner().into()),
             Err(status) => {
                 tracing::debug!(cell, code = ?status.code(), "a cell did not answer");
-                peer.at.set((peer.at.get() + 1) % peer.nodes.len());
+                peer.next_client
+                    .set((peer.next_client.get() + 1) % peer.clients.len());
                 None
             }
         }
--- a/src/transport/mesh/peer_cells/tests.rs
+++ b/src/transport/mesh/peer_cells/tests.rs
@@ -12,8 +12,8 @@
     fn any_position()(
         version in any::<u64>(), granted in any_quota(), returned in any_quota(), used in any_quota(),
         wanted in any_quota(), least in any_quota(), grain in any_quota(),
-    ) -> Position {
-        Position { version, account: Account { granted, returned }, used, wanted, least, grain }
+    ) -> ParticipantReport {
+        ParticipantReport { version, account: Account { granted, returned }, used, wanted, first_request: least, largest_task: grain }
     }
 }
 
@@ -22,25 +22,25 @@
         version in any::<u64>(), guarantee in any_quota(), granted in any_quota(), target in any_quota(),
         lowered in any::<bool>(),
     ) -> Grant {
-        Grant { version, guarantee, granted, target, lowered }
+        Grant { version, guarantee, granted, target, limit_lowered: lowered }
     }
 }
 
 proptest! {
     #[test]
-    fn what_is_told_is_what_is_heard(
+    fn cell_report_and_grants_round_trip_through_encoding(
         position in any_position(), grant in any_grant(), from in "[a-z]{1,8}", team in "[a-z]{1,8}",
     ) {
         let cells = vec!["a".to_owned(), from.clone()];
-        let statement = CellStatement {
+        let statement = CellReport {
             from: from.clone(),
             cells: cells.clone(),
-            teams: vec![(team.clone(), position)],
+            positions: vec![(team.clone(), position)],
         };
         let message = proto::CellStatement::from(statement.clone());
-        prop_assert_eq!(CellStatement::from(message), statement);
-        let answer = CellAnswer { from, cells, teams: vec![(team, grant)] };
+        prop_assert_eq!(CellReport::from(message), statement);
+        let answer = CellGrants { from, cells, grants: vec![(team, grant)] };
         let message = proto::CellAnswer::from(answer.clone());
-        prop_assert_eq!(CellAnswer::from(message), answer);
+        prop_assert_eq!(CellGrants::from(message), answer);
     }
 }
--- a/src/transport/rate_limiter.rs
+++ b/src/transport/rate_limiter.rs
@@ -4,52 +4,52 @@
 
 use tokio::time::Instant;
 
-use crate::{coordination::admission::load_shedding::reserve, protocol::state::Urgency};
+use crate::{coordination::admission::load_shedding::reserved_fraction, protocol::state::Urgency};
 
 /// A bucket that refills at `rate` and holds a second's worth.
-pub struct Bucket {
-    inner: RefCell<Inner>,
+pub struct TokenBucket {
+    inner: RefCell<BucketState>,
 }
 
-struct Inner {
-    rate: f64,
+struct BucketState {
+    rate_per_s: f64,
     tokens: f64,
-    at: Instant,
+    refilled_at: Instant,
 }
 
-impl Bucket {
+impl TokenBucket {
     pub fn new(rate: f64) -> Self {
-        Bucket {
-            inner: RefCell::new(Inner {
-                rate,
+        TokenBucket {
+            inner: RefCell::new(BucketState {
+                rate_per_s: rate,
                 tokens: rate,
-                at: Instant::now(),
+                refilled_at: Instant::now(),
             }),
         }
     }
 
     pub fn set_rate(&self, rate: f64) {
-        self.inner.borrow_mut().rate = rate;
+        self.inner.borrow_mut().rate_per_s = rate;
     }
 
     /// Waits until `cost` tokens may be taken. Less urgent callers leave a reserve in the bucket.
-    pub async fn take(&self, cost: f64, urgency: Urgency) {
+    pub async fn acquire(&self, cost: f64, urgency: Urgency) {
         loop {
             let wait = {
                 let mut inner = self.inner.borrow_mut();
                 let now = Instant::now();
-                let gained = now.duration_since(inner.at).as_secs_f64() * inner.rate;
-                let full = inner.rate.max(1.0);
+                let gained = now.duration_since(inner.refilled_at).as_secs_f64() * inner.rate_per_s;
+                let full = inner.rate_per_s.max(1.0);
                 inner.tokens = (inner.tokens + gained).min(full);
-                inner.at = now;
-                let reserve = full * reserve(urgency);
+                inner.refilled_at = now;
+                let reserve = full * reserved_fraction(urgency);
                 // A cost above what the bucket can ever hold is let through once it is full.
                 let needed = (cost + reserve).min(full);
                 if inner.tokens >= needed - 1e-9 {
                     inner.tokens -= cost;
                     return;
                 }
-                (needed - inner.tokens) / inner.rate
+                (needed - inner.tokens) / inner.rate_per_s
             };
             tokio::time::sleep(Duration::from_secs_f64(wait.clamp(0.002, 1.0))).await;
         }
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -16,24 +16,24 @@
 use warp::{Filter, Rejection};
 
 use crate::{
-    coordination::{Answer, Ask},
-    metrics::{self, Metrics, Shed},
-    protocol::{self, MAX_BODY, ids::JobId, job::Submission, worker::Report},
+    coordination::{ApiRequest, ApiResponse},
+    metrics::{self, Metrics, ShedConnection},
+    protocol::{self, MAX_BODY_BYTES, ids::JobId, job::Submission, worker::Report},
     transport::connection_limiter,
 };
 
 /// Where a request's answer goes.
-pub type AnswerTo = oneshot::Sender<Answer>;
+pub type ResponseSender = oneshot::Sender<ApiResponse>;
 /// Requests from outside on their way to the owner.
-pub type Door = mpsc::UnboundedSender<(Ask, AnswerTo)>;
+pub type RequestSender = mpsc::UnboundedSender<(ApiRequest, ResponseSender)>;
 
-fn plain(status: StatusCode) -> Response<Bytes> {
+fn empty_response(status: StatusCode) -> Response<Bytes> {
     let mut response = Response::new(Bytes::new());
     *response.status_mut() = status;
     response
 }
 
-fn refused(status: StatusCode, error: &str) -> Response<Bytes> {
+fn error_response(status: StatusCode, error: &str) -> Response<Bytes> {
     let mut response = Response::new(Bytes::from(protocol::encode(&serde_json::json!({
         "error": error
     }))));
@@ -41,13 +41,13 @@
     response
 }
 
-async fn ask(door: Door, ask: Ask) -> Result<Response<Bytes>, Infallible> {
+async fn dispatch(door: RequestSender, ask: ApiRequest) -> Result<Response<Bytes>, Infallible> {
     let (send, receive) = oneshot::channel();
     if door.send((ask, send)).is_err() {
-        return Ok(plain(StatusCode::SERVICE_UNAVAILABLE));
+        return Ok(empty_response(StatusCode::SERVICE_UNAVAILABLE));
     }
     let Ok(answer) = receive.await else {
-        return Ok(plain(StatusCode::SERVICE_UNAVAILABLE));
+        return Ok(empty_response(StatusCode::SERVICE_UNAVAILABLE));
     };
     let mut response = Response::new(Bytes::from(answer.body));
     *response.status_mut() =
@@ -58,95 +58,101 @@
     Ok(response)
 }
 
-async fn submit(door: Door, body: Bytes) -> Result<Response<Bytes>, Infallible> {
+async fn submit(door: RequestSender, body: Bytes) -> Result<Response<Bytes>, Infallible> {
     match Submission::from_body(&body) {
         Ok(submission) => {
-            let mut response = ask(door, Ask::Submit(Box::new(submission))).await?;
+            let mut response = dispatch(door, ApiRequest::Submit(Box::new(submission))).await?;
             // Over the same connection its user would come back to this node, however little comes to the
             // others: when a deployment starts all come to the node that is ready first.
             if response.status() == StatusCode::TOO_MANY_REQUESTS {
-                close(&mut response);
+                set_connection_close(&mut response);
             }
             Ok(response)
         }
-        Err(error) => Ok(refused(StatusCode::BAD_REQUEST, &error.to_string())),
+        Err(error) => Ok(error_response(StatusCode::BAD_REQUEST, &error.to_string())),
     }
 }
 
-async fn about(
-    door: Door,
+async fn dispatch_for_job(
+    door: RequestSender,
     id: String,
-    question: fn(JobId) -> Ask,
+    question: fn(JobId) -> ApiRequest,
 ) -> Result<Response<Bytes>, Infallible> {
     match id.parse() {
-        Ok(id) => ask(door, question(id)).await,
-        Err(_) => Ok(refused(StatusCode::NOT_FOUND, "no such job")),
+        Ok(id) => dispatch(door, question(id)).await,
+        Err(_) => Ok(error_response(StatusCode::NOT_FOUND, "no such job")),
     }
 }
 
 /// Has the client come back over a new connection where that is called for.
-fn closing(
+fn close_if_scarce(
     mut response: Response<Bytes>,
-    sockets: &connection_limiter::Door,
-    what: Shed,
+    sockets: &connection_limiter::ConnectionLimiter,
+    what: ShedConnection,
 ) -> Response<Bytes> {
-    if sockets.sheds(what) {
-        close(&mut response);
+    if sockets.should_shed(what) {
+        set_connection_close(&mut response);
     }
     response
 }
 
-fn close(response: &mut Response<Bytes>) {
+fn set_connection_close(response: &mut Response<Bytes>) {
     let close = http::HeaderValue::from_static("close");
     let headers = response.headers_mut();
     headers.insert(http::header::CONNECTION, close);
 }
 
-async fn check_in(door: Door, body: Bytes) -> Result<Response<Bytes>, Infallible> {
+async fn heartbeat(door: RequestSender, body: Bytes) -> Result<Response<Bytes>, Infallible> {
     match protocol::decode::<Report>(&body) {
-        Ok(report) => ask(door, Ask::CheckIn(Box::new(report))).await,
+        Ok(report) => dispatch(door, ApiRequest::Heartbeat(Box::new(report))).await,
         Err(error) => {
             tracing::warn!(%error, "a worker's report can't be read");
-            Ok(refused(StatusCode::BAD_REQUEST, &error.to_string()))
+            Ok(error_response(StatusCode::BAD_REQUEST, &error.to_string()))
         }
     }
 }
 
-fn shown(metrics: &Metrics) -> Response<Bytes> {
-    let mut response = Response::new(Bytes::from(metrics.text()));
+fn metrics_response(metrics: &Metrics) -> Response<Bytes> {
+    let mut response = Response::new(Bytes::from(metrics.render()));
     let media_type = http::HeaderValue::from_static(metrics::MEDIA_TYPE);
     response.headers_mut().insert("content-type", media_type);
     response
 }
 
-async fn unroutable(rejection: Rejection) -> Result<Response<Bytes>, Infallible> {
+async fn handle_rejection(rejection: Rejection) -> Result<Response<Bytes>, Infallible> {
     if rejection.find::<warp::reject::PayloadTooLarge>().is_some()
         || rejection.find::<warp::reject::LengthRequired>().is_some()
     {
         // 413 would be sent again for a minute; a body this large is malformed for good.
-        return Ok(refused(StatusCode::BAD_REQUEST, "the body is too large"));
+        return Ok(error_response(
+            StatusCode::BAD_REQUEST,
+            "the body is too large",
+        ));
     }
-    Ok(plain(StatusCode::NOT_FOUND))
+    Ok(empty_response(StatusCode::NOT_FOUND))
 }
 
 /// A client that asks nothing for this long has left: users poll every 5 s. Workers that report less often
 /// are waited for longer. Behind a cut no end of a connection is ever heard of, and sockets are few.
-const IDLE: Duration = Duration::from_secs(15);
+const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Serves requests until the process ends, over at most `connections` connections. Workers report every
 /// `report`, give or take a quarter.
 pub async fn serve(
     listener: TcpListener,
-    door: Door,
+    door: RequestSender,
     connections: usize,
     report: Duration,
     metrics: Arc<Metrics>,
 ) {
-    let idle = IDLE.max(report * 2);
-    let sockets = Arc::new(connection_limiter::Door::new(connections, metrics.clone()));
+    let idle = CLIENT_IDLE_TIMEOUT.max(report * 2);
+    let sockets = Arc::new(connection_limiter::ConnectionLimiter::new(
+        connections,
+        metrics.clone(),
+    ));
     let (polled, reported) = (sockets.clone(), sockets.clone());
     let with_door = warp::any().map(move || door.clone());
-    let body = || warp::body::content_length_limit(MAX_BODY).and(warp::body::bytes());
+    let body = || warp::body::content_length_limit(MAX_BODY_BYTES).and(warp::body::bytes());
     let submit = with_door
         .clone()
         .and(warp::path!("v2" / "runs"))
@@ -157,27 +163,27 @@
         .clone()
         .and(warp::path!("v2" / "runs" / String))
         .and(warp::get())
-        .and_then(|door, id| about(door, id, Ask::Poll))
-        .map(move |response| closing(response, &polled, Shed::Polls));
+        .and_then(|door, id| dispatch_for_job(door, id, ApiRequest::Poll))
+        .map(move |response| close_if_scarce(response, &polled, ShedConnection::AfterPoll));
     let cancel = with_door
         .clone()
         .and(warp::path!("v2" / "runs" / String / "abort"))
         .and(warp::post())
-        .and_then(|door, id| about(door, id, Ask::Cancel));
+        .and_then(|door, id| dispatch_for_job(door, id, ApiRequest::Cancel));
     let check_in = with_door
         .clone()
         .and(warp::path!("checkin"))
         .and(warp::post())
         .and(body())
-        .and_then(check_in)
-        .map(move |response| closing(response, &reported, Shed::Reports));
+        .and_then(heartbeat)
+        .map(move |response| close_if_scarce(response, &reported, ShedConnection::AfterReport));
     let ready = with_door
         .and(warp::path!("ready"))
         .and(warp::get())
-        .and_then(|door| ask(door, Ask::Ready));
+        .and_then(|door| dispatch(door, ApiRequest::Readiness));
     let metrics = warp::path!("metrics")
         .and(warp::get())
-        .map(move || shown(&metrics));
+        .map(move || metrics_response(&metrics));
     let routes = check_in
         .or(poll)
         .unify()
@@ -189,7 +195,7 @@
         .unify()
         .or(metrics)
         .unify()
-        .recover(unroutable);
+        .recover(handle_rejection);
     let service = TowerToHyperService::new(warp::service(routes));
     let mut http = http1::Builder::new();
     http.timer(TokioTimer::new()).header_read_timeout(idle);
@@ -203,7 +209,7 @@
             }
         };
         // Refused at once: the load balancer and the workers try another node.
-        let Some(place) = sockets.enter() else {
+        let Some(place) = sockets.try_acquire() else {
             continue;
         };
         let _ = stream.set_nodelay(true);
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -9,68 +9,68 @@
 
 use dalelb::{
     protocol::{self, ids::TaskId, job::JobStatus, job::JobView},
-    transport::client::Http,
+    transport::client::HttpClient,
 };
 use dalelb_emulators::{
-    cloud::{Cloud, machine_type},
-    fleet::{Fleet, FleetSettings},
-    machine::{TaskEvent, TaskSpec, Tasks},
-    reply::listener,
-    state_service::{Pace, StateService},
-    store::Limits,
+    cloud_emulator::{Cloud, machine_type},
+    responses::bind_any_port,
+    state_service::{ServiceRates, StateService},
+    state_store::StoreLimits,
+    worker_emulator::{TaskEvent, TaskModel, TaskSpec},
+    worker_fleet::{Fleet, FleetSettings},
 };
 use http::Method;
 use serde_json::{Value, json};
 use tokio::process::{Child, Command};
 
 /// How long anything may take; far above what it does.
-const PATIENCE: Duration = Duration::from_secs(40);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// Every task runs for this long.
-const RUN_MS: u64 = 300;
+const TASK_DURATION_MS: u64 = 300;
 
-struct AnyTask;
+struct FixedDurationTasks;
 
-impl Tasks for AnyTask {
+impl TaskModel for FixedDurationTasks {
     fn describe(&self, _: TaskId) -> Option<TaskSpec> {
         Some(TaskSpec {
             cpus: 1.0,
-            run_ms: Some(RUN_MS),
+            run_ms: Some(TASK_DURATION_MS),
         })
     }
 
-    fn happened(&self, _: &str, _: TaskId, _: TaskEvent) {}
+    fn on_task_event(&self, _: &str, _: TaskId, _: TaskEvent) {}
 }
 
-fn state_service() -> SocketAddr {
-    let limits = Limits {
+fn start_state_service() -> SocketAddr {
+    let limits = StoreLimits {
         txn_ops: 24,
         value_kb: 16.0,
     };
-    let (listener, addr) = listener();
-    StateService::start(listener, limits, Pace::UNLIMITED);
+    let (listener, addr) = bind_any_port();
+    StateService::start(listener, limits, ServiceRates::UNLIMITED);
     addr
 }
 
-fn cloud(fleet: &Fleet) -> SocketAddr {
-    let (listener, addr) = listener();
+fn start_cloud(fleet: &Fleet) -> SocketAddr {
+    let (listener, addr) = bind_any_port();
     let machine_type = machine_type(8.0, 32.0, &["a".to_owned()]);
-    Cloud::start(listener, machine_type, fleet.listed(), |_| {});
+    Cloud::start(listener, machine_type, fleet.listed_machines(), |_| {});
     addr
 }
 
-fn worker(nodes: Vec<(String, SocketAddr)>) -> Fleet {
+fn start_worker(nodes: Vec<(String, SocketAddr)>) -> Fleet {
     let settings = FleetSettings {
         workers: 1,
         subnet: 10,
         port: 0,
         cpus: 8.0,
         zones: vec!["a".into()],
-        nodes,
-        report: Duration::from_millis(300),
-        lease: Duration::from_secs(14),
+        controllers: nodes,
+        report_interval: Duration::from_millis(300),
+        lease_ttl: Duration::from_secs(14),
     };
-    Fleet::start(settings, Arc::new(AnyTask)).expect("a free port")
+    Fleet::start(settings, Arc::new(FixedDurationTasks)).expect("a free port")
 }
 
 fn free_port() -> u16 {
@@ -83,7 +83,7 @@
     std::env::temp_dir().join(name)
 }
 
-fn node(index: usize, ports: &[(u16, u16)], state: SocketAddr, cloud: SocketAddr) -> Child {
+fn start_node(index: usize, ports: &[(u16, u16)], state: SocketAddr, cloud: SocketAddr) -> Child {
     let members: Vec<Value> = (0..ports.len())
         .filter(|other| *other != index)
         .map(|other| {
@@ -113,22 +113,22 @@
         .expect("the program runs")
 }
 
-async fn until<T, F: Future<Output = Option<T>>>(what: &str, mut ask: impl FnMut() -> F) -> T {
+async fn wait_until<T, F: Future<Output = Option<T>>>(what: &str, mut ask: impl FnMut() -> F) -> T {
     let began = Instant::now();
     loop {
         if let Some(answer) = ask().await {
             return answer;
         }
-        assert!(began.elapsed() < PATIENCE, "never: {what}");
+        assert!(began.elapsed() < WAIT_TIMEOUT, "never: {what}");
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
 
 fn job(id: &str, shape: &str, team: &str) -> Vec<u8> {
-    stage(id, shape, team, &[])
+    dag_stage(id, shape, team, &[])
 }
 
-fn stage(id: &str, shape: &str, team: &str, awaits: &[&str]) -> Vec<u8> {
+fn dag_stage(id: &str, shape: &str, team: &str, awaits: &[&str]) -> Vec<u8> {
     protocol::encode(
         &json!({"id": id, "awaits": awaits, "lane": "any", "crew": team, "shape": shape,
         "urgency": "high", "pieces": 5, "cpus": 1.0, "gpus": 0.0, "ram_gb": 1.0, "kit": "img",
@@ -138,13 +138,15 @@
 }
 
 #[tokio::test]
-async fn jobs_run_to_their_end_and_survive_the_leader() {
-    tokio::task::LocalSet::new().run_until(a_day()).await;
+async fn jobs_complete_across_leader_failover() {
+    tokio::task::LocalSet::new()
+        .run_until(run_full_scenario())
+        .await;
 }
 
-async fn a_day() {
+async fn run_full_scenario() {
     let ports: Vec<(u16, u16)> = (0..2).map(|_| (free_port(), free_port())).collect();
-    let state = state_service();
+    let state = start_state_service();
     let addrs: Vec<SocketAddr> = ports
         .iter()
         .map(|(listen, _)| SocketAddr::from(([127, 0, 0, 1], *listen)))
@@ -153,9 +155,9 @@
         .iter()
         .enumerate()
         .map(|(i, addr)| (format!("n{i}"), *addr));
-    let cloud = cloud(&worker(named.collect()));
-    let mut first = node(0, &ports, state, cloud);
-    let http = Rc::new(Http::new(1, Duration::from_secs(30), false));
+    let cloud = start_cloud(&start_worker(named.collect()));
+    let mut first = start_node(0, &ports, state, cloud);
+    let http = Rc::new(HttpClient::new(1, Duration::from_secs(30), false));
     let call = |method: Method, to: usize, path: String, body: Vec<u8>| {
         let (http, addr) = (http.clone(), addrs[to].to_string());
         async move {
@@ -167,9 +169,9 @@
         let answer = call(Method::GET, to, "/ready".into(), Vec::new());
         async move { answer.await.filter(|(status, _)| *status == 200) }
     };
-    until("the first node is ready", || ready(0)).await;
-    let _second = node(1, &ports, state, cloud);
-    until("the second node is ready", || ready(1)).await;
+    wait_until("the first node is ready", || ready(0)).await;
+    let _second = start_node(1, &ports, state, cloud);
+    wait_until("the second node is ready", || ready(1)).await;
     let submit = |to: usize, body: Vec<u8>, status: u16| {
         let answer = call(Method::POST, to, "/v2/runs".into(), body);
         async move { answer.await.filter(|(got, _)| *got == status) }
@@ -183,36 +185,36 @@
         }
     };
 
-    until("accepted", || {
+    wait_until("accepted", || {
         submit(0, job("j-000001", "array", "red"), 201)
     })
     .await;
-    until("known to the other", || {
+    wait_until("known to the other", || {
         submit(1, job("j-000001", "array", "red"), 200)
     })
     .await;
-    until("done", || ended(1, "j-000001", JobStatus::Done)).await;
-    until("refused for its team", || {
+    wait_until("done", || ended(1, "j-000001", JobStatus::Done)).await;
+    wait_until("refused for its team", || {
         submit(1, job("j-000002", "array", "green"), 422)
     })
     .await;
-    until("refused as malformed", || {
+    wait_until("refused as malformed", || {
         submit(0, b"nonsense".to_vec(), 400)
     })
     .await;
     let mut large = job("j-000003", "array", "red");
     large.resize(70_000, 0);
-    until("refused for its size", || submit(0, large.clone(), 400)).await;
+    wait_until("refused for its size", || submit(0, large.clone(), 400)).await;
     for path in ["/v2/runs/j-999999", "/v2/runs/odd", "/nowhere"] {
         let answer = call(Method::GET, 1, path.into(), Vec::new()).await;
         assert_eq!(answer.map(|(status, _)| status), Some(404), "{path}");
     }
 
-    until("a service accepted", || {
+    wait_until("a service accepted", || {
         submit(1, job("j-000004", "standing", "red"), 201)
     })
     .await;
-    until("a service runs", || {
+    wait_until("a service runs", || {
         ended(0, "j-000004", JobStatus::Running)
     })
     .await;
@@ -225,8 +227,8 @@
         );
         async move { answer.await.filter(|(status, _)| *status == 200) }
     };
-    until("cancelled", cancel).await;
-    until("cancelled everywhere", || {
+    wait_until("cancelled", cancel).await;
+    wait_until("cancelled everywhere", || {
         ended(0, "j-000004", JobStatus::Cancelled)
     })
     .await;
@@ -237,27 +239,27 @@
         ("j-000011", &["j-000010", "j-000001"]),
         ("j-000012", &["j-000011"]),
     ] {
-        until("a stage accepted", || {
-            submit(1, stage(id, "array", "red", awaits), 201)
+        wait_until("a stage accepted", || {
+            submit(1, dag_stage(id, "array", "red", awaits), 201)
         })
         .await;
     }
-    until("the last stage is done", || {
+    wait_until("the last stage is done", || {
         ended(0, "j-000012", JobStatus::Done)
     })
     .await;
     for unknown in ["j-000999", "j-000013"] {
-        until("refused for what it awaits", || {
-            submit(0, stage("j-000013", "array", "red", &[unknown]), 422)
+        wait_until("refused for what it awaits", || {
+            submit(0, dag_stage("j-000013", "array", "red", &[unknown]), 422)
         })
         .await;
     }
-    until("a service accepted", || {
+    wait_until("a service accepted", || {
         submit(0, job("j-000014", "standing", "red"), 201)
     })
     .await;
-    until("refused for a service", || {
-        submit(1, stage("j-000015", "array", "red", &["j-000014"]), 422)
+    wait_until("refused for a service", || {
+        submit(1, dag_stage("j-000015", "array", "red", &["j-000014"]), 422)
     })
     .await;
     let cancel = |id: &'static str| {
@@ -265,17 +267,17 @@
         let answer = call(Method::POST, 1, path, Vec::new());
         async move { answer.await.filter(|(status, _)| *status == 200) }
     };
-    until("the service cancelled", || cancel("j-000014")).await;
+    wait_until("the service cancelled", || cancel("j-000014")).await;
     for (id, awaits) in [("j-000015", "j-000014"), ("j-000016", "j-000015")] {
-        until("one after a cancelled one accepted", || {
-            submit(1, stage(id, "array", "red", &[awaits]), 201)
+        wait_until("one after a cancelled one accepted", || {
+            submit(1, dag_stage(id, "array", "red", &[awaits]), 201)
         })
         .await;
-        until("cancelled with it", || ended(0, id, JobStatus::Cancelled)).await;
+        wait_until("cancelled with it", || ended(0, id, JobStatus::Cancelled)).await;
     }
 
     // What the leader tells its operators: it leads, tasks have started, nobody is short of time.
-    until("metrics", || {
+    wait_until("metrics", || {
         let answer = call(Method::GET, 0, "/metrics".into(), Vec::new());
         async move {
             let text = String::from_utf8(answer.await?.1.to_vec()).ok()?;
@@ -294,7 +296,7 @@
 
     // Both follow the leader's table, each with a part of the whole.
     for index in 0..2 {
-        until("an admission table", || {
+        wait_until("an admission table", || {
             let answer = call(Method::GET, index, "/metrics".into(), Vec::new());
             async move {
                 let text = String::from_utf8(answer.await?.1.to_vec()).ok()?;
@@ -313,28 +315,30 @@
         .kill()
         .await
         .expect("the first node, which led, is killed");
-    until("accepted without it", || {
+    wait_until("accepted without it", || {
         submit(1, job("j-000005", "array", "red"), 201)
     })
     .await;
-    until("done without it", || ended(1, "j-000005", JobStatus::Done)).await;
-    until("still done", || ended(1, "j-000001", JobStatus::Done)).await;
+    wait_until("done without it", || ended(1, "j-000005", JobStatus::Done)).await;
+    wait_until("still done", || ended(1, "j-000001", JobStatus::Done)).await;
     for ports in ports {
         let _ = std::fs::remove_file(settings_file(ports));
     }
 }
 
 #[tokio::test]
-async fn processes_that_end_are_back_at_once() {
-    tokio::task::LocalSet::new().run_until(restarts()).await;
+async fn restarted_processes_rejoin_at_once() {
+    tokio::task::LocalSet::new()
+        .run_until(run_restart_scenario())
+        .await;
 }
 
 /// Processes are killed under load and started again within 50 ms, one by one and both: their addresses are
 /// still in use by connections that nobody has closed, and what was accepted is done.
-async fn restarts() {
+async fn run_restart_scenario() {
     const USERS: usize = 24;
     let ports: Vec<(u16, u16)> = (0..2).map(|_| (free_port(), free_port())).collect();
-    let state = state_service();
+    let state = start_state_service();
     let addrs: Vec<SocketAddr> = ports
         .iter()
         .map(|(listen, _)| SocketAddr::from(([127, 0, 0, 1], *listen)))
@@ -343,12 +347,14 @@
         .iter()
         .enumerate()
         .map(|(i, addr)| (format!("n{i}"), *addr));
-    let cloud = cloud(&worker(named.collect()));
-    let mut nodes: Vec<Child> = (0..2).map(|at| node(at, &ports, state, cloud)).collect();
+    let cloud = start_cloud(&start_worker(named.collect()));
+    let mut nodes: Vec<Child> = (0..2)
+        .map(|at| start_node(at, &ports, state, cloud))
+        .collect();
     let ready = |to: usize| {
         let addr = addrs[to].to_string();
         async move {
-            let http = Http::new(0, Duration::from_secs(1), false);
+            let http = HttpClient::new(0, Duration::from_secs(1), false);
             let timeout = Duration::from_secs(1);
             let path = "/ready";
             let answer = http
@@ -358,7 +364,7 @@
         }
     };
     for at in 0..2 {
-        until("a node is ready", || ready(at)).await;
+        wait_until("a node is ready", || ready(at)).await;
     }
     let accepted = Rc::new(std::cell::RefCell::new(Vec::new()));
     let over = Rc::new(std::cell::Cell::new(false));
@@ -366,7 +372,7 @@
     for user in 0..USERS {
         let (accepted, over, addrs) = (accepted.clone(), over.clone(), addrs.clone());
         users.push(tokio::task::spawn_local(async move {
-            let http = Http::new(1, Duration::from_secs(30), false);
+            let http = HttpClient::new(1, Duration::from_secs(30), false);
             let mut number = 0;
             while !over.get() {
                 let id = format!("j-{:06}", user * 1000 + number);
@@ -395,11 +401,11 @@
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
         for &at in ends {
-            nodes[at] = node(at, &ports, state, cloud);
+            nodes[at] = start_node(at, &ports, state, cloud);
         }
         let began = Instant::now();
         for &at in ends {
-            until("ready again", || ready(at)).await;
+            wait_until("ready again", || ready(at)).await;
         }
         let took = began.elapsed();
         assert!(took < Duration::from_secs(5), "round {round}: {took:?}");
@@ -410,10 +416,10 @@
     }
     let accepted = accepted.take();
     assert!(accepted.len() > USERS, "{} accepted", accepted.len());
-    let http = Rc::new(Http::new(1, Duration::from_secs(30), false));
+    let http = Rc::new(HttpClient::new(1, Duration::from_secs(30), false));
     // One machine does not do them all in a moment; all are known.
     for (number, id) in accepted.into_iter().enumerate() {
-        until("done, or known", || {
+        wait_until("done, or known", || {
             let (http, addr, path) = (http.clone(), addrs[1].to_string(), format!("/v2/runs/{id}"));
             async move {
                 let timeout = Duration::from_secs(5);
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -5,7 +5,7 @@
         self, DecodeError,
         cloud::{MachineType, MachineTypes},
         ids::{JobId, TaskId},
-        job::{JobStatus, JobView, Kind, Priority, Submission},
+        job::{JobKind, JobStatus, JobView, Priority, Submission},
         worker::{Order, Report},
     },
     storage,
@@ -17,7 +17,7 @@
 use serde_json::{Value, json};
 
 /// The same cases each time.
-fn check<S: Strategy>(strategy: S, test: impl Fn(S::Value) -> Result<(), TestCaseError>) {
+fn check_property<S: Strategy>(strategy: S, test: impl Fn(S::Value) -> Result<(), TestCaseError>) {
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let config = Config {
         cases: 300,
@@ -29,7 +29,7 @@
         .unwrap_or_else(|error| panic!("{error}"));
 }
 
-fn submission() -> impl Strategy<Value = Submission> {
+fn any_submission() -> impl Strategy<Value = Submission> {
     let amounts = (0.001..1e6f64, 0.0..64.0f64, 0.001..1e5f64, 0.0..500.0f64);
     let times = (0.0..1e6f64, 0.0..1e4f64, 0.0..1e3f64);
     let places = (
@@ -54,7 +54,11 @@
                 id: JobId(id),
                 class: name.clone(),
                 team: name.clone(),
-                kind: if flags[0] { Kind::Array } else { Kind::Service },
+                kind: if flags[0] {
+                    JobKind::Array
+                } else {
+                    JobKind::Service
+                },
                 priority: if flags[1] {
                     Priority::High
                 } else {
@@ -75,12 +79,12 @@
                 checkpoint_s: times.1,
                 save_s: times.2,
                 deadline_s: places.2,
-                awaits: awaits.into_iter().map(JobId).collect(),
+                dependencies: awaits.into_iter().map(JobId).collect(),
             },
         )
 }
 
-fn example() -> Value {
+fn example_submission() -> Value {
     json!({"id":"j-000412","lane":"train","crew":"vision","shape":"array","urgency":"high",
         "pieces":16,"cpus":8,"gpus":1.0,"ram_gb":64,"kit":"img-07","size_gb":6.2,
         "builds":["g8"],"yard":null,"together":true,"apart":false,"loaners":true,
@@ -88,8 +92,8 @@
 }
 
 #[test]
-fn submissions_round_trip_on_the_wire_and_in_the_store() {
-    check(submission(), |job| {
+fn submissions_round_trip_on_wire_and_in_store() {
+    check_property(any_submission(), |job| {
         let wire = Submission::from_body(&protocol::encode(&job)).unwrap();
         prop_assert_eq!(&wire, &job);
         let record = storage::JobRecord::Live {
@@ -106,14 +110,14 @@
 }
 
 #[test]
-fn arbitrary_bytes_are_refused_without_a_panic() {
-    check(prop::collection::vec(any::<u8>(), 0..400), |bytes| {
+fn arbitrary_bytes_are_rejected_without_panic() {
+    check_property(prop::collection::vec(any::<u8>(), 0..400), |bytes| {
         let _ = protocol::decode::<Report>(&bytes);
         prop_assert!(Submission::from_body(&bytes).is_err());
         Ok(())
     });
     // Cut off, or with bytes after the end.
-    let whole = protocol::encode(&example());
+    let whole = protocol::encode(&example_submission());
     for length in 0..whole.len() {
         assert!(Submission::from_body(&whole[..length]).is_err());
     }
@@ -122,8 +126,8 @@
 }
 
 #[test]
-fn a_submission_may_use_integers_leave_out_nulls_and_add_fields() {
-    let mut job = example();
+fn submission_accepts_integers_missing_nulls_and_unknown_fields() {
+    let mut job = example_submission();
     job["a_later_field"] = json!({"deep": [1, 2]});
     for nullable in ["builds", "yard", "due_s"] {
         job.as_object_mut().unwrap().remove(nullable);
@@ -133,7 +137,7 @@
 }
 
 #[test]
-fn each_invalid_field_is_refused() {
+fn each_invalid_field_is_rejected() {
     let wrong = [
         ("id", json!("job-1")),
         ("id", json!("j-12")),
@@ -152,23 +156,23 @@
         ("together", json!(null)),
     ];
     for (field, value) in wrong {
-        let mut job = example();
+        let mut job = example_submission();
         job[field] = value.clone();
         let refused = Submission::from_body(&protocol::encode(&job));
         assert!(refused.is_err(), "{field} = {value} was taken");
     }
-    for field in example().as_object().unwrap().keys() {
+    for field in example_submission().as_object().unwrap().keys() {
         if ["builds", "yard", "due_s"].contains(&field.as_str()) {
             continue;
         }
-        let mut job = example();
+        let mut job = example_submission();
         job.as_object_mut().unwrap().remove(field);
         assert!(
             Submission::from_body(&protocol::encode(&job)).is_err(),
             "{field} may be missing"
         );
     }
-    let mut job = Submission::from_body(&protocol::encode(&example())).unwrap();
+    let mut job = Submission::from_body(&protocol::encode(&example_submission())).unwrap();
     job.cpus = f64::NAN;
     assert!(Submission::from_body(&protocol::encode(&job)).is_err());
     // A list of the right values in the right order is no map.
@@ -177,13 +181,13 @@
 }
 
 #[test]
-fn awaited_jobs_are_a_list_of_ids_each_once_or_none() {
+fn dependencies_must_be_a_list_of_unique_job_ids() {
     let read = |awaits: Option<Value>| {
-        let mut job = example();
+        let mut job = example_submission();
         if let Some(awaits) = awaits {
             job["awaits"] = awaits;
         }
-        Submission::from_body(&protocol::encode(&job)).map(|job| job.awaits)
+        Submission::from_body(&protocol::encode(&job)).map(|job| job.dependencies)
     };
     assert_eq!(read(None), Ok(Vec::new()));
     assert_eq!(read(Some(json!(null))), Ok(Vec::new()));
@@ -205,36 +209,39 @@
 
 /// A record too long for one value is cut into texts that fit, and is whole again from them.
 #[test]
-fn long_submissions_are_kept_under_several_keys() {
+fn oversized_submissions_are_split_over_several_keys() {
     let names = prop::collection::vec("[a-z\\\\\"é]{1,200}", 0..40);
     let awaits = prop::collection::btree_set(0..1u64 << 40, 0..300);
-    check((submission(), names, awaits), |(mut job, names, awaits)| {
-        job.types = Some(names);
-        job.awaits = awaits.into_iter().map(JobId).collect();
-        let (record, texts) = storage::live_record(7, &job, 2048);
-        for text in &texts {
-            prop_assert!(storage::to_value(text).to_string().len() <= 2048);
-        }
-        prop_assert!(storage::to_value(&record).to_string().len() <= 2048);
-        match record {
-            storage::JobRecord::Live { spec, .. } => {
-                prop_assert!(texts.is_empty());
-                prop_assert_eq!(*spec, job);
+    check_property(
+        (any_submission(), names, awaits),
+        |(mut job, names, awaits)| {
+            job.types = Some(names);
+            job.dependencies = awaits.into_iter().map(JobId).collect();
+            let (record, texts) = storage::live_job_record(7, &job, 2048);
+            for text in &texts {
+                prop_assert!(storage::to_value(text).to_string().len() <= 2048);
             }
-            storage::JobRecord::Split { parts, .. } => {
-                prop_assert_eq!(parts as usize, texts.len());
-                let whole = storage::joined(texts.iter().map(String::as_str));
-                prop_assert_eq!(whole.unwrap(), job);
+            prop_assert!(storage::to_value(&record).to_string().len() <= 2048);
+            match record {
+                storage::JobRecord::Live { spec, .. } => {
+                    prop_assert!(texts.is_empty());
+                    prop_assert_eq!(*spec, job);
+                }
+                storage::JobRecord::Split { parts, .. } => {
+                    prop_assert_eq!(parts as usize, texts.len());
+                    let whole = storage::join_submission_parts(texts.iter().map(String::as_str));
+                    prop_assert_eq!(whole.unwrap(), job);
+                }
+                other => prop_assert!(false, "{:?}", other),
             }
-            other => prop_assert!(false, "{:?}", other),
-        }
-        Ok(())
-    });
+            Ok(())
+        },
+    );
 }
 
 /// Machine types that one value can't hold are kept under several keys, and none is left out.
 #[test]
-fn machine_types_fit_their_values() {
+fn machine_type_records_stay_within_value_limit() {
     let kind = |number: usize| MachineType {
         name: format!("kind-{number:0>40}"),
         cpus: 16.0,
@@ -249,12 +256,12 @@
     };
     for count in [1, 2, 7, 8, 60] {
         let types: Vec<MachineType> = (0..count).map(kind).collect();
-        let records = storage::types_records(&types, 2048);
+        let records = storage::machine_types_records(&types, 2048);
         let mut read = Vec::new();
         for (at, (key, value)) in records.iter().enumerate() {
             assert!(value.to_string().len() <= 2048, "{key}");
-            let part = storage::parse_types_key(key);
-            let whole = (records.len() == 1).then_some(storage::TYPES);
+            let part = storage::parse_machine_types_key(key);
+            let whole = (records.len() == 1).then_some(storage::MACHINE_TYPES_KEY);
             assert_eq!(whole, part.is_none().then_some(key.as_str()));
             assert!(part.is_none_or(|part| part == (at as u32, records.len() as u32)));
             let types: MachineTypes = serde_json::from_value(value.clone()).unwrap();
@@ -307,7 +314,7 @@
     }
 
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
-    pub enum Note {
+    pub enum PreviousRecordedStatus {
         #[serde(rename = "m")]
         On(u32),
         #[serde(rename = "w")]
@@ -326,7 +333,7 @@
     }
 
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
-    pub struct JobNote {
+    pub struct PreviousJobSummary {
         pub team: String,
         pub of: u32,
         pub cpus: f64,
@@ -335,25 +342,25 @@
     }
 
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
-    pub struct Page {
+    pub struct PreviousSnapshotRecord {
         #[serde(flatten)]
-        pub job: JobNote,
+        pub job: PreviousJobSummary,
         pub machines: Vec<Machine>,
-        pub tasks: Vec<TaskNote>,
+        pub tasks: Vec<PreviousTaskRecord>,
     }
 
-    pub type TaskNote = (u32, u32, Note);
+    pub type PreviousTaskRecord = (u32, u32, PreviousRecordedStatus);
 
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
-    pub struct Entry {
+    pub struct PreviousLogRecord {
         pub seq: u64,
         pub first: u64,
         pub machines: Vec<Machine>,
-        pub jobs: Vec<(String, JobNote, Vec<TaskNote>)>,
+        pub jobs: Vec<(String, PreviousJobSummary, Vec<PreviousTaskRecord>)>,
     }
 
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
-    pub struct Images {
+    pub struct PreviousImagesRecord {
         pub images: Vec<(String, f64)>,
         pub machines: Vec<(String, u64)>,
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -361,7 +368,7 @@
     }
 
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
-    pub struct Leader {
+    pub struct PreviousLeaderRecord {
         pub node: String,
         pub lease: u64,
         pub term: u64,
@@ -383,34 +390,38 @@
             spot: true,
             addr: None,
         };
-        let job = || JobNote {
+        let job = || PreviousJobSummary {
             team: "red".into(),
             of: 16,
             cpus: 8.0,
             gpus: 1.0,
             ram_gb: 64.0,
         };
-        let page = Page {
+        let page = PreviousSnapshotRecord {
             job: job(),
             machines: vec![machine()],
             tasks: vec![
-                (3, 2, Note::On(0)),
-                (4, 1, Note::Done),
-                (5, 7, Note::Waiting),
+                (3, 2, PreviousRecordedStatus::On(0)),
+                (4, 1, PreviousRecordedStatus::Done),
+                (5, 7, PreviousRecordedStatus::Waiting),
             ],
         };
-        let entry = Entry {
+        let entry = PreviousLogRecord {
             seq: 9,
             first: 4,
             machines: vec![machine()],
-            jobs: vec![("j-000412".into(), job(), vec![(3, 2, Note::On(0))])],
+            jobs: vec![(
+                "j-000412".into(),
+                job(),
+                vec![(3, 2, PreviousRecordedStatus::On(0))],
+            )],
         };
-        let images = Images {
+        let images = PreviousImagesRecord {
             images: vec![("img-07".into(), 6.2)],
             machines: vec![("vm-000231".into(), 1)],
             at_fault: vec!["j-000412".into()],
         };
-        let leader = Leader {
+        let leader = PreviousLeaderRecord {
             node: "berth-1".into(),
             lease: 7,
             term: 3,
@@ -428,7 +439,7 @@
 }
 
 /// Reads a record of one version as the other's, and back: nothing is lost and nothing else is said.
-fn reread<A, B>(value: &Value)
+fn assert_rereads_as<A, B>(value: &Value)
 where
     A: serde::Serialize + serde::de::DeserializeOwned,
     B: serde::Serialize + serde::de::DeserializeOwned,
@@ -439,20 +450,20 @@
 }
 
 #[test]
-fn each_version_reads_what_the_other_writes() {
+fn records_are_compatible_with_previous_version_both_ways() {
     let written = before::written();
-    reread::<storage::JobRecord, before::Job>(&written["done"]);
-    reread::<storage::JobRecord, before::Job>(&written["cancelled"]);
-    reread::<storage::ChunkRecord, before::Page>(&written["page"]);
-    reread::<storage::LogRecord, before::Entry>(&written["entry"]);
-    reread::<storage::ImagesRecord, before::Images>(&written["images"]);
-    reread::<storage::LeaderRecord, before::Leader>(&written["leader"]);
-    check(submission(), |mut job| {
+    assert_rereads_as::<storage::JobRecord, before::Job>(&written["done"]);
+    assert_rereads_as::<storage::JobRecord, before::Job>(&written["cancelled"]);
+    assert_rereads_as::<storage::SnapshotRecord, before::PreviousSnapshotRecord>(&written["page"]);
+    assert_rereads_as::<storage::LogRecord, before::PreviousLogRecord>(&written["entry"]);
+    assert_rereads_as::<storage::ImagesRecord, before::PreviousImagesRecord>(&written["images"]);
+    assert_rereads_as::<storage::LeaderRecord, before::PreviousLeaderRecord>(&written["leader"]);
+    check_property(any_submission(), |mut job| {
         // While the other version is there, no job awaits others.
-        job.awaits.clear();
-        let (record, texts) = storage::live_record(7, &job, 16 * 1024);
+        job.dependencies.clear();
+        let (record, texts) = storage::live_job_record(7, &job, 16 * 1024);
         prop_assert!(texts.is_empty());
-        reread::<before::Job, storage::JobRecord>(&storage::to_value(&record));
+        assert_rereads_as::<before::Job, storage::JobRecord>(&storage::to_value(&record));
         Ok(())
     });
     // The time of an end is new.
@@ -464,24 +475,24 @@
 /// Pages of 9 tasks and of 99 never have the same key, and the version that only counted them reads
 /// both.
 #[test]
-fn pages_of_different_lengths_never_share_a_key() {
+fn snapshots_of_different_range_lengths_never_share_a_key() {
     let lengths = || prop_oneof![Just(9u32), Just(99), 1..=128u32];
-    check(
+    check_property(
         (lengths(), lengths(), 0..100_000u32, 0..100_000u32),
         |(a, b, i, j)| {
             let key = |length: u32, task: u32| {
-                let page = storage::PageNumber::new(length, task / length);
-                storage::page_key(JobId(412), page)
+                let page = storage::SnapshotNumber::new(length, task / length);
+                storage::snapshot_key(JobId(412), page)
             };
             prop_assert_eq!(key(a, i) == key(b, j), a == b && i / a == j / b);
-            let read = storage::parse_page_key(&key(a, i));
+            let read = storage::parse_snapshot_key(&key(a, i));
             let (id, page) = read.expect("a page's key");
-            prop_assert_eq!((id, page.chunk(a)), (JobId(412), Some(i / a)));
-            prop_assert!(a == b || page.chunk(b).is_none());
+            prop_assert_eq!((id, page.range_index(a)), (JobId(412), Some(i / a)));
+            prop_assert!(a == b || page.range_index(b).is_none());
             // The other version's keys: read, not taken for one's own, and never written by this one.
             let old = format!("books/task/j-000412/{:05}", i / before::PAGE);
-            let (_, page) = storage::parse_page_key(&old).expect("a page's key");
-            prop_assert_eq!(page.chunk(a), None);
+            let (_, page) = storage::parse_snapshot_key(&old).expect("a page's key");
+            prop_assert_eq!(page.range_index(a), None);
             prop_assert!(old != key(a, i));
             let (_, number) = before::page(&key(a, i)).expect("a page's key");
             prop_assert!(number > 100_000 / before::PAGE, "taken for page {}", number);
@@ -491,8 +502,8 @@
 }
 
 #[test]
-fn ids_have_one_spelling() {
-    check((any::<u64>(), any::<u32>()), |(number, index)| {
+fn ids_have_one_canonical_form() {
+    check_property((any::<u64>(), any::<u32>()), |(number, index)| {
         let task = TaskId {
             job: JobId(number),
             index,
@@ -500,7 +511,7 @@
         prop_assert_eq!(task.to_string().parse::<TaskId>(), Ok(task));
         Ok(())
     });
-    check("j-[0-9]{0,8}|[ -~]{0,12}", |text| {
+    check_property("j-[0-9]{0,8}|[ -~]{0,12}", |text| {
         if let Ok(id) = text.parse::<JobId>() {
             prop_assert_eq!(id.to_string(), text);
         }
@@ -509,7 +520,7 @@
 }
 
 #[test]
-fn the_wire_has_its_own_words() {
+fn wire_names_match_the_protocol() {
     let order = Order::Stop {
         task: "j-000377/1".parse().unwrap(),
         attempt: 1,
@@ -535,6 +546,6 @@
         {"piece":"j-000398/0","try":1,"status":"ended","cause":"done"},
         {"piece":"j-000398/1","try":1,"status":"ended","cause":"a later cause"}]});
     let report: Report = protocol::decode(&protocol::encode(&report)).unwrap();
-    assert_eq!((report.session, report.seq, report.token), (1, 88, 41));
+    assert_eq!((report.incarnation, report.seq, report.token), (1, 88, 41));
     assert_eq!(report.tasks.len(), 3);
 }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -6,8 +6,8 @@
 use dalelb::{
     config::Config,
     coordination::{
-        CellAnswer, CellStatement, News, Progress, Revocation, Word, admission::Table,
-        quota::MembersRecord,
+        CellGrants, CellReport, LeaderAnnouncement, LeaseRevocation, MemberStatus, RenewalReply,
+        admission::AdmissionQuotas, quota::CellMembershipRecord,
     },
     protocol::{
         self,
@@ -16,7 +16,7 @@
         state::{LeaseRequest, Txn},
         worker::{DirectOrders, Orders, Redirect, Report},
     },
-    quota::{HoldRecord, HomeRecord},
+    quota::{CoordinatorRecord, ParticipantRecord},
     storage,
     transport::mesh::proto,
 };
@@ -29,56 +29,61 @@
     std::fs::read_to_string(path.join(name)).unwrap_or_else(|error| panic!("{name}: {error}"))
 }
 
-fn again<T: Serialize + DeserializeOwned>(value: &Value) -> Value {
+fn round_trip_json<T: Serialize + DeserializeOwned>(value: &Value) -> Value {
     let record: T = serde_json::from_value(value.clone()).expect("a record");
     storage::to_value(&record)
 }
 
 /// A stored value, read as what its key says that it is and written again.
-fn rewritten(key: &str, value: &Value) -> (&'static str, Value) {
+fn round_trip_record(key: &str, value: &Value) -> (&'static str, Value) {
     if storage::parse_job_key(key).is_some() {
-        return ("job", again::<storage::JobRecord>(value));
+        return ("job", round_trip_json::<storage::JobRecord>(value));
     }
-    if storage::parse_part_key(key).is_some() {
-        return ("part", again::<String>(value));
+    if storage::parse_job_part_key(key).is_some() {
+        return ("part", round_trip_json::<String>(value));
     }
-    if storage::parse_deputy_key(key).is_some() {
-        return ("deputy", again::<storage::DeputyRecord>(value));
+    if storage::parse_lease_renewer_key(key).is_some() {
+        return (
+            "deputy",
+            round_trip_json::<storage::LeaseRenewerRecord>(value),
+        );
     }
-    if storage::parse_slot_key(key).is_some() {
-        return ("log", again::<storage::LogRecord>(value));
+    if storage::parse_log_slot_key(key).is_some() {
+        return ("log", round_trip_json::<storage::LogRecord>(value));
     }
-    if storage::parse_page_key(key).is_some() {
-        return ("page", again::<storage::ChunkRecord>(value));
+    if storage::parse_snapshot_key(key).is_some() {
+        return ("page", round_trip_json::<storage::SnapshotRecord>(value));
     }
     if storage::is_images_key(key) {
-        return ("images", again::<storage::ImagesRecord>(value));
+        return ("images", round_trip_json::<storage::ImagesRecord>(value));
     }
-    if storage::parse_quota_home_key(key).is_some() {
-        return ("home", again::<HomeRecord>(value));
+    if storage::parse_quota_coordinator_key(key).is_some() {
+        return ("home", round_trip_json::<CoordinatorRecord>(value));
     }
-    if storage::parse_quota_hold_key(key).is_some() {
-        return ("hold", again::<HoldRecord>(value));
+    if storage::parse_quota_participant_key(key).is_some() {
+        return ("hold", round_trip_json::<ParticipantRecord>(value));
     }
     match key {
-        storage::LEADER => ("leader", again::<storage::LeaderRecord>(value)),
-        storage::TERM => ("term", again::<storage::TermRecord>(value)),
-        storage::TABLE => ("table", again::<Table>(value)),
-        storage::QUOTA_CELLS => ("cells", again::<MembersRecord>(value)),
-        _ if key.starts_with(storage::TYPES) => ("types", again::<MachineTypes>(value)),
+        storage::LEADER_KEY => ("leader", round_trip_json::<storage::LeaderRecord>(value)),
+        storage::TERM_KEY => ("term", round_trip_json::<storage::TermRecord>(value)),
+        storage::ADMISSION_QUOTAS_KEY => ("table", round_trip_json::<AdmissionQuotas>(value)),
+        storage::QUOTA_CELLS_KEY => ("cells", round_trip_json::<CellMembershipRecord>(value)),
+        _ if key.starts_with(storage::MACHINE_TYPES_KEY) => {
+            ("types", round_trip_json::<MachineTypes>(value))
+        }
         _ => panic!("{key} is no key of ours"),
     }
 }
 
 #[test]
-fn stored_records_are_read_and_written_again_to_the_byte() {
+fn stored_records_round_trip_byte_for_byte() {
     let mut kinds = BTreeSet::new();
     let mut statuses = BTreeSet::new();
     for name in ["store.jsonl", "pages.jsonl", "quota.jsonl"] {
         for line in read(name).lines() {
             let row: Value = serde_json::from_str(line).expect("a row");
             let key = row["key"].as_str().expect("a key");
-            let (kind, value) = rewritten(key, &row["value"]);
+            let (kind, value) = round_trip_record(key, &row["value"]);
             assert_eq!(value.to_string(), row["value"].to_string(), "{key}");
             kinds.insert(kind);
             if kind == "job" {
@@ -100,13 +105,13 @@
     (0..hex.len()).step_by(2).map(digits).collect()
 }
 
-fn packed<T: Serialize + DeserializeOwned>(body: &[u8]) -> Vec<u8> {
+fn round_trip_msgpack<T: Serialize + DeserializeOwned>(body: &[u8]) -> Vec<u8> {
     let message: T = protocol::decode(body).expect("a message");
     protocol::encode(&message)
 }
 
 /// A mesh message to this version's own type and back.
-fn mesh<M, T>(body: &[u8]) -> Vec<u8>
+fn round_trip_mesh<M, T>(body: &[u8]) -> Vec<u8>
 where
     M: Message + Default,
     T: From<M>,
@@ -116,7 +121,7 @@
     M::from(&T::from(message)).encode_to_vec()
 }
 
-fn owned_mesh<M, T>(body: &[u8]) -> Vec<u8>
+fn round_trip_mesh_owned<M, T>(body: &[u8]) -> Vec<u8>
 where
     M: Message + Default + From<T>,
     T: From<M>,
@@ -126,44 +131,44 @@
 }
 
 /// A message, read as what was sent to where, and written again.
-fn resent(channel: &str, head: &str, body: &[u8]) -> Vec<u8> {
+fn round_trip_message(channel: &str, head: &str, body: &[u8]) -> Vec<u8> {
     let words: Vec<&str> = head.split(' ').collect();
     match (channel, words.get(1).copied().unwrap_or_default()) {
-        ("report", _) => packed::<Report>(body),
+        ("report", _) => round_trip_msgpack::<Report>(body),
         ("submission", _) => {
             let submission = Submission::from_body(body).expect("a submission");
             protocol::encode(&submission)
         }
-        ("user", "421") => packed::<Redirect>(body),
+        ("user", "421") => round_trip_msgpack::<Redirect>(body),
         ("user", "200" | "201") if protocol::decode::<Orders>(body).is_ok() => {
-            packed::<Orders>(body)
+            round_trip_msgpack::<Orders>(body)
         }
-        ("user", "200" | "201") => packed::<JobView>(body),
-        ("user", _) => packed::<Value>(body),
-        ("state", "/txn") => packed::<Txn>(body),
-        ("state", "/holds") => packed::<LeaseRequest>(body),
+        ("user", "200" | "201") => round_trip_msgpack::<JobView>(body),
+        ("user", _) => round_trip_msgpack::<Value>(body),
+        ("state", "/txn") => round_trip_msgpack::<Txn>(body),
+        ("state", "/holds") => round_trip_msgpack::<LeaseRequest>(body),
         ("state", path) => {
             assert!(path.ends_with("/touch"), "{path}");
-            packed::<Value>(body)
+            round_trip_msgpack::<Value>(body)
         }
-        ("cloud", "/machines") => packed::<RentRequest>(body),
-        ("cloud", "/machines/delete") => packed::<MachineNames>(body),
-        ("worker", "/commands") => packed::<DirectOrders>(body),
-        ("mesh-progress", _) => mesh::<proto::Progress, Progress>(body),
-        ("mesh-told", _) => mesh::<proto::Told, News>(body),
-        ("mesh-revocation", _) => owned_mesh::<proto::Revocation, Revocation>(body),
-        ("mesh-renewals", _) => owned_mesh::<proto::Renewals, Word>(body),
+        ("cloud", "/machines") => round_trip_msgpack::<RentRequest>(body),
+        ("cloud", "/machines/delete") => round_trip_msgpack::<MachineNames>(body),
+        ("worker", "/commands") => round_trip_msgpack::<DirectOrders>(body),
+        ("mesh-progress", _) => round_trip_mesh::<proto::Progress, LeaderAnnouncement>(body),
+        ("mesh-told", _) => round_trip_mesh::<proto::Told, MemberStatus>(body),
+        ("mesh-revocation", _) => round_trip_mesh_owned::<proto::Revocation, LeaseRevocation>(body),
+        ("mesh-renewals", _) => round_trip_mesh_owned::<proto::Renewals, RenewalReply>(body),
         ("mesh-relay", _) => proto::Request::decode(body)
             .expect("a request")
             .encode_to_vec(),
-        ("cell-statement", _) => owned_mesh::<proto::CellStatement, CellStatement>(body),
-        ("cell-answer", _) => owned_mesh::<proto::CellAnswer, CellAnswer>(body),
+        ("cell-statement", _) => round_trip_mesh_owned::<proto::CellStatement, CellReport>(body),
+        ("cell-answer", _) => round_trip_mesh_owned::<proto::CellAnswer, CellGrants>(body),
         other => panic!("{other:?} is not known"),
     }
 }
 
 #[test]
-fn messages_are_read_and_written_again_to_the_byte() {
+fn messages_round_trip_byte_for_byte() {
     let mut channels = BTreeSet::new();
     let mut paths = BTreeSet::new();
     let text = read("messages.tsv") + &read("cell-messages.tsv");
@@ -173,7 +178,7 @@
             panic!("{line} has other fields");
         };
         let body = bytes(hex);
-        assert_eq!(resent(channel, head, &body), body, "{line}");
+        assert_eq!(round_trip_message(channel, head, &body), body, "{line}");
         channels.insert(channel);
         if ["state", "cloud", "worker"].contains(&channel) {
             paths.insert(head.split(' ').nth(1).expect("a path"));
@@ -202,7 +207,7 @@
 
 /// The mesh's service, methods and field numbers: versions side by side know each other by them.
 #[test]
-fn the_mesh_keeps_its_names_and_numbers() {
+fn mesh_schema_keeps_names_and_field_numbers() {
     let now = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/proto/mesh.proto"));
     let lines = |text: &str| -> Vec<String> {
         let lines = text.lines().map(str::trim);
@@ -213,9 +218,9 @@
 }
 
 #[test]
-fn settings_with_every_field_are_read() {
+fn settings_with_every_field_are_parsed() {
     let config: Config = serde_json::from_str(&read("settings.json")).expect("settings");
-    assert_eq!(config.problems(), Vec::<String>::new());
+    assert_eq!(config.validation_errors(), Vec::<String>::new());
     assert_eq!((&config.label[..], &config.zone[..]), ("n0", "zone-a"));
     assert_eq!(config.listen.to_string(), "10.0.0.1:8080");
     assert_eq!(config.mesh_addr.to_string(), "10.0.0.1:8081");
@@ -232,16 +237,30 @@
     let objective = &settings.objectives[0];
     assert_eq!(objective.kind, "deadline");
     assert_eq!(objective.class.as_deref(), Some("batch"));
-    let numbers = (objective.within_s, objective.times, objective.share);
+    let numbers = (objective.target_s, objective.times, objective.share);
     assert_eq!(numbers, (Some(8.0), Some(1.5), Some(0.9)));
     let workers = &settings.workers;
-    let times = (workers.report_s, workers.lease_s, workers.cancel_s);
+    let times = (
+        workers.report_interval_s,
+        workers.lease_ttl_s,
+        workers.cancellation_bound_s,
+    );
     assert_eq!(times, (2.5, 14.0, 34.0));
     let state = &settings.state;
-    let limits = (state.rps, state.write_rps, state.value_kb, state.txn_ops);
+    let limits = (
+        state.rps,
+        state.write_rps,
+        state.max_value_kb,
+        state.max_txn_ops,
+    );
     assert_eq!(limits, (150.0, 60.0, 16.0, 48));
-    let next = state.next.expect("limits to come");
-    let limits = (next.rps, next.write_rps, next.value_kb, next.txn_ops);
+    let next = state.upcoming.expect("limits to come");
+    let limits = (
+        next.rps,
+        next.write_rps,
+        next.max_value_kb,
+        next.max_txn_ops,
+    );
     assert_eq!(limits, (Some(100.0), Some(50.0), Some(2.0), Some(4)));
     let cloud = (settings.cloud.rps, settings.cloud.list_lag_s);
     assert_eq!(cloud, (3.0, 6.0));
--- a/tests/histories/meetings.rs
+++ b/tests/histories/combined_faults.rs
@@ -4,9 +4,9 @@
 use super::*;
 
 /// What the workers' times and the state service's limits are taken from: the first deployments', slow, fast.
-const SEEDS: [u64; 4] = [0, 8, 10, 16];
+const HISTORY_SEEDS: [u64; 4] = [0, 8, 10, 16];
 
-fn red(spec: Submission) -> Submission {
+fn for_team_red(spec: Submission) -> Submission {
     Submission {
         team: "red".into(),
         ..spec
@@ -14,7 +14,7 @@
 }
 
 /// A short task or more, of a team without a limit.
-fn short(world: &mut World, number: u64, tasks: u32, seconds: f64) -> Submission {
+fn short_job(world: &mut SimulatedCluster, number: u64, tasks: u32, seconds: f64) -> Submission {
     Submission {
         estimate_s: seconds,
         cpus: 0.25,
@@ -24,34 +24,35 @@
 }
 
 /// Eight machines and a leader.
-fn led(seed: u64) -> World {
+fn cluster_with_leader(seed: u64) -> SimulatedCluster {
     logging();
     let mut world = small_fleet(seed);
     world.run_until(8000);
     world
 }
 
-fn leader(world: &World) -> usize {
+fn leader_index(world: &SimulatedCluster) -> usize {
     world.leader.expect("a node leads")
 }
 
 /// The leader ends and is back after a pause.
-fn end_leader(world: &mut World, pause: u64) -> usize {
-    let old = leader(world);
-    world.end(old, pause);
+fn end_leader(world: &mut SimulatedCluster, pause: u64) -> usize {
+    let old = leader_index(world);
+    world.stop_process(old, pause);
     old
 }
 
 /// All jobs that nobody called off end within a while, their users asking now and then.
-fn all_end(world: &mut World, within: u64) {
+fn run_until_jobs_end(world: &mut SimulatedCluster, within: u64) {
     let until = world.now + within;
     while world.now < until {
         world.run_until(world.now + 1000);
-        let open = |told: &Told| !matches!(told.last, Some(JobStatus::Done | JobStatus::Cancelled));
+        let open =
+            |told: &UserView| !matches!(told.last, Some(JobStatus::Done | JobStatus::Cancelled));
         let open: Vec<JobId> = world
             .jobs
             .iter()
-            .filter(|(_, (spec, told))| spec.kind == Kind::Array && open(told))
+            .filter(|(_, (spec, told))| spec.kind == JobKind::Array && open(told))
             .map(|(id, _)| *id)
             .collect();
         if open.is_empty() {
@@ -60,10 +61,10 @@
         for id in open {
             let (spec, told) = &world.jobs[&id];
             let ask = match told.accepted {
-                true => Ask::Poll(id),
-                false => Ask::Submit(Box::new(spec.clone())),
+                true => ApiRequest::Poll(id),
+                false => ApiRequest::Submit(Box::new(spec.clone())),
             };
-            world.ask(id, ask);
+            world.send_request(id, ask);
         }
     }
     let open: Vec<_> = world
@@ -76,20 +77,23 @@
 }
 
 /// How many jobs ended as `status` by what their users were told.
-fn told(world: &World, status: JobStatus) -> usize {
+fn jobs_reported_as(world: &SimulatedCluster, status: JobStatus) -> usize {
     let all = world.jobs.values();
     all.filter(|(_, told)| told.last == Some(status)).count()
 }
 
 /// All that runs of a job, and where.
-fn of_job(world: &World, number: u64) -> BTreeMap<TaskId, (u64, usize)> {
+fn running_tasks_of_job(world: &SimulatedCluster, number: u64) -> BTreeMap<TaskId, (u64, usize)> {
     let mut running = world.running();
     running.retain(|task, _| task.job == JobId(number));
     running
 }
 
 /// Machines of a zone.
-fn in_zone<'a>(world: &'a mut World, zone: &'a str) -> impl Iterator<Item = &'a mut Worker> {
+fn workers_in_zone<'a>(
+    world: &'a mut SimulatedCluster,
+    zone: &'a str,
+) -> impl Iterator<Item = &'a mut Worker> {
     world.workers.iter_mut().filter(move |w| w.zone == zone)
 }
 
@@ -97,20 +101,20 @@
 /// accepted, ended, cancelled; some call their jobs off at once. No answer is older than one already given (`told`), also
 /// where the state service takes its time, loses answers or carries transactions out late, and where the leader ends.
 #[test]
-fn close_looks_are_told_nothing_older() {
-    for (number, seed) in SEEDS.into_iter().chain([1, 5]).enumerate() {
+fn reads_at_all_nodes_are_linearizable() {
+    for (number, seed) in HISTORY_SEEDS.into_iter().chain([1, 5]).enumerate() {
         for trouble in 0..4 {
-            let mut world = led(seed);
-            world.close_looks = FOR_GOOD;
+            let mut world = cluster_with_leader(seed);
+            world.consistency_checks_until = FOREVER_MS;
             let until = world.now + 40_000;
             match trouble {
-                1 => world.slow_store = until,
-                2 => world.lost_answers = until,
-                3 => world.late_writes = until,
+                1 => world.slow_state_service_until = until,
+                2 => world.lost_replies_until = until,
+                3 => world.delayed_writes_until = until,
                 _ => {}
             }
             for job in 1..=30u64 {
-                let mut spec = short(&mut world, job, 1 + job as u32 % 3, 1.5);
+                let mut spec = short_job(&mut world, job, 1 + job as u32 % 3, 1.5);
                 // A record under several keys, and one that awaits another.
                 if job % 10 == 3 {
                     spec.types = Some(
@@ -121,21 +125,21 @@
                     );
                 }
                 if job % 10 == 5 {
-                    spec.awaits = vec![JobId(job - 1)];
+                    spec.dependencies = vec![JobId(job - 1)];
                 }
                 world.submit(spec);
                 world.run_until(world.now + 300);
                 if job % 3 == 0 {
-                    world.ask(JobId(job), Ask::Cancel(JobId(job)));
+                    world.send_request(JobId(job), ApiRequest::Cancel(JobId(job)));
                 }
                 if job == 15 + number as u64 {
                     end_leader(&mut world, 50);
                 }
             }
-            all_end(&mut world, 120_000);
+            run_until_jobs_end(&mut world, 120_000);
             let (done, cancelled) = (
-                told(&world, JobStatus::Done),
-                told(&world, JobStatus::Cancelled),
+                jobs_reported_as(&world, JobStatus::Done),
+                jobs_reported_as(&world, JobStatus::Cancelled),
             );
             assert!(
                 done >= 5 && cancelled >= 5,
@@ -143,9 +147,9 @@
             );
             // Three nodes, two questions at nine moments after each of two news of thirty jobs.
             assert!(
-                world.looks > 1000,
+                world.answered_consistency_checks > 1000,
                 "seed {seed}, {trouble}: {} looks",
-                world.looks
+                world.answered_consistency_checks
             );
         }
     }
@@ -155,29 +159,29 @@
 /// closely at what it wrote; in the middle the leader ends. Nothing is told, started or given away on the belief that
 /// it failed, and all jobs end.
 #[test]
-fn what_was_carried_out_though_its_answer_was_lost_is_neither_undone_nor_done_twice() {
+fn writes_with_lost_replies_are_neither_undone_nor_repeated() {
     // Each kind of transaction that a node sends.
     let kinds = [
-        "Submit",
-        "Cancel",
-        "Acquire",
-        "Flush",
-        "Page",
-        "Fence",
-        "Sweep",
-        "Ends",
-        "Types",
-        "Images",
-        "Table",
-        "DeputyPut",
+        "PutJob",
+        "CancelJob",
+        "AcquireLeadership",
+        "AppendLog",
+        "WriteSnapshots",
+        "RaiseTerm",
+        "DeleteSnapshots",
+        "WriteOutcomes",
+        "WriteMachineTypes",
+        "WriteImages",
+        "WriteAdmissionQuotas",
+        "PutRenewerKey",
     ];
     for (number, kind) in kinds.into_iter().enumerate() {
-        let large = ["Page", "Sweep"].contains(&kind);
+        let large = ["WriteSnapshots", "DeleteSnapshots"].contains(&kind);
         // Small values make the log long enough for pages.
         let seed = if large { 8 } else { [0, 1, 8][number % 3] };
         let mut world = small_fleet(seed);
         logging();
-        world.lost_kind = Some(kind);
+        world.lost_reply_kind = Some(kind);
         world.run_until(12_000);
         if large {
             // More tasks than are told again, and more entries than the ring is to hold.
@@ -190,38 +194,38 @@
         }
         world.run_until(13_000);
         // The large one's user does not look, and so does not call it off.
-        world.close_looks = FOR_GOOD;
+        world.consistency_checks_until = FOREVER_MS;
         for job in 1..=40u64 {
-            let mut spec = short(&mut world, job, 1 + job as u32 % 2, 2.0);
+            let mut spec = short_job(&mut world, job, 1 + job as u32 % 2, 2.0);
             if job % 10 == 5 {
                 // What follows from a cancellation is stored by the leader.
-                spec.awaits = vec![JobId(job - 1)];
+                spec.dependencies = vec![JobId(job - 1)];
             }
             world.submit(spec);
             if job == 10 {
                 // Starts without an answer are settled behind a fence.
-                world.late_starts = 4000;
+                world.start_delay_ms = 4000;
             }
             if job == 14 {
-                world.late_starts = 0;
+                world.start_delay_ms = 0;
             }
-            if job == 20 && kind == "DeputyPut" {
+            if job == 20 && kind == "PutRenewerKey" {
                 // Nobody renews while no node can tell that it may.
-                world.lost_kind = None;
+                world.lost_reply_kind = None;
             }
             if job == 30 && large {
-                world.ask(JobId(200), Ask::Cancel(JobId(200)));
+                world.send_request(JobId(200), ApiRequest::Cancel(JobId(200)));
             }
             world.run_until(world.now + 300);
             if job % 4 == 0 {
-                world.ask(JobId(job), Ask::Cancel(JobId(job)));
+                world.send_request(JobId(job), ApiRequest::Cancel(JobId(job)));
             }
             if job == 25 {
                 end_leader(&mut world, 400);
             }
         }
         world.run_until(world.now + 40_000);
-        let lost = world.answers_lost.get(kind).copied().unwrap_or(0);
+        let lost = world.lost_replies_by_kind.get(kind).copied().unwrap_or(0);
         let rows = world
             .store
             .keys
@@ -230,39 +234,39 @@
         assert!(
             lost > 0,
             "{kind} did not lose an answer: {:?}, {} notes, {} starts",
-            world.answers_lost,
+            world.lost_replies_by_kind,
             rows.count(),
             world.starts
         );
-        world.lost_kind = None;
+        world.lost_reply_kind = None;
         if large {
-            world.ask(JobId(200), Ask::Cancel(JobId(200)));
+            world.send_request(JobId(200), ApiRequest::Cancel(JobId(200)));
         }
-        all_end(&mut world, 120_000);
-        let looks = world.looks;
+        run_until_jobs_end(&mut world, 120_000);
+        let looks = world.answered_consistency_checks;
         assert!(looks > 500, "{kind}: {looks} looks");
         // Nothing of what was called off is left, and nothing was started once more that had ended.
-        world.run_until(world.now + 2 * world.rhythm.lease + 20_000);
+        world.run_until(world.now + 2 * world.timings.lease_ttl_ms + 20_000);
         assert!(world.running().is_empty(), "{kind}: {:?}", world.running());
     }
 }
 
 /// How a zone's machines get out of reach.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Away {
+enum RemovalKind {
     Cut,
     Hung,
     Deaf,
     Mute,
 }
 
-fn take_away(world: &mut World, zone: &str, away: Away, until: u64) {
-    for worker in in_zone(world, zone) {
+fn isolate_zone(world: &mut SimulatedCluster, zone: &str, away: RemovalKind, until: u64) {
+    for worker in workers_in_zone(world, zone) {
         match away {
-            Away::Cut => worker.cut_until = until,
-            Away::Hung => worker.hung_until = until,
-            Away::Deaf => worker.deaf_until = until,
-            Away::Mute => worker.mute_until = until,
+            RemovalKind::Cut => worker.cut_until = until,
+            RemovalKind::Hung => worker.hung_until = until,
+            RemovalKind::Deaf => worker.drops_inbound_until = until,
+            RemovalKind::Mute => worker.drops_outbound_until = until,
         }
     }
 }
@@ -271,23 +275,32 @@
 /// nothing or reach nobody, for less than a lease and for longer; the leader ends in that spell. What they take of the
 /// limit is nobody's until they are surely gone (each start is checked), then it is used.
 #[test]
-fn what_is_called_off_out_of_reach_counts_for_its_team_until_it_is_surely_gone() {
-    for seed in SEEDS {
-        for away in [Away::Cut, Away::Hung, Away::Deaf, Away::Mute] {
+fn cancelled_tasks_on_unreachable_machines_hold_quota_until_lease_expiry() {
+    for seed in HISTORY_SEEDS {
+        for away in [
+            RemovalKind::Cut,
+            RemovalKind::Hung,
+            RemovalKind::Deaf,
+            RemovalKind::Mute,
+        ] {
             for long in [false, true] {
                 for ends_first in [false, true] {
-                    let mut world = led(seed);
-                    let Rhythm {
-                        lease,
-                        report,
-                        cancel,
-                    } = world.rhythm;
-                    let all = (LIMIT / 4.0) as u32;
-                    let spec = red(world.long_array(1, all));
+                    let mut world = cluster_with_leader(seed);
+                    let WorkerTimings {
+                        lease_ttl_ms: lease,
+                        report_interval_ms: report,
+                        cancellation_bound_ms: cancel,
+                    } = world.timings;
+                    let all = (TEAM_CPU_LIMIT / 4.0) as u32;
+                    let spec = for_team_red(world.long_array(1, all));
                     world.submit(spec);
                     world.run_until(15_000);
-                    assert_eq!(of_job(&world, 1).len(), all as usize, "seed {seed}");
-                    let zones: Vec<String> = of_job(&world, 1)
+                    assert_eq!(
+                        running_tasks_of_job(&world, 1).len(),
+                        all as usize,
+                        "seed {seed}"
+                    );
+                    let zones: Vec<String> = running_tasks_of_job(&world, 1)
                         .values()
                         .map(|(_, at)| world.workers[*at].zone.clone())
                         .collect();
@@ -299,13 +312,13 @@
                     } else {
                         15_000 + lease / 2
                     };
-                    take_away(&mut world, &zone, away, until);
+                    isolate_zone(&mut world, &zone, away, until);
                     world.run_until(15_500);
                     if ends_first {
                         end_leader(&mut world, 200);
                     }
                     for _ in 0..8 {
-                        world.ask(JobId(1), Ask::Cancel(JobId(1)));
+                        world.send_request(JobId(1), ApiRequest::Cancel(JobId(1)));
                         world.run_until(world.now + 1000);
                     }
                     assert!(
@@ -313,19 +326,22 @@
                         "{away:?}, seed {seed}"
                     );
                     // As many again: they want all of the limit.
-                    let spec = red(world.long_array(2, all));
+                    let spec = for_team_red(world.long_array(2, all));
                     world.submit(spec);
                     world.run_until(world.now + 300);
                     if !ends_first {
                         end_leader(&mut world, 200);
                     }
                     world.run_until(until + cancel + lease + 4 * report + 20_000);
-                    let running = of_job(&world, 2).len();
+                    let running = running_tasks_of_job(&world, 2).len();
                     assert_eq!(
                         running, all as usize,
                         "{away:?} {long} {ends_first}, seed {seed}"
                     );
-                    assert!(of_job(&world, 1).is_empty(), "{away:?}, seed {seed}");
+                    assert!(
+                        running_tasks_of_job(&world, 1).is_empty(),
+                        "{away:?}, seed {seed}"
+                    );
                 }
             }
         }
@@ -336,12 +352,16 @@
 /// up, until its successor has its books. Their tasks are gone in time, though direct stops are lost with the old leader, and
 /// well before their leases could have run out.
 #[test]
-fn what_is_called_off_while_the_lead_changes_hands_is_stopped_soon() {
-    for seed in SEEDS {
+fn cancellations_during_failover_stop_tasks_in_time() {
+    for seed in HISTORY_SEEDS {
         for how in 0..3 {
-            let mut world = led(seed);
-            world.slow_books = [0, 300, 900, 0][seed as usize % 4];
-            let Rhythm { report, cancel, .. } = world.rhythm;
+            let mut world = cluster_with_leader(seed);
+            world.recovery_read_delay_ms = [0, 300, 900, 0][seed as usize % 4];
+            let WorkerTimings {
+                report_interval_ms: report,
+                cancellation_bound_ms: cancel,
+                ..
+            } = world.timings;
             for job in 1..=40 {
                 let mut spec = world.long_array(job, 1);
                 spec.cpus = 1.0;
@@ -349,19 +369,19 @@
             }
             world.run_until(16_000);
             assert_eq!(world.running().len(), 40, "seed {seed}");
-            let old = leader(&world);
+            let old = leader_index(&world);
             let at = world.now + 400;
             let mut acted = false;
             for job in 1..=40 {
                 world.run_until(15_800 + job * 200);
-                world.ask(JobId(job), Ask::Cancel(JobId(job)));
+                world.send_request(JobId(job), ApiRequest::Cancel(JobId(job)));
                 if world.now >= at && !acted {
                     acted = true;
                     match how {
-                        0 => world.end(old, 300),
-                        1 => world.refused[old] = at + cancel + 10_000,
+                        0 => world.stop_process(old, 300),
+                        1 => world.state_service_refuses_until[old] = at + cancel + 10_000,
                         // Out of its workers' reach it resigns.
-                        _ => world.cut_workers[old] = at + cancel + 10_000,
+                        _ => world.worker_cut_until[old] = at + cancel + 10_000,
                     }
                 }
             }
@@ -369,12 +389,12 @@
                 world.run_until(world.now + 500);
                 for job in 1..=40 {
                     if world.jobs[&JobId(job)].1.cancelled_at.is_none() {
-                        world.ask(JobId(job), Ask::Cancel(JobId(job)));
+                        world.send_request(JobId(job), ApiRequest::Cancel(JobId(job)));
                     }
                 }
             }
             world.run_until(world.now + cancel);
-            let confirmed = told(&world, JobStatus::Cancelled);
+            let confirmed = jobs_reported_as(&world, JobStatus::Cancelled);
             assert_eq!(confirmed, 40, "seed {seed}, {how}");
             assert!(world.running().is_empty(), "seed {seed}, {how}");
             if how < 2 {
@@ -383,9 +403,9 @@
             // A takeover takes some 5 s, a cut leader's workers find another node within three tries.
             let soon = 2 * report + 20_000;
             assert!(
-                world.outlived < soon.min(cancel),
+                world.max_run_after_cancel_ms < soon.min(cancel),
                 "seed {seed}, {how}: {}",
-                world.outlived
+                world.max_run_after_cancel_ms
             );
         }
     }
@@ -395,16 +415,16 @@
 /// seconds later. The successor does not know the machines from notes or the list; what they may run is not
 /// started again, and all of it runs in the end.
 #[test]
-fn new_machines_with_work_are_taken_over_while_writes_lag() {
+fn successor_recovers_new_machines_despite_delayed_writes() {
     let mut unknown = 0;
-    for seed in SEEDS {
+    for seed in HISTORY_SEEDS {
         for step in 0..12u64 {
-            let mut world = World::new(seed);
+            let mut world = SimulatedCluster::new(seed);
             logging();
-            world.faults = false;
+            world.faults_enabled = false;
             world.run_until(8000);
             let before = world.workers.len();
-            world.late_writes = FOR_GOOD;
+            world.delayed_writes_until = FOREVER_MS;
             let mut spec = world.long_array(1, 8);
             spec.cpus = 16.0;
             world.submit(spec);
@@ -415,13 +435,13 @@
             assert!(world.workers.len() > before, "seed {seed}: none was rented");
             world.run_until(world.now + 25 + step * step * 60);
             end_leader(&mut world, 100);
-            let listed = |w: &Worker| w.born + 6000 <= world.now;
+            let listed = |w: &Worker| w.booted_at + 6000 <= world.now;
             unknown += world.workers[before..]
                 .iter()
                 .filter(|w| !listed(w))
                 .count();
-            world.late_writes = world.now + 30_000;
-            let patience = 4 * world.rhythm.lease + 60_000;
+            world.delayed_writes_until = world.now + 30_000;
+            let patience = 4 * world.timings.lease_ttl_ms + 60_000;
             world.run_until(world.now + patience);
             assert_eq!(world.running().len(), 8, "seed {seed}, {step}");
         }
@@ -436,52 +456,56 @@
 /// every node as a new leader begins, while it makes its books, and after it has acted. What runs runs on, nothing is started
 /// beside it, and a machine that is gone gets no work for longer than a lease.
 #[test]
-fn old_reports_for_a_new_leader_change_nothing() {
-    for seed in SEEDS {
+fn stale_heartbeats_do_not_affect_a_new_leader() {
+    for seed in HISTORY_SEEDS {
         for again in [false, true] {
-            let mut world = led(seed);
-            let Rhythm { lease, report, .. } = world.rhythm;
-            world.keep_reports = FOR_GOOD;
+            let mut world = cluster_with_leader(seed);
+            let WorkerTimings {
+                lease_ttl_ms: lease,
+                report_interval_ms: report,
+                ..
+            } = world.timings;
+            world.retain_reports_until = FOREVER_MS;
             // One job runs on, one is called off, one ends; a machine loses its session, another is deleted.
             let spec = world.long_array(1, 10);
             world.submit(spec);
-            let spec = red(world.long_array(2, 4));
+            let spec = for_team_red(world.long_array(2, 4));
             world.submit(spec);
-            let spec = short(&mut world, 3, 4, 3.0);
+            let spec = short_job(&mut world, 3, 4, 3.0);
             world.submit(spec);
             world.run_until(16_000);
-            world.ask(JobId(2), Ask::Cancel(JobId(2)));
+            world.send_request(JobId(2), ApiRequest::Cancel(JobId(2)));
             world.workers[0].cut_until = world.now + lease + 2000;
             world.workers[1].gone = true;
-            world.workers[1].gone_at = world.now;
+            world.workers[1].deleted_at = world.now;
             world.workers[1].tasks.clear();
             world.run_until(16_000 + 3 * lease + 4 * report);
             assert!(
-                world.workers[0].session > 1,
+                world.workers[0].incarnation > 1,
                 "seed {seed}: an earlier session"
             );
-            let before = of_job(&world, 1);
+            let before = running_tasks_of_job(&world, 1);
             assert_eq!(before.len(), 10, "seed {seed}");
-            assert!(of_job(&world, 2).is_empty(), "seed {seed}");
-            let kept: BTreeSet<usize> = world.kept_reports.iter().map(|(at, _)| *at).collect();
+            assert!(running_tasks_of_job(&world, 2).is_empty(), "seed {seed}");
+            let kept: BTreeSet<usize> = world.retained_reports.iter().map(|(at, _)| *at).collect();
             assert!(
                 kept.contains(&0) && kept.contains(&1),
                 "seed {seed}: {kept:?}"
             );
             end_leader(&mut world, if again { 50 } else { 5000 });
             let ended = world.now;
-            let spec = red(world.long_array(4, 6));
+            let spec = for_team_red(world.long_array(4, 6));
             world.submit(spec);
             world.run_until(ended + 3 * lease);
             if world.jobs[&JobId(4)].1.accepted_at.is_none() {
                 let spec = world.jobs[&JobId(4)].0.clone();
-                world.ask(JobId(4), Ask::Submit(Box::new(spec)));
+                world.send_request(JobId(4), ApiRequest::Submit(Box::new(spec)));
             }
-            assert!(world.reports_kept > 0, "seed {seed}: no report was old");
+            assert!(world.replayed_reports > 0, "seed {seed}: no report was old");
             world.run_until(ended + 5 * lease + 4 * report);
-            let after = of_job(&world, 1);
+            let after = running_tasks_of_job(&world, 1);
             assert_eq!(after, before, "seed {seed}: what ran runs on");
-            assert_eq!(of_job(&world, 4).len(), 6, "seed {seed}");
+            assert_eq!(running_tasks_of_job(&world, 4).len(), 6, "seed {seed}");
         }
     }
 }
@@ -489,20 +513,23 @@
 /// Jobs of one task come four a second for four minutes, and a quarter of them is called off, some as they end. Every
 /// one ends as its user was told, nobody waits while there is room, and it costs the state service few writes a job.
 #[test]
-fn four_jobs_of_one_task_a_second_for_minutes_with_a_quarter_called_off() {
-    let mut world = led(0);
-    let Rhythm { report, .. } = world.rhythm;
+fn sustained_single_task_jobs_with_cancellations_end_within_write_budget() {
+    let mut world = cluster_with_leader(0);
+    let WorkerTimings {
+        report_interval_ms: report,
+        ..
+    } = world.timings;
     let (start, writes) = (world.now, world.writes);
     let mut late = 0;
     for job in 1..=960u64 {
-        let mut spec = short(&mut world, job, 1, 2.0 + (job % 7) as f64 * 3.0);
+        let mut spec = short_job(&mut world, job, 1, 2.0 + (job % 7) as f64 * 3.0);
         spec.cpus = 0.5;
         world.submit(spec);
         world.run_until(start + job * 250);
         if job % 4 == 0 && job > 8 {
             // Right after it was accepted, as it runs, and about when it ends.
             let whom = JobId(job - [0, 1, 4, 8][(job / 4 % 4) as usize]);
-            world.ask(whom, Ask::Cancel(whom));
+            world.send_request(whom, ApiRequest::Cancel(whom));
         }
         if job % 40 == 0 {
             let queued = world.jobs.iter().filter(|(id, (_, told))| {
@@ -511,15 +538,15 @@
                     index: 0,
                 };
                 let old = told.accepted_at.is_some_and(|at| at + 20_000 < world.now);
-                old && !told.asked_to_cancel && !world.starts_of.contains_key(&task)
+                old && !told.asked_to_cancel && !world.starts_by_task.contains_key(&task)
             });
             late += queued.count();
         }
     }
-    all_end(&mut world, 60_000);
+    run_until_jobs_end(&mut world, 60_000);
     let (done, cancelled) = (
-        told(&world, JobStatus::Done),
-        told(&world, JobStatus::Cancelled),
+        jobs_reported_as(&world, JobStatus::Done),
+        jobs_reported_as(&world, JobStatus::Cancelled),
     );
     assert!(
         done >= 700 && cancelled >= 150,
@@ -537,22 +564,26 @@
 /// elsewhere then and not before (each start is checked), nothing is placed there meanwhile again and again, and they are
 /// used again once they report.
 #[test]
-fn machines_that_reach_nobody_get_no_work_though_commands_reach_them() {
-    for seed in SEEDS {
-        let mut world = led(seed);
-        let Rhythm { lease, report, .. } = world.rhythm;
+fn machines_without_heartbeats_get_no_work_despite_reachable_commands() {
+    for seed in HISTORY_SEEDS {
+        let mut world = cluster_with_leader(seed);
+        let WorkerTimings {
+            lease_ttl_ms: lease,
+            report_interval_ms: report,
+            ..
+        } = world.timings;
         let mut spec = world.long_array(1, 8);
         spec.cpus = 16.0;
         world.submit(spec);
         world.run_until(14_000);
         assert_eq!(world.running().len(), 8, "seed {seed}");
         let until = 14_000 + 6 * lease;
-        for worker in in_zone(&mut world, "a") {
-            worker.mute_until = until;
+        for worker in workers_in_zone(&mut world, "a") {
+            worker.drops_outbound_until = until;
         }
         let starts = world.starts;
         world.run_until(until);
-        assert!(world.muted > 10, "seed {seed}");
+        assert!(world.undelivered_reports > 10, "seed {seed}");
         let running = world.running();
         // The cloud has two more machines.
         assert!(running.len() >= 4, "seed {seed}: {}", running.len());
@@ -569,17 +600,21 @@
 /// Jobs that are bound to a zone, an array among them, and one whose tasks must be together, lose that zone's machines. What they
 /// ran starts in that zone again, and nowhere else.
 #[test]
-fn jobs_bound_to_a_zone_that_lose_their_machines_stay_in_it() {
-    for seed in SEEDS {
+fn zone_bound_jobs_restart_in_their_zone_after_machine_loss() {
+    for seed in HISTORY_SEEDS {
         for end in [false, true] {
-            let mut world = led(seed);
-            let Rhythm { lease, report, .. } = world.rhythm;
+            let mut world = cluster_with_leader(seed);
+            let WorkerTimings {
+                lease_ttl_ms: lease,
+                report_interval_ms: report,
+                ..
+            } = world.timings;
             let mut array = world.long_array(1, 6);
             array.zone = Some("a".into());
             let mut together = world.long_array(2, 4);
             together.one_zone = true;
             let service = Submission {
-                kind: Kind::Service,
+                kind: JobKind::Service,
                 priority: Priority::Production,
                 zone: Some("a".into()),
                 spot: false,
@@ -592,10 +627,10 @@
             assert_eq!(world.running().len(), 13, "seed {seed}");
             let now = world.now;
             let mut lost = 0;
-            for worker in in_zone(&mut world, "a") {
+            for worker in workers_in_zone(&mut world, "a") {
                 lost += worker.tasks.len();
                 worker.gone = true;
-                worker.gone_at = now;
+                worker.deleted_at = now;
                 worker.tasks.clear();
             }
             assert!(lost >= 9, "seed {seed}: {lost} lost");
@@ -618,11 +653,15 @@
 /// The lead changes ten times in two minutes, also while the state service is down for all. What runs runs on, terms never
 /// fall, and users are answered after each.
 #[test]
-fn what_runs_outlives_ten_changes_of_leader_in_two_minutes() {
-    for seed in SEEDS {
+fn running_tasks_survive_ten_failovers() {
+    for seed in HISTORY_SEEDS {
         for dark in [false, true] {
-            let mut world = led(seed);
-            let Rhythm { lease, cancel, .. } = world.rhythm;
+            let mut world = cluster_with_leader(seed);
+            let WorkerTimings {
+                lease_ttl_ms: lease,
+                cancellation_bound_ms: cancel,
+                ..
+            } = world.timings;
             let spec = world.long_array(1, 20);
             world.submit(spec);
             world.run_until(15_000);
@@ -634,17 +673,17 @@
                 world.run_until(at);
                 if dark && change % 4 == 1 {
                     let room = (cancel - lease) / 2;
-                    world.outage(at + room.min(9000));
+                    world.start_state_service_outage(at + room.min(9000));
                 }
-                let old = leader(&world);
+                let old = leader_index(&world);
                 match change % 3 {
-                    0 => world.end(old, 100),
-                    1 => world.end(old, 5000),
-                    _ => world.refused[old] = at + 8000,
+                    0 => world.stop_process(old, 100),
+                    1 => world.stop_process(old, 5000),
+                    _ => world.state_service_refuses_until[old] = at + 8000,
                 }
                 world.run_until(at + 11_900);
                 terms.push(world.leadership().1);
-                world.ask(JobId(1), Ask::Poll(JobId(1)));
+                world.send_request(JobId(1), ApiRequest::Poll(JobId(1)));
                 world.run_until(at + 12_000);
             }
             assert!(terms.is_sorted(), "seed {seed}: {terms:?}");
@@ -661,20 +700,20 @@
 /// Cancellations, questions and repeated submissions at all nodes meet the end of a job's last task: as it ends, as its worker reports
 /// that, as the end is stored and told. Either the end or the cancellation stands, for everybody.
 #[test]
-fn a_cancellation_that_meets_the_end_of_the_last_task_is_decided_once() {
+fn cancellation_racing_with_completion_has_one_outcome() {
     let (mut done, mut cancelled) = (0, 0);
-    for seed in SEEDS {
-        let mut world = led(seed);
-        world.cancel_at_end = FOR_GOOD;
-        world.close_looks = FOR_GOOD;
+    for seed in HISTORY_SEEDS {
+        let mut world = cluster_with_leader(seed);
+        world.cancel_at_completion_until = FOREVER_MS;
+        world.consistency_checks_until = FOREVER_MS;
         for job in 1..=60u64 {
-            let spec = short(&mut world, job, 1 + job as u32 % 3, 1.0);
+            let spec = short_job(&mut world, job, 1 + job as u32 % 3, 1.0);
             world.submit(spec);
             world.run_until(world.now + 300);
         }
-        all_end(&mut world, 60_000);
-        done += told(&world, JobStatus::Done);
-        cancelled += told(&world, JobStatus::Cancelled);
+        run_until_jobs_end(&mut world, 60_000);
+        done += jobs_reported_as(&world, JobStatus::Done);
+        cancelled += jobs_reported_as(&world, JobStatus::Cancelled);
     }
     assert!(
         done > 20 && cancelled > 20,
@@ -685,11 +724,15 @@
 /// Machines hang, for less than their lease, while jobs that run there are called off; the state service is then down for longer than
 /// a cancellation may take, or the leader ends. What goes on when the machine does is stopped in time.
 #[test]
-fn what_is_called_off_does_not_go_on_with_a_machine_that_hung() {
-    for seed in SEEDS {
+fn cancelled_tasks_stop_after_a_hung_machine_resumes() {
+    for seed in HISTORY_SEEDS {
         for what in 0..4 {
-            let mut world = led(seed);
-            let Rhythm { lease, cancel, .. } = world.rhythm;
+            let mut world = cluster_with_leader(seed);
+            let WorkerTimings {
+                lease_ttl_ms: lease,
+                cancellation_bound_ms: cancel,
+                ..
+            } = world.timings;
             for job in 1..=20 {
                 let mut spec = world.long_array(job, 1);
                 spec.cpus = 1.0;
@@ -697,7 +740,7 @@
             }
             world.run_until(15_000);
             assert_eq!(world.running().len(), 20, "seed {seed}");
-            let old = leader(&world);
+            let old = leader_index(&world);
             let used: BTreeSet<usize> = world.running().values().map(|(_, at)| *at).collect();
             for &at in &used {
                 // Within a lease, at its very end, and beyond.
@@ -705,16 +748,16 @@
                 world.workers[at].hung_until = 15_000 + length;
             }
             if what % 2 == 1 {
-                world.refused[old] = FOR_GOOD;
+                world.state_service_refuses_until[old] = FOREVER_MS;
             }
             for job in 1..=20 {
                 world.run_until(15_000 + job * 10);
                 let node = if what % 2 == 1 {
-                    (old + 1) % NODES
+                    (old + 1) % NODE_COUNT
                 } else {
-                    job as usize % NODES
+                    job as usize % NODE_COUNT
                 };
-                world.ask_at(node, JobId(job), Ask::Cancel(JobId(job)));
+                world.send_request_to(node, JobId(job), ApiRequest::Cancel(JobId(job)));
             }
             world.run_until(16_000);
             let waiting = |(task, (_, at)): (&TaskId, &(u64, usize))| {
@@ -727,12 +770,12 @@
                 "seed {seed}, {what}: {waiting} on machines that hang"
             );
             match what {
-                0 => world.end(old, 200),
-                1 | 2 => world.outage(16_000 + cancel + 12_000),
+                0 => world.stop_process(old, 200),
+                1 | 2 => world.start_state_service_outage(16_000 + cancel + 12_000),
                 _ => {}
             }
             world.run_until(16_000 + 2 * cancel + 20_000);
-            let confirmed = told(&world, JobStatus::Cancelled);
+            let confirmed = jobs_reported_as(&world, JobStatus::Cancelled);
             assert!(
                 confirmed >= 15,
                 "seed {seed}, {what}: {confirmed} confirmed"
@@ -745,36 +788,35 @@
 }
 
 /// Whether a start is on its way to a worker.
-fn starts_under_way(world: &World) -> bool {
-    let start =
-        |what: &What| matches!(what, What::ToWorker(.., packet) if !packet.0.starts.is_empty());
+fn has_starts_in_flight(world: &SimulatedCluster) -> bool {
+    let start = |what: &SimulationEvent| matches!(what, SimulationEvent::DeliverOrders(.., packet) if !packet.0.starts.is_empty());
     world.events.values().any(start)
 }
 
 /// Starts and stops, and the answers to reports, wait for seconds in machines that stand still, and are carried out as they go on: after
 /// the job was called off, after another leader began.
 #[test]
-fn commands_that_waited_in_a_machine_that_hung_break_nothing() {
-    for seed in SEEDS {
+fn delayed_orders_of_a_hung_machine_keep_invariants() {
+    for seed in HISTORY_SEEDS {
         for end in [false, true] {
-            let mut world = led(seed);
-            let Rhythm {
-                lease,
-                cancel,
-                report,
-            } = world.rhythm;
-            let all = (LIMIT / 4.0) as u32;
+            let mut world = cluster_with_leader(seed);
+            let WorkerTimings {
+                lease_ttl_ms: lease,
+                cancellation_bound_ms: cancel,
+                report_interval_ms: report,
+            } = world.timings;
+            let all = (TEAM_CPU_LIMIT / 4.0) as u32;
             for round in 0..6u64 {
                 let at = world.now;
-                let spec = red(world.long_array(2 * round + 1, all));
-                world.late_starts = 400;
+                let spec = for_team_red(world.long_array(2 * round + 1, all));
+                world.start_delay_ms = 400;
                 world.submit(spec);
                 // Placed and stored, the starts are on their way.
-                while !starts_under_way(&world) && world.now < at + 3000 {
+                while !has_starts_in_flight(&world) && world.now < at + 3000 {
                     world.run_until(world.now + 25);
                 }
                 world.run_until(world.now + round * 25);
-                world.late_starts = 0;
+                world.start_delay_ms = 0;
                 let now = world.now;
                 for worker in world.workers.iter_mut().filter(|w| !w.gone) {
                     worker.hung_until = now + 1000 + round * 1500 % (lease - 1500);
@@ -786,26 +828,26 @@
                 let id = JobId(2 * round + 1);
                 for _ in 0..6 {
                     world.run_until(world.now + 700);
-                    world.ask(id, Ask::Cancel(id));
+                    world.send_request(id, ApiRequest::Cancel(id));
                 }
                 assert!(world.jobs[&id].1.cancelled_at.is_some(), "seed {seed}");
-                let spec = red(world.long_array(2 * round + 2, all));
+                let spec = for_team_red(world.long_array(2 * round + 2, all));
                 world.submit(spec);
                 world.run_until(world.now + lease + cancel + 4 * report);
                 assert_eq!(
-                    of_job(&world, 2 * round + 2).len(),
+                    running_tasks_of_job(&world, 2 * round + 2).len(),
                     all as usize,
                     "seed {seed}, {round}"
                 );
                 let id = JobId(2 * round + 2);
-                world.ask(id, Ask::Cancel(id));
+                world.send_request(id, ApiRequest::Cancel(id));
                 world.run_until(world.now + 2 * report + 5000);
             }
             // One a round at the least.
             assert!(
-                world.held_up >= 6,
+                world.messages_held_by_hung_workers >= 6,
                 "seed {seed}: {} messages waited",
-                world.held_up
+                world.messages_held_by_hung_workers
             );
         }
     }
@@ -814,12 +856,12 @@
 /// Jobs of two and three tasks whose ends lie far apart, with changes of leader and the ring going round in between. A task
 /// that has ended is not run again, and none is lost.
 #[test]
-fn tasks_that_end_far_apart_are_each_run_once() {
-    for seed in SEEDS {
-        let mut world = led(seed);
+fn tasks_ending_far_apart_run_exactly_once() {
+    for seed in HISTORY_SEEDS {
+        let mut world = cluster_with_leader(seed);
         let mut jobs = Vec::new();
         for job in 1..=6u64 {
-            let spec = short(&mut world, job, 2 + job as u32 % 2, 400.0);
+            let spec = short_job(&mut world, job, 2 + job as u32 % 2, 400.0);
             world.submit(spec);
             jobs.push(JobId(job));
         }
@@ -834,14 +876,14 @@
                 for (task, on) in &mut worker.tasks {
                     let early = task.index as u64 == change % 2 && task.job.0 % 2 == change / 2;
                     if jobs.contains(&task.job) && early && on.state == TaskState::Running {
-                        on.until = now;
+                        on.ends_at = now;
                     }
                 }
             }
             world.run_until(now + 2000);
             for _ in 0..300 {
                 number += 1;
-                let spec = short(&mut world, number, 1, 0.2);
+                let spec = short_job(&mut world, number, 1, 0.2);
                 world.submit(spec);
                 world.run_until(world.now + 40);
             }
@@ -861,12 +903,12 @@
                 .values_mut()
                 .filter(|on| on.state == TaskState::Running)
             {
-                on.until = now;
+                on.ends_at = now;
             }
         }
-        all_end(&mut world, 60_000);
+        run_until_jobs_end(&mut world, 60_000);
         let again: Vec<_> = world
-            .starts_of
+            .starts_by_task
             .iter()
             .filter(|(_, starts)| **starts > 1)
             .collect();
@@ -877,18 +919,22 @@
 /// A zone with workers and a node in it is cut off for longer than a lease, as jobs that run there are called off outside.
 /// The node inside keeps workers alive for as long as it may: what was called off is gone in time all the same.
 #[test]
-fn what_is_called_off_outside_a_cut_zone_is_gone_in_time_inside() {
-    for seed in SEEDS {
+fn cancellation_takes_effect_inside_a_partitioned_zone() {
+    for seed in HISTORY_SEEDS {
         for leads in [false, true] {
-            let mut world = led(seed);
-            let Rhythm { cancel, lease, .. } = world.rhythm;
+            let mut world = cluster_with_leader(seed);
+            let WorkerTimings {
+                cancellation_bound_ms: cancel,
+                lease_ttl_ms: lease,
+                ..
+            } = world.timings;
             for job in 1..=24 {
                 let mut spec = world.long_array(job, 1);
                 spec.cpus = 4.0;
                 world.submit(spec);
             }
             world.run_until(15_000);
-            let inside = |world: &World| {
+            let inside = |world: &SimulatedCluster| {
                 let running = world.running();
                 running
                     .values()
@@ -897,14 +943,14 @@
             };
             let all = inside(&world);
             assert!(all > 0 && world.running().len() == 24, "seed {seed}");
-            let old = leader(&world);
-            let node = if leads { old } else { (old + 1) % NODES };
+            let old = leader_index(&world);
+            let node = if leads { old } else { (old + 1) % NODE_COUNT };
             let until = 15_000 + 2 * cancel + lease;
             world.cut_zone(node, "a", until);
-            let outside = (node + 1) % NODES;
+            let outside = (node + 1) % NODE_COUNT;
             for job in 1..=24 {
                 world.run_until(15_000 + job * 200);
-                world.ask_at(outside, JobId(job), Ask::Cancel(JobId(job)));
+                world.send_request_to(outside, JobId(job), ApiRequest::Cancel(JobId(job)));
             }
             world.run_until(15_000 + lease);
             assert!(
@@ -912,7 +958,11 @@
                 "seed {seed}: the node inside kept nothing alive"
             );
             world.run_until(until + 2 * lease);
-            assert_eq!(told(&world, JobStatus::Cancelled), 24, "seed {seed}");
+            assert_eq!(
+                jobs_reported_as(&world, JobStatus::Cancelled),
+                24,
+                "seed {seed}"
+            );
             assert!(world.running().is_empty(), "seed {seed}");
         }
     }
@@ -921,29 +971,40 @@
 /// All controllers are away for longer than a lease, as jobs run and some had just been called off, and one comes back alone, also a
 /// moment before the others. Nothing runs twice, what was called off never starts, and all else runs again.
 #[test]
-fn all_controllers_away_for_longer_than_a_lease() {
-    for seed in SEEDS {
+fn outage_of_all_controllers_beyond_lease_keeps_invariants() {
+    for seed in HISTORY_SEEDS {
         for gap in [0, 400, 5000] {
-            let mut world = led(seed);
-            let Rhythm { lease, report, .. } = world.rhythm;
+            let mut world = cluster_with_leader(seed);
+            let WorkerTimings {
+                lease_ttl_ms: lease,
+                report_interval_ms: report,
+                ..
+            } = world.timings;
             let spec = world.long_array(1, 20);
             world.submit(spec);
-            let spec = red(world.long_array(2, 6));
+            let spec = for_team_red(world.long_array(2, 6));
             world.submit(spec);
             world.run_until(15_000);
             assert_eq!(world.running().len(), 26, "seed {seed}");
-            world.ask(JobId(2), Ask::Cancel(JobId(2)));
+            world.send_request(JobId(2), ApiRequest::Cancel(JobId(2)));
             world.run_until(15_040);
             let away = lease + 3000;
-            for node in 0..NODES {
-                world.end(node, away + node as u64 * gap);
+            for node in 0..NODE_COUNT {
+                world.stop_process(node, away + node as u64 * gap);
             }
             world.run_until(15_000 + away);
             assert!(world.running().is_empty(), "seed {seed}: leases ran out");
             world.run_until(15_000 + away + 3 * gap + lease + 4 * report + 30_000);
-            assert_eq!(of_job(&world, 1).len(), 20, "seed {seed}, {gap}");
+            assert_eq!(
+                running_tasks_of_job(&world, 1).len(),
+                20,
+                "seed {seed}, {gap}"
+            );
             if world.jobs[&JobId(2)].1.cancelled_at.is_some() {
-                assert!(of_job(&world, 2).is_empty(), "seed {seed}, {gap}");
+                assert!(
+                    running_tasks_of_job(&world, 2).is_empty(),
+                    "seed {seed}, {gap}"
+                );
             }
         }
     }
@@ -953,12 +1014,12 @@
 /// are let in within seconds: none of them is told to wait for a turn that was worked out by what a node without
 /// news may take. With turns of up to 30 s, users sat out the ten seconds between two outages and gave up.
 #[test]
-fn users_who_come_while_the_state_service_is_down_are_let_in_soon_after() {
-    for seed in SEEDS {
-        let mut world = led(seed);
+fn submissions_during_state_service_outage_are_admitted_after_recovery() {
+    for seed in HISTORY_SEEDS {
+        let mut world = cluster_with_leader(seed);
         let mut first = HashMap::new();
         let down = 70_000;
-        world.outage(world.now + down);
+        world.start_state_service_outage(world.now + down);
         let (start, back) = (world.now, world.now + down);
         let mut number = 0;
         while world.now < back + 12_000 {
@@ -966,8 +1027,10 @@
                 if world.now < back {
                     number += 1;
                     first.insert(JobId(number), world.now);
-                    let spec = short(&mut world, number, 1, 2.0);
-                    world.jobs.insert(JobId(number), (spec, Told::default()));
+                    let spec = short_job(&mut world, number, 1, 2.0);
+                    world
+                        .jobs
+                        .insert(JobId(number), (spec, UserView::default()));
                 }
             }
             for (id, came) in first
@@ -975,11 +1038,11 @@
                 .map(|(id, came)| (*id, *came))
                 .collect::<BTreeMap<_, _>>()
             {
-                let away = world.away.get(&id).is_some_and(|at| *at > world.now);
+                let away = world.retry_at.get(&id).is_some_and(|at| *at > world.now);
                 let (spec, told) = &world.jobs[&id];
                 if !told.accepted && !away && came + 60_000 > world.now {
                     let spec = Box::new(spec.clone());
-                    world.ask(id, Ask::Submit(spec));
+                    world.send_request(id, ApiRequest::Submit(spec));
                 }
             }
             world.run_until(world.now + 1000);
@@ -1006,7 +1069,7 @@
 
 /// Jobs that can never run, of a kind drawn by chance: unknown team, type or zone, too large for any machine in one way or
 /// another, a service beyond its team's limit, one that awaits what nobody submitted.
-fn never_runs(world: &mut World, number: u64) -> Submission {
+fn unschedulable_job(world: &mut SimulatedCluster, number: u64) -> Submission {
     let spec = world.long_array(number, 2);
     match world.rng.random_range(0..9) {
         0 => Submission {
@@ -1032,12 +1095,12 @@
         },
         6 => Submission { gpus: 1.0, ..spec },
         7 => Submission {
-            kind: Kind::Service,
+            kind: JobKind::Service,
             tasks: 7,
-            ..red(spec)
+            ..for_team_red(spec)
         },
         _ => Submission {
-            awaits: vec![JobId(999_999)],
+            dependencies: vec![JobId(999_999)],
             ..spec
         },
     }
@@ -1047,57 +1110,77 @@
 /// run, submissions of known jobs again with the same and with another body, cancellations of what is done or cancelled, and
 /// whatever is asked of jobs that nobody submitted. Each is answered as the protocol says, and none leaves a trace.
 #[test]
-fn odd_requests_are_answered_as_the_protocol_says_in_any_trouble() {
+fn malformed_requests_get_protocol_responses_under_faults() {
     for seed in [0, 8, 10] {
         for trouble in 0..3 {
-            let mut world = led(seed);
+            let mut world = cluster_with_leader(seed);
             let spec = world.long_array(1, 2);
             world.submit(spec);
-            let spec = short(&mut world, 2, 1, 1.0);
+            let spec = short_job(&mut world, 2, 1, 1.0);
             world.submit(spec);
             let spec = world.long_array(3, 2);
             world.submit(spec);
             world.run_until(14_000);
-            world.ask(JobId(3), Ask::Cancel(JobId(3)));
-            world.ask(JobId(2), Ask::Poll(JobId(2)));
+            world.send_request(JobId(3), ApiRequest::Cancel(JobId(3)));
+            world.send_request(JobId(2), ApiRequest::Poll(JobId(2)));
             world.run_until(15_000);
             assert_eq!(
                 world.jobs[&JobId(2)].1.last,
                 Some(JobStatus::Done),
                 "seed {seed}"
             );
-            let refused = (leader(&world) + 1) % NODES;
-            world.refused[refused] = FOR_GOOD;
+            let refused = (leader_index(&world) + 1) % NODE_COUNT;
+            world.state_service_refuses_until[refused] = FOREVER_MS;
             match trouble {
-                1 => world.lost_answers = FOR_GOOD,
-                2 => world.late_writes = FOR_GOOD,
+                1 => world.lost_replies_until = FOREVER_MS,
+                2 => world.delayed_writes_until = FOREVER_MS,
                 _ => {}
             }
             for number in 1000..1060 {
-                for node in 0..NODES {
-                    let odd = never_runs(&mut world, number);
-                    world.ask_odd(node, Ask::Submit(Box::new(odd)), &[422, 503]);
+                for node in 0..NODE_COUNT {
+                    let odd = unschedulable_job(&mut world, number);
+                    world.send_malformed_request(
+                        node,
+                        ApiRequest::Submit(Box::new(odd)),
+                        &[422, 503],
+                    );
                     let id = JobId(1 + number % 3);
                     let mut again = world.jobs[&id].0.clone();
                     if number % 2 == 0 {
                         again = Submission {
                             id,
-                            ..never_runs(&mut world, number)
+                            ..unschedulable_job(&mut world, number)
                         };
                     }
-                    world.ask_odd(node, Ask::Submit(Box::new(again)), &[200, 503]);
+                    world.send_malformed_request(
+                        node,
+                        ApiRequest::Submit(Box::new(again)),
+                        &[200, 503],
+                    );
                     let ended = JobId(2 + number % 2);
-                    world.ask_odd(node, Ask::Cancel(ended), &[200]);
-                    world.ask_odd(node, Ask::Poll(ended), &[200]);
-                    world.ask_odd(node, Ask::Cancel(JobId(number)), &[404, 503]);
-                    world.ask_odd(node, Ask::Poll(JobId(number)), &[404, 503]);
+                    world.send_malformed_request(node, ApiRequest::Cancel(ended), &[200]);
+                    world.send_malformed_request(node, ApiRequest::Poll(ended), &[200]);
+                    world.send_malformed_request(
+                        node,
+                        ApiRequest::Cancel(JobId(number)),
+                        &[404, 503],
+                    );
+                    world.send_malformed_request(
+                        node,
+                        ApiRequest::Poll(JobId(number)),
+                        &[404, 503],
+                    );
                 }
                 world.run_until(world.now + 300);
             }
             world.run_until(world.now + 5000);
-            for node in 0..NODES {
+            for node in 0..NODE_COUNT {
                 for status in [200, 404, 422] {
-                    let answered = world.odd.get(&(node, status)).copied().unwrap_or(0);
+                    let answered = world
+                        .malformed_responses
+                        .get(&(node, status))
+                        .copied()
+                        .unwrap_or(0);
                     assert!(
                         answered >= 30,
                         "seed {seed}, {trouble}: {status} at {node}: {answered}"
@@ -1106,9 +1189,9 @@
             }
             assert!(
                 !world
-                    .asks
+                    .pending_requests
                     .values()
-                    .any(|asked| matches!(asked, Asked::Odd(_))),
+                    .any(|asked| matches!(asked, PendingRequest::Malformed(_))),
                 "all are answered"
             );
             let traces = world
@@ -1124,10 +1207,13 @@
 /// A machine that is gone is brought to life for a new leader by an old report, just as work comes that fits nowhere else. A
 /// leader that took the report's word had the work wait there for a whole lease.
 #[test]
-fn a_machine_that_only_an_old_report_tells_of_gets_no_work() {
-    for seed in SEEDS {
-        let mut world = led(seed);
-        let Rhythm { lease, .. } = world.rhythm;
+fn machine_known_only_from_stale_heartbeat_gets_no_work() {
+    for seed in HISTORY_SEEDS {
+        let mut world = cluster_with_leader(seed);
+        let WorkerTimings {
+            lease_ttl_ms: lease,
+            ..
+        } = world.timings;
         let mut spec = world.long_array(1, 7);
         spec.cpus = 16.0;
         world.submit(spec);
@@ -1135,26 +1221,32 @@
         let used: BTreeSet<usize> = world.running().values().map(|(_, at)| *at).collect();
         let idle = (0..8).find(|at| !used.contains(at)).expect("one is idle");
         // It reports until it goes, and the one who led has no time to tell anybody.
-        world.keep_reports = FOR_GOOD;
-        world.run_until(14_000 + 2 * world.rhythm.report);
-        world.kept_reports.retain(|(at, _)| *at == idle);
-        assert!(!world.kept_reports.is_empty(), "seed {seed}");
-        let report = world.kept_reports.pop().expect("the last one");
-        world.kept_reports = vec![report];
-        world.keep_reports = 0;
+        world.retain_reports_until = FOREVER_MS;
+        world.run_until(14_000 + 2 * world.timings.report_interval_ms);
+        world.retained_reports.retain(|(at, _)| *at == idle);
+        assert!(!world.retained_reports.is_empty(), "seed {seed}");
+        let report = world.retained_reports.pop().expect("the last one");
+        world.retained_reports = vec![report];
+        world.retain_reports_until = 0;
         let now = world.now;
         let gone = &mut world.workers[idle];
-        (gone.gone, gone.gone_at) = (true, now);
+        (gone.gone, gone.deleted_at) = (true, now);
         let old = end_leader(&mut world, 300);
         let mut spec = world.long_array(2, 1);
         spec.cpus = 16.0;
-        world.jobs.insert(JobId(2), (spec.clone(), Told::default()));
-        world.ask_at((old + 1) % NODES, JobId(2), Ask::Submit(Box::new(spec)));
+        world
+            .jobs
+            .insert(JobId(2), (spec.clone(), UserView::default()));
+        world.send_request_to(
+            (old + 1) % NODE_COUNT,
+            JobId(2),
+            ApiRequest::Submit(Box::new(spec)),
+        );
         world.run_until(now + 3000);
-        while of_job(&world, 2).is_empty() && world.now < now + 4 * lease {
+        while running_tasks_of_job(&world, 2).is_empty() && world.now < now + 4 * lease {
             world.run_until(world.now + 100);
         }
-        assert!(world.reports_kept > 0, "seed {seed}: no old report");
+        assert!(world.replayed_reports > 0, "seed {seed}: no old report");
         let waited = world.now - now;
         assert!(waited < 4000 + lease / 2, "seed {seed}: {waited} ms");
     }
--- a/tests/histories/golden.rs
+++ b/tests/histories/golden.rs
@@ -73,7 +73,7 @@
 
 /// Writes the files: a whole store in the middle of a history, snapshots of a large job, messages, and reports.
 fn write_files() {
-    let mut world = World::new(SEED);
+    let mut world = SimulatedCluster::new(SEED);
     world.kept = Some(Vec::new());
     let mut number = 0;
     for second in 0..SECONDS {
@@ -82,7 +82,7 @@
     let store = dump(&world.store, "");
     std::fs::write(file("store.jsonl"), store).expect("store.jsonl");
     let reports = (0..world.workers.len()).map(|at| {
-        let body = protocol::encode(&world.report(at));
+        let body = protocol::encode(&world.build_report(at));
         format!("report\t-\t{}\n", hex(&body))
     });
     let reports: String = reports.collect();
@@ -130,16 +130,16 @@
     let split = ["shared/part/", "shared/job/j-000199"].map(|prefix| dump(&world.store, prefix));
     let pages = pages.join("\n") + "\n" + &split.concat();
     std::fs::write(file("pages.jsonl"), pages).expect("pages.jsonl");
-    std::fs::write(file("takeover.txt"), taken_over()).expect("takeover.txt");
+    std::fs::write(file("takeover.txt"), recovered_state()).expect("takeover.txt");
 }
 
 /// Has nodes take the store over after all processes before them have ended, with no word from any worker: what the
 /// new leader makes of it, as it shows on `/metrics`, and what it tells the others.
-fn taken_over() -> String {
-    let mut world = World::new(SEED);
-    world.faults = false;
+fn recovered_state() -> String {
+    let mut world = SimulatedCluster::new(SEED);
+    world.faults_enabled = false;
     for worker in &mut world.workers {
-        worker.cut_until = FOR_GOOD;
+        worker.cut_until = FOREVER_MS;
     }
     let stored = std::fs::read_to_string(file("store.jsonl")).expect("store.jsonl");
     for line in stored.lines() {
@@ -158,23 +158,23 @@
     let leader = world.leader.expect("a node leads");
     let metrics = Metrics::default();
     let node = world.nodes[leader].as_mut().expect("it runs");
-    metrics.record(node.status(), 0);
-    let text = metrics.text();
+    metrics.record_status(node.status(), 0);
+    let text = metrics.render();
     let mut lines: Vec<&str> = text.lines().collect();
     lines.sort_unstable();
     let told = world.kept.iter().flatten();
-    let told = told.filter(|sent| sent.channel == Channel::MeshProgress);
-    let told = told.last().expect("the leader tells how far jobs are");
+    let mut told = told.filter(|sent| sent.channel == Channel::MeshProgress);
+    let told = told.next_back().expect("the leader tells how far jobs are");
     format!("{}\n{}\n", lines.join("\n"), hex(&told.body))
 }
 
 #[test]
-fn a_store_of_the_version_before_is_taken_over_with_the_same_state() {
+fn successor_recovers_same_state_from_previous_version_store() {
     if writes_golden() {
         write_files();
     }
     let expected = std::fs::read_to_string(file("takeover.txt")).expect("takeover.txt");
-    let found = taken_over();
+    let found = recovered_state();
     for (expected, found) in expected.lines().zip(found.lines()) {
         assert_eq!(expected, found);
     }
--- a/tests/quota_escrow.rs
+++ b/tests/quota_escrow.rs
@@ -5,9 +5,9 @@
 use std::collections::BTreeMap;
 
 use dalelb::quota::{
-    Grant, HoldRecord, HomeRecord, Position, Quota, TeamQuota, Units,
-    coordinator::Home,
-    participant::{Demand, Holder},
+    CoordinatorRecord, Grant, ParticipantRecord, ParticipantReport, Quota, TeamQuota, Units,
+    coordinator::Coordinator,
+    participant::{Participant, TeamDemand},
 };
 use proptest::{
     prelude::*,
@@ -16,12 +16,12 @@
 };
 
 const CELLS: usize = 3;
-const HOME: usize = 0;
+const COORDINATOR_CELL: usize = 0;
 /// Time that passes with each step, in milliseconds.
-const STEP: u64 = 100;
-const SEQUENCES: u32 = 400;
+const STEP_MS: u64 = 100;
+const SEQUENCE_COUNT: u32 = 400;
 
-fn name(cell: usize) -> String {
+fn cell_name(cell: usize) -> String {
     format!("cell-{cell}")
 }
 
@@ -33,9 +33,9 @@
 #[derive(Clone, Debug)]
 enum Event {
     /// A cell's leader decides what to return and writes it.
-    HoldWrites(usize),
+    ParticipantWrites(usize),
     /// The home decides on grants and writes them.
-    HomeWrites,
+    CoordinatorWrites,
     /// The oldest write of a cell, or of the home, reaches its store: answered or not.
     Apply {
         home: bool,
@@ -48,23 +48,23 @@
         cell: usize,
     },
     /// A cell tells the home how it stands.
-    State(usize),
+    SendReport(usize),
     /// One of the messages under way arrives, and is kept if it is to come again.
     Deliver {
         which: usize,
         again: bool,
     },
     /// One is lost.
-    Lose(usize),
+    DropMessage(usize),
     /// A cell's leader ends; its successor knows what is stored.
-    HoldEnds(usize),
+    ParticipantLeaderCrashes(usize),
     /// The home's leader ends.
-    HomeEnds,
+    CoordinatorLeaderCrashes,
     /// The limit is set.
     Limit(Units),
     /// So much work waits in a cell.
     Waiting(usize, Units),
-    /// Tasks start where they may, or end.
+    /// TaskModel start where they may, or end.
     Start(usize, Units),
     End(usize, Units),
 }
@@ -73,17 +73,17 @@
     let cell = 0..CELLS;
     let units = 0u64..400;
     prop_oneof![
-        4 => cell.clone().prop_map(Event::HoldWrites),
-        4 => Just(Event::HomeWrites),
+        4 => cell.clone().prop_map(Event::ParticipantWrites),
+        4 => Just(Event::CoordinatorWrites),
         8 => (any::<bool>(), cell.clone(), prop::bool::weighted(0.7))
             .prop_map(|(home, cell, answered)| Event::Apply { home, cell, answered }),
         2 => (any::<bool>(), cell.clone()).prop_map(|(home, cell)| Event::Reread { home, cell }),
-        4 => cell.clone().prop_map(Event::State),
+        4 => cell.clone().prop_map(Event::SendReport),
         8 => (any::<usize>(), prop::bool::weighted(0.3))
             .prop_map(|(which, again)| Event::Deliver { which, again }),
-        1 => any::<usize>().prop_map(Event::Lose),
-        1 => cell.clone().prop_map(Event::HoldEnds),
-        1 => Just(Event::HomeEnds),
+        1 => any::<usize>().prop_map(Event::DropMessage),
+        1 => cell.clone().prop_map(Event::ParticipantLeaderCrashes),
+        1 => Just(Event::CoordinatorLeaderCrashes),
         1 => (0u64..1200).prop_map(Event::Limit),
         2 => (cell.clone(), units.clone()).prop_map(|(cell, units)| Event::Waiting(cell, units)),
         3 => (cell.clone(), units.clone()).prop_map(|(cell, units)| Event::Start(cell, units)),
@@ -93,13 +93,13 @@
 
 #[derive(Clone)]
 enum Message {
-    Position(usize, Position),
+    Position(usize, ParticipantReport),
     Grant(usize, Grant),
 }
 
 /// A key of a store with the writes that are on their way to it. A write of a leader that has ended changes nothing:
 /// it is conditional on that leader's key.
-struct Key<T> {
+struct StoredKey<T> {
     value: T,
     version: u64,
     /// The record, the version that it replaces, and the life of its leader.
@@ -110,9 +110,9 @@
     doubtful: bool,
 }
 
-impl<T: Clone + Default> Key<T> {
+impl<T: Clone + Default> StoredKey<T> {
     fn new() -> Self {
-        Key {
+        StoredKey {
             value: T::default(),
             version: 0,
             writes: Vec::new(),
@@ -142,7 +142,7 @@
         own.then_some((value, stored))
     }
 
-    fn leader_ends(&mut self) {
+    fn on_leader_crash(&mut self) {
         self.life += 1;
         self.waits = false;
         self.doubtful = false;
@@ -150,16 +150,16 @@
 }
 
 struct Cell {
-    holder: Holder,
-    key: Key<HoldRecord>,
+    participant: Participant,
+    key: StoredKey<ParticipantRecord>,
     used: Units,
     waiting: Units,
 }
 
-struct World {
+struct Simulation {
     now: u64,
-    home: Home,
-    home_key: Key<HomeRecord>,
+    coordinator: Coordinator,
+    coordinator_key: StoredKey<CoordinatorRecord>,
     cells: Vec<Cell>,
     messages: Vec<Message>,
     limit: Units,
@@ -167,18 +167,18 @@
     before: Units,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let cells = (0..CELLS).map(|_| Cell {
-            holder: Holder::default(),
-            key: Key::new(),
+            participant: Participant::default(),
+            key: StoredKey::new(),
             used: 0,
             waiting: 0,
         });
-        World {
+        Simulation {
             now: 0,
-            home: Home::new(&names(), HomeRecord::default(), 0, 0),
-            home_key: Key::new(),
+            coordinator: Coordinator::new(&cell_names(), CoordinatorRecord::default(), 0, 0),
+            coordinator_key: StoredKey::new(),
             cells: cells.collect(),
             messages: Vec::new(),
             limit: 600,
@@ -193,42 +193,49 @@
         }
     }
 
-    fn happen(&mut self, event: &Event) {
-        self.now += STEP;
+    fn apply_event(&mut self, event: &Event) {
+        self.now += STEP_MS;
         match *event {
-            Event::HoldWrites(cell) => self.hold_writes(cell),
-            Event::HomeWrites => self.home_writes(),
+            Event::ParticipantWrites(cell) => self.write_participant(cell),
+            Event::CoordinatorWrites => self.write_coordinator(),
             Event::Apply {
                 home: true,
                 answered,
                 ..
-            } => self.apply_home(answered),
-            Event::Apply { cell, answered, .. } => self.apply_hold(cell, answered),
-            Event::Reread { home: true, .. } => self.reread_home(),
-            Event::Reread { cell, .. } => self.reread_hold(cell),
-            Event::State(cell) => self.state(cell),
-            Event::Deliver { which, again } => self.deliver(which, again),
-            Event::Lose(which) => {
+            } => self.apply_coordinator_write(answered),
+            Event::Apply { cell, answered, .. } => self.apply_participant_write(cell, answered),
+            Event::Reread { home: true, .. } => self.reread_coordinator(),
+            Event::Reread { cell, .. } => self.reread_participant(cell),
+            Event::SendReport(cell) => self.send_report(cell),
+            Event::Deliver { which, again } => self.deliver_message(which, again),
+            Event::DropMessage(which) => {
                 if !self.messages.is_empty() {
                     let which = which % self.messages.len();
                     self.messages.remove(which);
                 }
             }
-            Event::HoldEnds(cell) => {
+            Event::ParticipantLeaderCrashes(cell) => {
                 let cell = &mut self.cells[cell];
-                cell.key.leader_ends();
-                cell.holder = Holder::new(cell.key.value.clone(), cell.key.version);
+                cell.key.on_leader_crash();
+                cell.participant = Participant::new(cell.key.value.clone(), cell.key.version);
             }
-            Event::HomeEnds => {
-                self.home_key.leader_ends();
-                let (stored, version) = (self.home_key.value.clone(), self.home_key.version);
-                self.home = Home::new(&names(), stored, version, self.now);
+            Event::CoordinatorLeaderCrashes => {
+                self.coordinator_key.on_leader_crash();
+                let (stored, version) = (
+                    self.coordinator_key.value.clone(),
+                    self.coordinator_key.version,
+                );
+                self.coordinator = Coordinator::new(&cell_names(), stored, version, self.now);
             }
             Event::Limit(limit) => self.limit = limit,
             Event::Waiting(cell, units) => self.cells[cell].waiting = units,
             Event::Start(cell, units) => {
                 let cell = &mut self.cells[cell];
-                let room = cell.holder.ceiling().cpus.saturating_sub(cell.used);
+                let room = cell
+                    .participant
+                    .new_work_ceiling()
+                    .cpus
+                    .saturating_sub(cell.used);
                 let started = units.min(room).min(cell.waiting);
                 cell.used += started;
                 cell.waiting -= started;
@@ -240,80 +247,84 @@
         }
     }
 
-    fn hold_writes(&mut self, cell: usize) {
+    fn write_participant(&mut self, cell: usize) {
         let cell = &mut self.cells[cell];
         if cell.key.waits || cell.key.doubtful {
             return;
         }
-        if let Some(record) = cell.holder.next(quota(cell.used)) {
-            cell.key.write(record, cell.holder.key_version);
+        if let Some(record) = cell.participant.next_record(quota(cell.used)) {
+            cell.key.write(record, cell.participant.key_version);
         }
     }
 
-    fn home_writes(&mut self) {
-        if self.home_key.waits || self.home_key.doubtful {
+    fn write_coordinator(&mut self) {
+        if self.coordinator_key.waits || self.coordinator_key.doubtful {
             return;
         }
-        if let Some(record) = self.home.next(self.configured(), self.now) {
-            self.home_key.write(record, self.home.key_version);
+        if let Some(record) = self.coordinator.next_record(self.configured(), self.now) {
+            self.coordinator_key
+                .write(record, self.coordinator.key_version);
         }
     }
 
-    fn apply_hold(&mut self, cell: usize, answered: bool) {
+    fn apply_participant_write(&mut self, cell: usize, answered: bool) {
         let cell = &mut self.cells[cell];
         let Some((record, stored)) = cell.key.apply() else {
             return;
         };
         cell.key.waits = false;
         if answered && stored {
-            cell.holder.stored_as(record, cell.key.version);
+            cell.participant.on_stored(record, cell.key.version);
         } else {
             cell.key.doubtful = true;
         }
     }
 
-    fn apply_home(&mut self, answered: bool) {
-        let Some((record, stored)) = self.home_key.apply() else {
+    fn apply_coordinator_write(&mut self, answered: bool) {
+        let Some((record, stored)) = self.coordinator_key.apply() else {
             return;
         };
-        self.home_key.waits = false;
+        self.coordinator_key.waits = false;
         if answered && stored {
-            let version = self.home_key.version;
-            self.home.stored_as(record, version, self.now);
+            let version = self.coordinator_key.version;
+            self.coordinator.on_stored(record, version, self.now);
         } else {
-            self.home_key.doubtful = true;
+            self.coordinator_key.doubtful = true;
         }
     }
 
     /// Also while a write is still under way: that comes late, then.
-    fn reread_hold(&mut self, cell: usize) {
+    fn reread_participant(&mut self, cell: usize) {
         let cell = &mut self.cells[cell];
-        cell.holder
-            .stored_as(cell.key.value.clone(), cell.key.version);
+        cell.participant
+            .on_stored(cell.key.value.clone(), cell.key.version);
         cell.key.doubtful = false;
         cell.key.waits = false;
     }
 
-    fn reread_home(&mut self) {
-        let (stored, version) = (self.home_key.value.clone(), self.home_key.version);
-        self.home.stored_as(stored, version, self.now);
-        self.home_key.doubtful = false;
-        self.home_key.waits = false;
+    fn reread_coordinator(&mut self) {
+        let (stored, version) = (
+            self.coordinator_key.value.clone(),
+            self.coordinator_key.version,
+        );
+        self.coordinator.on_stored(stored, version, self.now);
+        self.coordinator_key.doubtful = false;
+        self.coordinator_key.waits = false;
     }
 
-    fn state(&mut self, cell: usize) {
+    fn send_report(&mut self, cell: usize) {
         let state = &mut self.cells[cell];
-        let demand = Demand {
+        let demand = TeamDemand {
             used: quota(state.used),
             waiting: quota(state.waiting),
-            least: quota(state.waiting.min(10)),
-            grain: quota(1),
+            first_request: quota(state.waiting.min(10)),
+            largest_task: quota(1),
         };
-        let position = state.holder.position(&demand);
+        let position = state.participant.report(&demand);
         self.messages.push(Message::Position(cell, position));
     }
 
-    fn deliver(&mut self, which: usize, again: bool) {
+    fn deliver_message(&mut self, which: usize, again: bool) {
         if self.messages.is_empty() {
             return;
         }
@@ -326,24 +337,29 @@
         match message {
             Message::Position(cell, position) => {
                 // A cell may be heard before the home's successor has read as much.
-                if self.home.hear(&name(cell), position, self.now).is_ok()
-                    && let Some(grant) = self.home.grant(&name(cell))
+                if self
+                    .coordinator
+                    .on_report(&cell_name(cell), position, self.now)
+                    .is_ok()
+                    && let Some(grant) = self.coordinator.grant(&cell_name(cell))
                 {
                     self.messages.push(Message::Grant(cell, grant));
                 }
             }
             Message::Grant(cell, grant) => {
-                let heard = self.cells[cell].holder.hear(&name(HOME), grant);
+                let heard = self.cells[cell]
+                    .participant
+                    .on_grant(&cell_name(COORDINATOR_CELL), grant);
                 assert_eq!(heard, Ok(()));
             }
         }
     }
 
-    fn check(&mut self) -> Result<(), TestCaseError> {
+    fn check_invariants(&mut self) -> Result<(), TestCaseError> {
         let mut possible = 0;
         for cell in &self.cells {
             let stored = cell.key.value.account.outstanding().cpus;
-            let usable = cell.holder.allocation().cpus;
+            let usable = cell.participant.usable_quota().cpus;
             prop_assert!(
                 usable <= stored,
                 "a leader uses {usable} of {stored} that are stored"
@@ -355,7 +371,7 @@
             );
             possible += stored;
         }
-        let granted = self.home_key.value.accounts.values();
+        let granted = self.coordinator_key.value.accounts.values();
         let granted: Units = granted.map(|account| account.granted.cpus).sum();
         let returned = self
             .cells
@@ -364,7 +380,7 @@
         let outstanding = granted - returned.sum::<Units>();
         prop_assert!(possible <= outstanding);
         // What the cells hold and what is on its way to them only grows within the limit.
-        let limit = self.home_key.value.quota.limit.cpus;
+        let limit = self.coordinator_key.value.quota.limit.cpus;
         prop_assert!(
             outstanding <= limit.max(self.before),
             "{outstanding} of {limit}, {} before",
@@ -375,54 +391,58 @@
     }
 
     /// Everything works: all is written, told and heard, and what runs above its share is stopped.
-    fn settle(&mut self) {
+    fn run_until_converged(&mut self) {
         for round in 0..60 {
-            self.now += STEP;
+            self.now += STEP_MS;
             for cell in 0..CELLS {
                 while !self.cells[cell].key.writes.is_empty() {
-                    self.apply_hold(cell, true);
-                    self.checked(round);
+                    self.apply_participant_write(cell, true);
+                    self.assert_invariants(round);
                 }
-                self.reread_hold(cell);
-                self.hold_writes(cell);
-                self.apply_hold(cell, true);
-                self.reread_hold(cell);
+                self.reread_participant(cell);
+                self.write_participant(cell);
+                self.apply_participant_write(cell, true);
+                self.reread_participant(cell);
                 let state = &mut self.cells[cell];
-                let excess = state.holder.excess(quota(state.used)).cpus;
+                let excess = state.participant.excess(quota(state.used)).cpus;
                 state.used -= excess;
                 state.waiting += excess;
-                let room = state.holder.ceiling().cpus.saturating_sub(state.used);
+                let room = state
+                    .participant
+                    .new_work_ceiling()
+                    .cpus
+                    .saturating_sub(state.used);
                 let started = room.min(state.waiting);
                 state.used += started;
                 state.waiting -= started;
-                self.state(cell);
+                self.send_report(cell);
             }
             while !self.messages.is_empty() {
-                self.deliver(0, false);
+                self.deliver_message(0, false);
             }
-            while !self.home_key.writes.is_empty() {
-                self.apply_home(true);
-                self.checked(round);
+            while !self.coordinator_key.writes.is_empty() {
+                self.apply_coordinator_write(true);
+                self.assert_invariants(round);
             }
-            self.reread_home();
-            self.home_writes();
-            self.apply_home(true);
-            self.reread_home();
-            self.checked(round);
+            self.reread_coordinator();
+            self.write_coordinator();
+            self.apply_coordinator_write(true);
+            self.reread_coordinator();
+            self.assert_invariants(round);
         }
     }
 
-    fn checked(&mut self, round: usize) {
-        self.check()
+    fn assert_invariants(&mut self, round: usize) {
+        self.check_invariants()
             .unwrap_or_else(|error| panic!("round {round}: {error}"));
     }
 }
 
-fn names() -> Vec<String> {
-    (0..CELLS).map(name).collect()
+fn cell_names() -> Vec<String> {
+    (0..CELLS).map(cell_name).collect()
 }
 
-fn runner(cases: u32) -> TestRunner {
+fn test_runner(cases: u32) -> TestRunner {
     let config = Config {
         cases,
         failure_persistence: None,
@@ -433,16 +453,20 @@
 }
 
 #[test]
-fn no_sequence_lets_cells_use_more_than_the_limit_and_all_settle() {
+fn no_event_sequence_exceeds_limit_and_all_converge() {
     let events = prop::collection::vec(any_event(), 1..300);
-    let outcome = runner(SEQUENCES).run(&events, |events| {
-        let mut world = World::new();
+    let outcome = test_runner(SEQUENCE_COUNT).run(&events, |events| {
+        let mut world = Simulation::new();
         for event in &events {
-            world.happen(event);
-            world.check()?;
+            world.apply_event(event);
+            world.check_invariants()?;
         }
-        world.settle();
-        prop_assert_eq!(world.home.waiting(world.now), None, "in force everywhere");
+        world.run_until_converged();
+        prop_assert_eq!(
+            world.coordinator.pending_for(world.now),
+            None,
+            "in force everywhere"
+        );
         let used: Units = world.cells.iter().map(|cell| cell.used).sum();
         let waiting: Units = world.cells.iter().map(|cell| cell.waiting).sum();
         let limit = world.limit;
@@ -463,16 +487,16 @@
 
 /// How far a sequence gets: a check that nothing happens in would prove nothing.
 #[test]
-fn the_sequences_move_units_and_change_limits() {
+fn generated_sequences_cover_transfers_and_limit_changes() {
     let mut seen: BTreeMap<&str, u32> = BTreeMap::new();
-    let mut runner = runner(1);
+    let mut runner = test_runner(1);
     for _ in 0..60 {
         let events = prop::collection::vec(any_event(), 200..300);
         let events = events.new_tree(&mut runner).unwrap().current();
-        let mut world = World::new();
+        let mut world = Simulation::new();
         for event in &events {
-            world.happen(event);
-            let record = &world.home_key.value;
+            world.apply_event(event);
+            let record = &world.coordinator_key.value;
             let returned = world
                 .cells
                 .iter()
@@ -482,7 +506,7 @@
                 ("versions", record.version > 2),
                 ("returns", returned),
                 ("use", used),
-                ("doubt", world.home_key.doubtful),
+                ("doubt", world.coordinator_key.doubtful),
             ] {
                 *seen.entry(what).or_default() += u32::from(seen_now);
             }
@@ -495,20 +519,20 @@
 
 /// Each write of a transfer, with the end of either leader after it, with and without an answer.
 #[test]
-fn a_leader_that_ends_between_any_two_writes_loses_and_doubles_nothing() {
+fn leader_crash_between_any_two_writes_neither_loses_nor_duplicates_units() {
     let calm = [
-        Event::State(1),
+        Event::SendReport(1),
         Event::Deliver {
             which: 0,
             again: false,
         },
-        Event::HomeWrites,
+        Event::CoordinatorWrites,
         Event::Apply {
             home: true,
             cell: 0,
             answered: true,
         },
-        Event::State(1),
+        Event::SendReport(1),
         Event::Deliver {
             which: 0,
             again: false,
@@ -517,7 +541,7 @@
             which: 0,
             again: false,
         },
-        Event::HoldWrites(1),
+        Event::ParticipantWrites(1),
         Event::Apply {
             home: false,
             cell: 1,
@@ -526,13 +550,13 @@
         Event::Waiting(1, 100),
         Event::Start(1, 100),
         Event::Limit(120),
-        Event::HomeWrites,
+        Event::CoordinatorWrites,
         Event::Apply {
             home: true,
             cell: 0,
             answered: true,
         },
-        Event::State(1),
+        Event::SendReport(1),
         Event::Deliver {
             which: 0,
             again: false,
@@ -541,22 +565,25 @@
             which: 0,
             again: false,
         },
-        Event::HoldWrites(1),
+        Event::ParticipantWrites(1),
         Event::Apply {
             home: false,
             cell: 1,
             answered: true,
         },
-        Event::State(1),
+        Event::SendReport(1),
         Event::Deliver {
             which: 0,
             again: false,
         },
     ];
     for place in 0..calm.len() {
-        for end in [Event::HomeEnds, Event::HoldEnds(1)] {
+        for end in [
+            Event::CoordinatorLeaderCrashes,
+            Event::ParticipantLeaderCrashes(1),
+        ] {
             for lost in [false, true] {
-                let mut world = World::new();
+                let mut world = Simulation::new();
                 for (at, event) in calm.iter().enumerate() {
                     let event = match event {
                         Event::Apply { home, cell, .. } if lost && at == place => Event::Apply {
@@ -566,16 +593,16 @@
                         },
                         other => other.clone(),
                     };
-                    world.happen(&event);
-                    world.check().unwrap();
+                    world.apply_event(&event);
+                    world.check_invariants().unwrap();
                     if at == place {
-                        world.happen(&end);
-                        world.check().unwrap();
+                        world.apply_event(&end);
+                        world.check_invariants().unwrap();
                     }
                 }
-                world.settle();
+                world.run_until_converged();
                 assert_eq!(
-                    world.home.waiting(world.now),
+                    world.coordinator.pending_for(world.now),
                     None,
                     "{place} {end:?} {lost}"
                 );
@@ -588,108 +615,111 @@
 
 /// The home is gone for good: whoever holds units goes on with them and gets no more.
 #[test]
-fn without_its_home_a_cell_keeps_what_it_holds() {
-    let mut world = World::new();
-    world.settle();
+fn participant_keeps_quota_while_coordinator_is_unreachable() {
+    let mut world = Simulation::new();
+    world.run_until_converged();
     let held: Vec<Units> = world
         .cells
         .iter()
-        .map(|cell| cell.holder.allocation().cpus)
+        .map(|cell| cell.participant.usable_quota().cpus)
         .collect();
     assert_eq!(held, [200, 200, 200]);
     for cell in 1..CELLS {
-        world.happen(&Event::Waiting(cell, 1000));
-        world.happen(&Event::Start(cell, 1000));
-        world.happen(&Event::HoldEnds(cell));
-        world.happen(&Event::HoldWrites(cell));
+        world.apply_event(&Event::Waiting(cell, 1000));
+        world.apply_event(&Event::Start(cell, 1000));
+        world.apply_event(&Event::ParticipantLeaderCrashes(cell));
+        world.apply_event(&Event::ParticipantWrites(cell));
         assert_eq!(world.cells[cell].used, 200);
-        assert_eq!(world.cells[cell].holder.excess(quota(200)), Quota::ZERO);
+        assert_eq!(
+            world.cells[cell].participant.excess(quota(200)),
+            Quota::ZERO
+        );
     }
-    world.check().unwrap();
+    world.check_invariants().unwrap();
 }
 
 /// Every leader ends at once.
 #[test]
-fn all_cells_that_restart_hold_what_they_held() {
-    let mut world = World::new();
-    world.happen(&Event::Waiting(2, 300));
-    world.settle();
-    let held = |world: &World| -> Vec<Units> {
+fn restarted_cells_recover_their_quota() {
+    let mut world = Simulation::new();
+    world.apply_event(&Event::Waiting(2, 300));
+    world.run_until_converged();
+    let held = |world: &Simulation| -> Vec<Units> {
         world
             .cells
             .iter()
-            .map(|cell| cell.holder.allocation().cpus)
+            .map(|cell| cell.participant.usable_quota().cpus)
             .collect()
     };
     let before = held(&world);
     for cell in 0..CELLS {
-        world.happen(&Event::HoldEnds(cell));
+        world.apply_event(&Event::ParticipantLeaderCrashes(cell));
     }
-    world.happen(&Event::HomeEnds);
+    world.apply_event(&Event::CoordinatorLeaderCrashes);
     assert_eq!(held(&world), before);
-    world.settle();
+    world.run_until_converged();
     assert_eq!(held(&world), before, "nothing moves without need");
 }
 
 /// What a leader said two terms ago arrives now.
 #[test]
-fn messages_of_leaders_long_gone_change_nothing() {
-    let mut world = World::new();
-    world.happen(&Event::Waiting(1, 500));
-    world.settle();
+fn delayed_messages_of_former_leaders_are_ignored() {
+    let mut world = Simulation::new();
+    world.apply_event(&Event::Waiting(1, 500));
+    world.run_until_converged();
     // Both sides speak, and nobody hears it for two terms.
-    world.state(1);
+    world.send_report(1);
     let position = world.messages.remove(0);
-    let Some(grant) = world.home.grant(&name(1)) else {
+    let Some(grant) = world.coordinator.grant(&cell_name(1)) else {
         panic!("nothing is granted");
     };
     for limit in [300, 900] {
-        world.happen(&Event::Limit(limit));
-        world.happen(&Event::HomeEnds);
-        world.happen(&Event::HoldEnds(1));
-        world.settle();
+        world.apply_event(&Event::Limit(limit));
+        world.apply_event(&Event::CoordinatorLeaderCrashes);
+        world.apply_event(&Event::ParticipantLeaderCrashes(1));
+        world.run_until_converged();
     }
-    let held = world.cells[1].holder.allocation();
-    let outstanding = world.home.outstanding();
+    let held = world.cells[1].participant.usable_quota();
+    let outstanding = world.coordinator.outstanding();
     world.messages = vec![position, Message::Grant(1, grant)];
     for _ in 0..2 {
-        world.deliver(0, true);
+        world.deliver_message(0, true);
         world.messages.truncate(2);
-        world.deliver(1, true);
-        world.check().unwrap();
+        world.deliver_message(1, true);
+        world.check_invariants().unwrap();
     }
-    assert_eq!(world.cells[1].holder.allocation(), held);
-    assert_eq!(world.home.outstanding(), outstanding);
+    assert_eq!(world.cells[1].participant.usable_quota(), held);
+    assert_eq!(world.coordinator.outstanding(), outstanding);
     world.messages.clear();
-    world.settle();
-    assert_eq!(world.cells[1].holder.allocation(), held);
+    world.run_until_converged();
+    assert_eq!(world.cells[1].participant.usable_quota(), held);
 }
 
 /// 330 teams, each with demand that moves from cell to cell.
 #[test]
-fn units_follow_demand_that_swings_between_cells() {
+fn units_follow_demand_shifting_between_cells() {
     for team in 0..330 {
-        let mut world = World::new();
+        let mut world = Simulation::new();
         for swing in 0..4 {
             let cell = (team + swing) % CELLS;
-            world.happen(&Event::Waiting(cell, 500));
-            world.settle();
+            world.apply_event(&Event::Waiting(cell, 500));
+            world.run_until_converged();
             assert_eq!(world.cells[cell].used, 500, "team {team}, swing {swing}");
-            world.happen(&Event::End(cell, 500));
+            world.apply_event(&Event::End(cell, 500));
         }
     }
 }
 
 #[test]
-fn a_limit_of_nothing_takes_everything_back() {
-    let mut world = World::new();
-    world.happen(&Event::Waiting(1, 500));
-    world.settle();
-    world.happen(&Event::Limit(0));
-    world.settle();
-    assert_eq!(world.home.outstanding(), Quota::ZERO);
+fn zero_limit_reclaims_all_units() {
+    let mut world = Simulation::new();
+    world.apply_event(&Event::Waiting(1, 500));
+    world.run_until_converged();
+    world.apply_event(&Event::Limit(0));
+    world.run_until_converged();
+    assert_eq!(world.coordinator.outstanding(), Quota::ZERO);
     assert!(world.cells.iter().all(|cell| cell.used == 0));
-    world.happen(&Event::Limit(400));
-    world.settle();
+    world.apply_event(&Event::Limit(400));
+    world.run_until_converged();
     assert_eq!(world.cells[1].used, 400);
 }
--- a/tests/wire/mod.rs
+++ b/tests/wire/mod.rs
@@ -8,7 +8,7 @@
     protocol::state::Urgency,
     transport::{
         client::{HttpRequest, cloud_request, state_request, worker_request},
-        mesh::{messages::relayed_request, proto},
+        mesh::{messages::encode_relayed_request, proto},
     },
 };
 use prost::Message;
@@ -75,12 +75,12 @@
 
     pub fn of(effect: &Effect) -> Self {
         match effect {
-            Effect::Answer(id, answer) => {
+            Effect::Respond(id, answer) => {
                 let retry_after_s = answer.retry_after_s.unwrap_or(0);
                 let head = format!("{id} {} {retry_after_s}", answer.status);
                 Sent::new(Channel::User, head, answer.body.clone())
             }
-            Effect::State {
+            Effect::CallStateService {
                 request,
                 urgency,
                 timeout_ms,
@@ -94,7 +94,7 @@
                 let rest = format!("{urgency} {timeout_ms}");
                 Sent::http(Channel::State, state_request(request), rest)
             }
-            Effect::Cloud {
+            Effect::CallCloud {
                 request,
                 timeout_ms,
                 ..
@@ -103,7 +103,7 @@
                 cloud_request(request),
                 timeout_ms.to_string(),
             ),
-            Effect::Worker {
+            Effect::CallWorker {
                 tag,
                 addr,
                 orders,
@@ -112,7 +112,7 @@
                 let rest = format!("{} {addr} {timeout_ms}", tag.machine);
                 Sent::http(Channel::Worker, worker_request(orders.as_ref()), rest)
             }
-            Effect::Tell(progress) => {
+            Effect::AnnounceProgress(progress) => {
                 let message = proto::Progress::from(progress);
                 Sent::new(
                     Channel::MeshProgress,
@@ -120,41 +120,50 @@
                     message.encode_to_vec(),
                 )
             }
-            Effect::Publish(news) => {
+            Effect::PublishMemberStatus(news) => {
                 let message = proto::Told::from(&**news);
                 Sent::new(Channel::MeshStatus, String::new(), message.encode_to_vec())
             }
-            Effect::Revoke {
+            Effect::RequestRevocation {
                 label, revocation, ..
             } => {
                 let message = proto::Revocation::from(revocation.clone());
                 let body = message.encode_to_vec();
                 Sent::new(Channel::MeshRevocation, label.clone(), body)
             }
-            Effect::Revoked(id, word) => {
+            Effect::RespondRevocation(id, word) => {
                 let message = proto::Renewals::from(word.clone());
                 let body = message.encode_to_vec();
                 Sent::new(Channel::MeshRenewals, id.to_string(), body)
             }
-            Effect::Relay { id, label, ask } => {
-                let message = relayed_request(ask).expect("only users' requests are relayed");
+            Effect::RelayRequest {
+                id,
+                label,
+                request: ask,
+            } => {
+                let message =
+                    encode_relayed_request(ask).expect("only users' requests are relayed");
                 let head = format!("{id} {label}");
                 Sent::new(Channel::MeshRelay, head, message.encode_to_vec())
             }
-            Effect::Exchange {
-                cell, statement, ..
+            Effect::SendCellReport {
+                cell,
+                report: statement,
+                ..
             } => {
                 let message = proto::CellStatement::from((**statement).clone());
                 let body = message.encode_to_vec();
                 Sent::new(Channel::CellStatement, cell.clone(), body)
             }
-            Effect::Stated(id, answer) => {
+            Effect::RespondCellReport(id, answer) => {
                 let answer = answer.clone().map(proto::CellAnswer::from);
                 let body = answer.map(|answer| answer.encode_to_vec());
                 let head = format!("{id} {}", body.is_some());
                 Sent::new(Channel::CellAnswer, head, body.unwrap_or_default())
             }
-            Effect::Leading(leads) => Sent::new(Channel::Rates, leads.to_string(), Vec::new()),
+            Effect::SetLeadership(leads) => {
+                Sent::new(Channel::Rates, leads.to_string(), Vec::new())
+            }
         }
     }
 }
