--- a/src/protocol/ids.rs
+++ b/src/protocol/ids.rs
@@ -12,10 +12,13 @@
 /// A task of a job: `j-000412/3`.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskId {
+    /// The job.
     pub job: JobId,
+    /// Number of the task within the job, from 0.
     pub index: u32,
 }
 
+/// The text is no job or task id in its canonical form.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("not a job or task id")]
 pub struct ParseIdError;
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -6,19 +6,23 @@
 
 use super::{DecodeError, ids::JobId};
 
+/// Most tasks that a job may have.
 pub const MAX_TASKS_PER_JOB: u32 = 100_000;
 const MAX_NAME_LEN: usize = 200;
 const MAX_MACHINE_TYPES_PER_JOB: usize = 64;
 /// Far above any machine or wait; keeps sums of amounts finite.
 const MAX_RESOURCE_AMOUNT: f64 = 1e12;
 
+/// How a job's tasks belong together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
+    /// A job array: independent tasks, each runs to completion.
     #[serde(rename = "array")]
     Array,
     /// All tasks run at the same time, or none.
     #[serde(rename = "group")]
     Gang,
+    /// Replicas that run until the job is cancelled.
     #[serde(rename = "standing")]
     Service,
 }
@@ -26,12 +30,16 @@
 /// Lower is more urgent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
+    /// Services that users wait for.
     #[serde(rename = "critical")]
     Production,
+    /// Urgent work.
     #[serde(rename = "high")]
     High,
+    /// Ordinary work.
     #[serde(rename = "standard")]
     Normal,
+    /// Work that runs where room is left.
     #[serde(rename = "best_effort")]
     Low,
 }
@@ -39,40 +47,60 @@
 /// What a user asks to be run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Submission {
+    /// The job's id, chosen by its user; a repeated submission uses the same one.
     pub id: JobId,
+    /// Workload class, to which objectives apply.
     #[serde(rename = "lane")]
     pub class: String,
+    /// Team whose guarantee and limit apply.
     #[serde(rename = "crew")]
     pub team: String,
+    /// How its tasks belong together.
     #[serde(rename = "shape")]
     pub kind: JobKind,
+    /// How urgent it is.
     #[serde(rename = "urgency")]
     pub priority: Priority,
+    /// Number of tasks.
     #[serde(rename = "pieces")]
     pub tasks: u32,
+    /// CPUs of each task.
     pub cpus: f64,
+    /// GPUs of each task.
     pub gpus: f64,
+    /// Memory of each task in GB.
     pub ram_gb: f64,
+    /// Image that a task needs.
     #[serde(rename = "kit")]
     pub image: String,
+    /// Size of the image in GB.
     #[serde(rename = "size_gb")]
     pub image_gb: f64,
+    /// Allowed machine types; `None`: any.
     #[serde(rename = "builds", default)]
     pub types: Option<Vec<String>>,
+    /// The only allowed zone.
     #[serde(rename = "yard", default)]
     pub zone: Option<String>,
+    /// All tasks have to be in the same zone.
     #[serde(rename = "together")]
     pub one_zone: bool,
+    /// At most half of the tasks, rounded up, may be in one zone.
     #[serde(rename = "apart")]
     pub spread: bool,
+    /// Whether spot instances will do.
     #[serde(rename = "loaners")]
     pub spot: bool,
+    /// The user's estimate of a task's run time in seconds.
     #[serde(rename = "guess_s")]
     pub estimate_s: f64,
+    /// Seconds of progress between two checkpoints; 0: a task never saves.
     #[serde(rename = "bookmark_s")]
     pub checkpoint_s: f64,
+    /// Seconds that a task needs to save when it is stopped.
     #[serde(rename = "stash_s")]
     pub save_s: f64,
+    /// When the job should be complete, in seconds from its submission.
     #[serde(rename = "due_s", default)]
     pub deadline_s: Option<f64>,
     /// Jobs that must be done before a task of this one starts, each once. Left out while empty, as
@@ -163,14 +191,19 @@
     }
 }
 
+/// The status of a job as users see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobStatus {
+    /// No task runs.
     #[serde(rename = "pending")]
     Pending,
+    /// Tasks run.
     #[serde(rename = "running")]
     Running,
+    /// All tasks are done; final.
     #[serde(rename = "done")]
     Done,
+    /// Cancelled; final.
     #[serde(rename = "aborted")]
     Cancelled,
 }
@@ -178,8 +211,12 @@
 /// The answer to every user request about a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobView {
+    /// The job.
     pub id: JobId,
+    /// Its status.
     pub status: JobStatus,
+    /// Tasks that are done.
     pub done: u32,
+    /// Tasks that run.
     pub running: u32,
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -14,15 +14,21 @@
 /// The largest request body that is read.
 pub const MAX_BODY_BYTES: u64 = 64 * 1024;
 
+/// Why a body was refused.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum DecodeError {
+    /// It is not a map.
     #[error("the body is not a MessagePack map")]
     NotAMap,
+    /// It is no MessagePack, or a field is missing or of another type.
     #[error("{0}")]
     Malformed(String),
+    /// A field's value is not allowed.
     #[error("{field}: {reason}")]
     Invalid {
+        /// The field, by its name on the wire.
         field: &'static str,
+        /// What is wrong with it.
         reason: &'static str,
     },
 }
