--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -1,14 +1,14 @@
-//! Stand-ins of the systems around dalelb, by their published protocols, on loopback.
+//! Emulators of the services around dalelb, for tests and load: what they answer follows the published protocols.
 //!
-//! * [`store`]: keys, versions, leases and changes, as a pure model.
-//! * [`state_service`]: that model behind HTTP, with the published limits and counters.
-//! * [`cloud`]: machine types, the machine list, rentals and deletions.
-//! * [`machine`]: what one worker holds and how it obeys.
-//! * [`fleet`]: any number of hollow workers in one process.
-//! * [`link`]: one kept HTTP connection, with the bytes that cross it counted.
-//! * [`relay`]: a link between controllers that delays, counts and cuts.
+//! * [`state_store`]: keys, versions, leases and changes, as a pure model.
+//! * [`state_service`]: the state service over HTTP, with limits and latency.
+//! * [`cloud_emulator`]: machine types, the machine list, instance requests and deletions.
+//! * [`worker_emulator`]: what one worker holds and how it executes orders.
+//! * [`worker_fleet`]: any number of emulated workers in one process.
+//! * [`http_connection`]: one kept HTTP connection, with the bytes that cross it counted.
+//! * [`link_emulator`]: a link between controllers that delays, counts and cuts.
 //!
-//! Tests and the load tool share them, so that both meet the same behaviour.
+//! Tests and the load test share them, so that both meet the same behaviour.
 
 pub mod cloud_emulator;
 pub mod http_connection;
--- a/src/coordination/admission/load_shedding.rs
+++ b/src/coordination/admission/load_shedding.rs
@@ -2,8 +2,8 @@
 //!
 //! | at | what gives way, and how |
 //! | --- | --- |
-//! | state requests and writes | each rank leaves a larger reserve in the node's part of the limits ([`RequestPriority::reserve`]) |
-//! | the processor, the owner's queue | a rank is sent away while passes come late for more of the time than it bears ([`RequestPriority::bears`]) |
+//! | state requests and writes | each rank leaves a larger reserve in the node's part of the limits ([`reserved_fraction`]) |
+//! | the processor, the owner's queue | a rank is sent away while passes come late for more of the time than it bears ([`RequestPriority::max_lateness`]) |
 //! | sockets | connections that nobody needs just now are closed, polls' first (`transport/sockets.rs`) |
 //! | a node's part of what is let in | newcomers beyond their class's due wait for their turn (`door.rs`) |
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,10 @@
 //! dalelb: a fair, fault-tolerant cluster scheduler.
 //!
-//! The layers, from the outside in: [`transport`] moves bytes and decides nothing, [`protocol`]
-//! knows the wire, [`coordination`] decides who may act and reacts to what happens, and
-//! [`bookkeeping`] holds what runs where and what should. [`daemon`] ties them together.
+//! The layers, from the outside in: [`transport`] moves bytes and decides nothing, [`protocol`] knows the wire,
+//! [`coordination`] is the control plane (who leads, what workers are told, what users are answered), and
+//! [`cluster`], [`scheduling`], [`autoscaler`] and [`quota`] hold what runs where and decide what should. [`storage`]
+//! names the keys and records of the state service. [`daemon`] runs the event loop that ties them together.
+//! `docs/ARCHITECTURE.md` shows the whole on one page.
 
 pub mod autoscaler;
 pub mod cells;
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -21,7 +21,7 @@
 
 mod quotas;
 
-/// Media type of what [`Metrics::text`] returns.
+/// Media type of what [`Metrics::render`] returns.
 pub const MEDIA_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -9,8 +9,8 @@
 //! clock takes part in this.
 //!
 //! * [`plan`]: how the units of a limit are divided among cells.
-//! * [`home`]: the home's side of a team.
-//! * [`holder`]: a cell's side of a team.
+//! * [`coordinator`]: the coordinator's side of a team.
+//! * [`participant`]: a participating cell's side of a team.
 //!
 //! Nothing here does I/O: whoever owns these writes the records they ask for and tells them what became of it.
 
--- a/src/quota/participant.rs
+++ b/src/quota/participant.rs
@@ -99,7 +99,7 @@
     }
 
     /// Gives back what is not used and not to be kept, and tells what is to be stored, if anything. What is returned
-    /// must not be used from this moment on: [`Participant::ceiling`] tells so.
+    /// must not be used from this moment on: [`Participant::new_work_ceiling`] tells so.
     pub fn next_record(&mut self, used: Quota) -> Option<ParticipantRecord> {
         let held = self.usable_quota();
         let kept = self
