--- a/src/cluster/fault_attribution/tests.rs
+++ b/src/cluster/fault_attribution/tests.rs
@@ -3,11 +3,10 @@
 
 use super::*;
 use crate::{
-    cluster::MachineTypeIndex,
+    cluster::{MachineTypeIndex, records::images_records},
     config::Settings,
     protocol::{cloud::MachineType, ids::JobId, job::Submission},
-    scheduling::{self, PreemptionScope},
-    storage::images_records,
+    scheduling::{self, PreemptionScope, fair_share::FairShareLedger},
 };
 
 fn cluster_with_machines(machines: usize) -> ClusterState {
@@ -51,13 +50,14 @@
 fn simulate_failures(seed: u64, faulty: usize, mistaken: u64) -> (Vec<u64>, Vec<usize>, usize) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut cluster = cluster_with_machines(30);
+    let mut fair_share = FairShareLedger::default();
     let mut late_starts = 0;
     for step in 0..240u64 {
         let now = step * 500;
         if step % 4 == 0 {
             submit(&mut cluster, step / 4, 20);
         }
-        scheduling::run_scheduling_cycle(&mut cluster, now);
+        scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, now);
         for on in (0..30).map(MachineIndex) {
             for at in (0..cluster.machine(on).attempts.len()).rev() {
                 let attempt = &cluster.machine(on).attempts[at];
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -5,6 +5,7 @@
 //! still be on its way, or the machine's lease has surely run out, or the cloud deleted the machine.
 
 pub mod fault_attribution;
+pub mod records;
 pub mod straggler;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -18,7 +19,6 @@
         job::{JobKind, Priority, Submission},
         worker::FailureCause,
     },
-    scheduling::fair_share::FairShareLedger,
     storage::SnapshotNumber,
     time::{Millis, millis},
 };
@@ -569,8 +569,6 @@
     wall_clock_offset_ms: i64,
     /// Set whenever a scheduling round could find something new to do.
     pub scheduling_needed: bool,
-    /// What each class of each team is due, and what it got.
-    pub fair_share: FairShareLedger,
 }
 
 impl ClusterState {
@@ -625,7 +623,6 @@
             completed_jobs: BTreeSet::new(),
             wall_clock_offset_ms: 0,
             scheduling_needed: true,
-            fair_share: FairShareLedger::default(),
         };
         for zone in &settings.zones {
             cluster.intern_zone(zone);
--- a/src/coordination/admission/mod.rs
+++ b/src/coordination/admission/mod.rs
@@ -25,7 +25,7 @@
         job::Submission,
         state::{Condition, StateError, StateReply, StateRequest, Urgency, Write},
     },
-    scheduling::fair_share::ShareStatus,
+    scheduling::fair_share::{FairShareLedger, ShareStatus},
     storage,
     time::Millis,
 };
@@ -144,16 +144,16 @@
     }
 }
 
-impl ClusterState {
+impl FairShareLedger {
     /// How each class stands, by name.
-    pub fn named_share_statuses(&self) -> Vec<(WorkloadClassName, ShareStatus)> {
-        let standings = self.fair_share.statuses();
-        let named = standings.map(|((team, class), standing)| {
+    pub fn named_statuses(&self, cluster: &ClusterState) -> Vec<(WorkloadClassName, ShareStatus)> {
+        let standings = self.statuses();
+        let named = standings.map(|(class, standing)| {
             let class = WorkloadClassName {
-                team: self.teams[team.as_usize()].name.clone(),
-                class: self
+                team: cluster.teams[class.team.as_usize()].name.clone(),
+                class: cluster
                     .class_interner
-                    .name(class.0)
+                    .name(class.class.0)
                     .unwrap_or_default()
                     .to_owned(),
             };
@@ -494,8 +494,11 @@
         }
         self.admission.served_logged_at = now;
         let served = self.total_admission_counts();
-        let standings: BTreeMap<WorkloadClassName, ShareStatus> =
-            cluster.named_share_statuses().into_iter().collect();
+        let standings: BTreeMap<WorkloadClassName, ShareStatus> = leading
+            .fair_share
+            .named_statuses(cluster)
+            .into_iter()
+            .collect();
         for (class, counts) in &served {
             let standing = standings.get(class).cloned().unwrap_or_default();
             tracing::info!(
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -18,6 +18,7 @@
             DirectOrders, FailureCause, Order, Orders, Report, TaskReport, TaskState, WorkerReply,
         },
     },
+    scheduling::fair_share::{FairShareLedger, WorkloadClass},
     time::{Millis, millis},
 };
 
@@ -93,7 +94,9 @@
                 orders: self.stop_orders_for_cancelled(report),
             });
         }
-        let cluster = self.leader_state.as_mut()?.cluster.as_mut()?;
+        let leading = self.leader_state.as_mut()?;
+        let cluster = leading.cluster.as_mut()?;
+        let fair_share = &mut leading.fair_share;
         let type_ix = MachineTypeIndex(cluster.type_interner.get(&report.type_name)?);
         let zone = cluster.intern_zone(&report.zone);
         let known = cluster.machines_by_name.contains_key(&report.machine);
@@ -155,8 +158,8 @@
             );
             end_incarnation(cluster, index, now, &report.tasks);
         }
-        let foreign = reconcile_tasks(cluster, index, report, now);
-        settle_ended_attempts(cluster, index, now);
+        let foreign = reconcile_tasks(cluster, fair_share, index, report, now);
+        settle_ended_attempts(cluster, fair_share, index, now);
         if is_straggler(cluster, index, now) {
             cluster.drain_for_replacement(index, MAX_REPLACED_FLEET_DIVISOR, "is slow");
         }
@@ -600,6 +603,7 @@
 /// Follows a report that is newer than all before. Returns what it lists and the books don't have.
 fn reconcile_tasks(
     cluster: &mut ClusterState,
+    fair_share: &mut FairShareLedger,
     on: MachineIndex,
     report: &Report,
     now: Millis,
@@ -645,9 +649,9 @@
                 start_ms = now.saturating_sub(attempt.placed_at),
                 "runs"
             );
+            let class = WorkloadClass::of_job(job);
             cluster.start_wait_samples.push(wait);
-            let flow = cluster.workload_class(index);
-            cluster.fair_share.status_mut(flow).tasks_started += 1;
+            fair_share.status_mut(class).tasks_started += 1;
         }
     }
     for at in (0..shown.len()).rev() {
@@ -666,7 +670,12 @@
 }
 
 /// Deals with attempts that have ended: completes or requeues their tasks.
-fn settle_ended_attempts(cluster: &mut ClusterState, on: MachineIndex, now: Millis) {
+fn settle_ended_attempts(
+    cluster: &mut ClusterState,
+    fair_share: &mut FairShareLedger,
+    on: MachineIndex,
+    now: Millis,
+) {
     for at in 0..cluster.machine(on).attempts.len() {
         let machine = cluster.machine(on);
         let attempt = &machine.attempts[at];
@@ -685,10 +694,10 @@
         if cause == FailureCause::Done {
             if !closed && latest.status == TaskStatus::Active(on) && latest.attempt == number {
                 cluster.complete_task(job, task);
-                let flow = cluster.workload_class(job);
-                cluster.fair_share.status_mut(flow).tasks_completed += 1;
+                let flow = WorkloadClass::of_job(cluster.job(job));
+                fair_share.status_mut(flow).tasks_completed += 1;
                 if cluster.job(job).is_complete() {
-                    cluster.record_job_completion(job, now);
+                    fair_share.record_job_completion(cluster, job, now);
                 }
             }
             cluster.machines[on.as_usize()].attempts[at].reconciled = true;
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -25,7 +25,10 @@
         job::JobKind,
         state::{Condition, StateError, StateReply, StateRequest, Txn, Urgency, Write},
     },
-    scheduling::{self, PreemptionScope},
+    scheduling::{
+        self, PreemptionScope,
+        fair_share::{FairShareLedger, WorkloadClass},
+    },
     storage::{self, LeaderRecord, TermRecord},
     time::Millis,
 };
@@ -97,6 +100,8 @@
     last_renewal_at: Millis,
     pub recovered: RecoveredState,
     pub cluster: Option<ClusterState>,
+    /// What each class of each team is entitled to, and what it got.
+    pub fair_share: FairShareLedger,
     pub log: LeaderLog,
     fence_in_flight: bool,
     pub fence_requested: bool,
@@ -382,6 +387,7 @@
             last_renewal_at: self.now,
             recovered: RecoveredState::default(),
             cluster: None,
+            fair_share: FairShareLedger::default(),
             log: LeaderLog::default(),
             fence_in_flight: false,
             fence_requested: false,
@@ -551,7 +557,7 @@
         if leading.last_cycle_at + due <= now {
             leading.last_cycle_at = now;
             cluster.scheduling_needed = false;
-            let placed = scheduling::run_scheduling_cycle(cluster, now);
+            let placed = scheduling::run_scheduling_cycle(cluster, &mut leading.fair_share, now);
             if placed > 0 {
                 tracing::debug!(placed, "round");
             }
@@ -588,8 +594,8 @@
                     cluster.job(victim.beneficiary).id,
                 );
                 tracing::info!(%task, %to, reason = ?victim.reason, ran_s, "gives way");
-                let flow = cluster.workload_class(attempt.job);
-                cluster.fair_share.status_mut(flow).attempts_preempted += 1;
+                let flow = WorkloadClass::of_job(job);
+                leading.fair_share.status_mut(flow).attempts_preempted += 1;
                 cluster.request_stop(victim.machine, victim.attempt_index, grace);
                 let until = now + PREEMPTED_ROOM_HOLD_MS + (grace * 1000.0) as Millis;
                 cluster.machines[victim.machine.as_usize()].reserved_for =
--- a/src/coordination/leader_log.rs
+++ b/src/coordination/leader_log.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeSet, HashSet, VecDeque};
 
 use crate::{
-    cluster::{ClusterState, JobIndex, Phase},
+    cluster::{ClusterState, JobIndex, Phase, records},
     coordination::{
         LeaderState, Node, StateTag,
         write_outcome::{TXN_TIMEOUT_MS, WriteOutcome},
@@ -415,7 +415,7 @@
             let seq = notes.next_seq;
             notes.next_seq += 1;
             let mut rest = tasks[at..].iter().copied().peekable();
-            let record = storage::log_record(cluster, &mut rest, (seq, notes.first_live_seq), room);
+            let record = records::log_record(cluster, &mut rest, (seq, notes.first_live_seq), room);
             let told = record
                 .jobs
                 .iter()
@@ -659,7 +659,7 @@
             if stands.in_flight {
                 continue;
             }
-            let value = storage::to_value(&storage::snapshot_record(cluster, job, chunk));
+            let value = storage::to_value(&records::snapshot_record(cluster, job, chunk));
             bytes += value.to_string().len() + 256;
             if bytes > MAX_TXN_BYTES && !txn.writes.is_empty() {
                 break;
@@ -735,7 +735,7 @@
             return;
         };
         let mut writes = Vec::new();
-        for (part, record) in storage::images_records(cluster, bytes).iter().enumerate() {
+        for (part, record) in records::images_records(cluster, bytes).iter().enumerate() {
             let images = &mut leading.log.image_slots;
             if images.len() == part {
                 images.push(SlotState::Free(0));
--- a/src/coordination/status.rs
+++ b/src/coordination/status.rs
@@ -78,7 +78,7 @@
                 )
             })
             .collect();
-        status.share_statuses = cluster.named_share_statuses();
+        status.share_statuses = leading.fair_share.named_statuses(cluster);
         let states = [
             ("booting", MachineState::Booting),
             ("up", MachineState::Up),
--- a/src/scheduling/fair_share.rs
+++ b/src/scheduling/fair_share.rs
@@ -36,7 +36,32 @@
 const MIN_UNITS: f64 = 1e-6;
 
 /// One class of one team.
-pub type WorkloadClass = (TeamIndex, ClassIndex);
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct WorkloadClass {
+    pub team: TeamIndex,
+    pub class: ClassIndex,
+}
+
+impl WorkloadClass {
+    pub fn of_job(job: &Job) -> Self {
+        WorkloadClass {
+            team: job.team,
+            class: job.class,
+        }
+    }
+}
+
+/// What one class of one team runs and waits for at the moment, in units.
+#[derive(Clone, Copy, Debug, Default)]
+struct ClassUsage {
+    /// The units of all that runs, is placed or waits.
+    demand: f64,
+    /// The units of the attempts that run and are not being stopped.
+    allocated: f64,
+    waiting_tasks: usize,
+    /// How long its oldest waiting job has been known here, in milliseconds.
+    oldest_wait_ms: Millis,
+}
 
 /// How a class of a team stands. Resources are units: GPUs, or CPUs where there are none.
 #[derive(Clone, Debug, Default)]
@@ -172,166 +197,183 @@
     parts
 }
 
-impl ClusterState {
-    pub fn workload_class(&self, job: JobIndex) -> WorkloadClass {
-        let job = self.job(job);
-        (job.team, job.class)
-    }
-
-    /// The last task of an array has completed.
-    pub fn record_job_completion(&mut self, index: JobIndex, now: Millis) {
-        let job = self.job(index);
-        let aims = &self.objectives[job.class.as_usize()];
-        let due = aims
+impl FairShareLedger {
+    /// Counts a job whose last task has completed, and whether it met the earliest of the times
+    /// that are set for its end.
+    pub fn record_job_completion(&mut self, cluster: &ClusterState, index: JobIndex, now: Millis) {
+        let job = cluster.job(index);
+        let objectives = &cluster.objectives[job.class.as_usize()];
+        let limits_s = objectives
             .completion_objectives_s(job.deadline_s)
-            .chain(aims.finish_s.iter().copied());
-        let due_s = due.fold(f64::INFINITY, f64::min);
-        let took_s = self.wall_ms(now).saturating_sub(job.submitted_ms) as f64 / 1000.0;
-        let flow = self.workload_class(index);
-        let standing = self.fair_share.status_mut(flow);
-        standing.jobs_completed += 1;
-        standing.jobs_on_time += u64::from(took_s <= due_s);
+            .chain(objectives.finish_s.iter().copied());
+        let limit_s = limits_s.fold(f64::INFINITY, f64::min);
+        let took_s = cluster.wall_ms(now).saturating_sub(job.submitted_ms) as f64 / 1000.0;
+        let status = self.status_mut(WorkloadClass::of_job(job));
+        status.jobs_completed += 1;
+        status.jobs_on_time += u64::from(took_s <= limit_s);
     }
 
-    /// Gives each class its due, once a second. `capacity` is what the usable machines hold, and `deserved` what
-    /// each team deserves of it.
-    pub fn update_fair_shares(&mut self, now: Millis, capacity: f64, deserved: &[f64]) {
-        let passed = match self.fair_share.updated_at {
+    /// Computes each class's entitlement, once a second, and who is starved.
+    ///
+    /// `capacity` is the units of all schedulable machines, `deserved` each team's deserved share
+    /// of them.
+    pub fn update(&mut self, cluster: &ClusterState, now: Millis, capacity: f64, deserved: &[f64]) {
+        let elapsed_s = match self.updated_at {
             Some(at) if at + FAIR_SHARE_UPDATE_INTERVAL_MS > now => return,
             Some(at) => (now - at) as f64 / 1000.0,
             None => FAIR_SHARE_WINDOW_S,
         };
-        self.fair_share.updated_at = Some(now);
-        let mut seen: BTreeMap<WorkloadClass, (f64, f64, usize, Millis)> = BTreeMap::new();
-        for attempt in self.machines.iter().flat_map(|machine| &machine.attempts) {
-            if attempt.phase == Phase::Ended || self.job(attempt.job).closed {
-                continue;
-            }
-            let units = self.accounted_units(&self.job(attempt.job).requested);
-            let (demand, got, ..) = seen.entry(self.workload_class(attempt.job)).or_default();
-            *demand += units;
-            let runs = matches!(attempt.phase, Phase::Running | Phase::Saving);
-            *got += if runs && attempt.stop_grace_s.is_none() {
-                units
-            } else {
-                0.0
-            };
-        }
-        for &(.., index) in self.teams.iter().flat_map(|team| &team.queue) {
-            let job = self.job(index);
-            // A gang waits for room for all of it at once, and a job that fails everywhere for its user.
-            if job.kind == JobKind::Gang || job.quarantined {
-                continue;
-            }
-            let slots = job.placeable_tasks();
-            let (demand, _, waiting, oldest) = seen.entry(self.workload_class(index)).or_default();
-            *demand += self.accounted_units(&job.requested) * slots as f64;
-            *waiting += slots;
-            *oldest = (*oldest).max(now.saturating_sub(job.first_seen_at));
-        }
-        let dues = self.compute_entitlements(&seen, capacity, deserved);
-        let part = 1.0 - (-passed / FAIR_SHARE_WINDOW_S).exp();
-        for (flow, standing) in &mut self.fair_share.statuses {
-            let (demand, got, waiting, oldest) = seen.remove(flow).unwrap_or_default();
-            standing.demand = demand;
-            standing.waiting_tasks = waiting;
-            standing.oldest_wait_ms = oldest;
-            standing.update_means(dues.get(flow).copied().unwrap_or(0.0), got, part);
+        self.updated_at = Some(now);
+        let mut usages = class_usages(cluster, now);
+        let entitlements = compute_entitlements(cluster, &usages, capacity, deserved);
+        let entitled = |class| entitlements.get(&class).copied().unwrap_or(0.0);
+        let weight = 1.0 - (-elapsed_s / FAIR_SHARE_WINDOW_S).exp();
+        for (class, status) in &mut self.statuses {
+            let usage = usages.remove(class).unwrap_or_default();
+            status.demand = usage.demand;
+            status.waiting_tasks = usage.waiting_tasks;
+            status.oldest_wait_ms = usage.oldest_wait_ms;
+            status.update_means(entitled(*class), usage.allocated, weight);
         }
-        for (flow, (demand, got, waiting, oldest)) in seen {
-            let standing = ShareStatus {
-                demand,
-                waiting_tasks: waiting,
-                oldest_wait_ms: oldest,
-                entitled: dues.get(&flow).copied().unwrap_or(0.0),
-                allocated: got,
+        for (class, usage) in usages {
+            let status = ShareStatus {
+                demand: usage.demand,
+                waiting_tasks: usage.waiting_tasks,
+                oldest_wait_ms: usage.oldest_wait_ms,
+                entitled: entitled(class),
+                allocated: usage.allocated,
                 ..ShareStatus::default()
             };
-            self.fair_share.statuses.insert(flow, standing);
+            self.statuses.insert(class, status);
         }
-        self.update_starvation(now);
+        self.update_starvation(cluster, now);
     }
 
-    /// What each class is due now: an equal split of what its team deserves, capped by its demand. Where
-    /// guarantees take more than there is, all get less in the same proportion, and a team that they leave
-    /// nothing still has a part.
-    fn compute_entitlements(
-        &self,
-        seen: &BTreeMap<WorkloadClass, (f64, f64, usize, Millis)>,
-        capacity: f64,
-        deserved: &[f64],
-    ) -> BTreeMap<WorkloadClass, f64> {
-        let whole: f64 = deserved.iter().sum();
-        let scale = (capacity / whole.max(MIN_UNITS)).min(1.0);
-        let mut demands = vec![0.0; self.teams.len()];
-        for ((team, _), (demand, ..)) in seen {
-            demands[team.as_usize()] += demand;
+    fn update_starvation(&mut self, cluster: &ClusterState, now: Millis) {
+        let mut any_starved = false;
+        for (&class, status) in &mut self.statuses {
+            let changed = status.update_starvation(now);
+            any_starved |= status.starved;
+            if changed {
+                log_starvation_change(cluster, class, status);
+            }
         }
-        let needy = deserved.iter().zip(&demands).filter(|(deserved, demand)| {
-            **deserved * scale + MIN_UNITS < demand.min(STARVED_SHARE_FRACTION * capacity)
-        });
-        let least = STARVED_SHARE_FRACTION * capacity / needy.count().max(1) as f64;
-        let mut dues = BTreeMap::new();
-        for (team, deserved) in deserved.iter().enumerate() {
-            let flows: Vec<_> = seen
-                .iter()
-                .filter(|((of, _), _)| of.as_usize() == team)
-                .collect();
-            let caps: Vec<f64> = flows.iter().map(|(_, (demand, ..))| *demand).collect();
-            let limit = self.accounted_units(&self.teams[team].limit);
-            let share = (deserved * scale).max(least).min(limit);
-            let parts = split_with_caps(share, &caps);
-            dues.extend(flows.iter().map(|(flow, _)| **flow).zip(parts));
+        if !any_starved {
+            self.credit = 0.0;
         }
-        dues
     }
+}
 
-    fn update_starvation(&mut self, now: Millis) {
-        let mut any = false;
-        for (&(team, class), standing) in &mut self.fair_share.statuses {
-            let changed = standing.update_starvation(now);
-            any |= standing.starved;
-            if changed {
-                let name = self.class_interner.name(class.0).unwrap_or_default();
-                let team = &self.teams[team.as_usize()].name;
-                let (due, got) = (standing.entitled.round(), standing.allocated.round());
-                let (waiting, oldest_ms) = (standing.waiting_tasks, standing.oldest_wait_ms);
-                if standing.starved {
-                    tracing::warn!(
-                        team,
-                        class = name,
-                        due,
-                        got,
-                        waiting,
-                        oldest_ms,
-                        "is behind its due"
-                    );
-                } else {
-                    tracing::info!(team, class = name, due, got, waiting, "has caught up");
-                }
-            }
+fn log_starvation_change(cluster: &ClusterState, class: WorkloadClass, status: &ShareStatus) {
+    let name = cluster
+        .class_interner
+        .name(class.class.0)
+        .unwrap_or_default();
+    let team = &cluster.teams[class.team.as_usize()].name;
+    let (due, got) = (status.entitled.round(), status.allocated.round());
+    let (waiting, oldest_ms) = (status.waiting_tasks, status.oldest_wait_ms);
+    if status.starved {
+        tracing::warn!(
+            team,
+            class = name,
+            due,
+            got,
+            waiting,
+            oldest_ms,
+            "is behind its due"
+        );
+    } else {
+        tracing::info!(team, class = name, due, got, waiting, "has caught up");
+    }
+}
+
+/// What each class runs and waits for now.
+fn class_usages(cluster: &ClusterState, now: Millis) -> BTreeMap<WorkloadClass, ClassUsage> {
+    let mut usages: BTreeMap<WorkloadClass, ClassUsage> = BTreeMap::new();
+    for attempt in cluster
+        .machines
+        .iter()
+        .flat_map(|machine| &machine.attempts)
+    {
+        let job = cluster.job(attempt.job);
+        if attempt.phase == Phase::Ended || job.closed {
+            continue;
         }
-        if !any {
-            self.fair_share.credit = 0.0;
+        let units = cluster.accounted_units(&job.requested);
+        let usage = usages.entry(WorkloadClass::of_job(job)).or_default();
+        usage.demand += units;
+        let runs = matches!(attempt.phase, Phase::Running | Phase::Saving);
+        if runs && attempt.stop_grace_s.is_none() {
+            usage.allocated += units;
         }
     }
+    for &(.., index) in cluster.teams.iter().flat_map(|team| &team.queue) {
+        let job = cluster.job(index);
+        // A gang waits for room for all of it at once, and a quarantined job for its user.
+        if job.kind == JobKind::Gang || job.quarantined {
+            continue;
+        }
+        let placeable = job.placeable_tasks();
+        let usage = usages.entry(WorkloadClass::of_job(job)).or_default();
+        usage.demand += cluster.accounted_units(&job.requested) * placeable as f64;
+        usage.waiting_tasks += placeable;
+        usage.oldest_wait_ms = usage
+            .oldest_wait_ms
+            .max(now.saturating_sub(job.first_seen_at));
+    }
+    usages
+}
 
-    /// The first jobs of a class that may be given a place now, in their team's order.
-    pub fn placeable_jobs_of(
-        &self,
-        (team, class): WorkloadClass,
-        now: Millis,
-    ) -> impl Iterator<Item = QueueKey> {
-        let queue = self.teams[team.as_usize()].queue.iter().copied();
-        queue.filter(move |&(.., index)| {
-            let job = self.job(index);
-            job.class == class
-                && job.kind != JobKind::Gang
-                && !job.quarantined
-                && job.backoff_until <= now
-                && self.teams[team.as_usize()].allows(&job.requested)
-        })
+/// What each class is entitled to now: an equal split of what its team deserves, capped by its
+/// demand. Where guarantees exceed the capacity, all get less in the same proportion, and a team
+/// that they leave nothing still gets a part.
+fn compute_entitlements(
+    cluster: &ClusterState,
+    usages: &BTreeMap<WorkloadClass, ClassUsage>,
+    capacity: f64,
+    deserved: &[f64],
+) -> BTreeMap<WorkloadClass, f64> {
+    let total_deserved: f64 = deserved.iter().sum();
+    let scale = (capacity / total_deserved.max(MIN_UNITS)).min(1.0);
+    let mut demands = vec![0.0; cluster.teams.len()];
+    for (class, usage) in usages {
+        demands[class.team.as_usize()] += usage.demand;
+    }
+    let needy_teams = deserved.iter().zip(&demands).filter(|(deserved, demand)| {
+        **deserved * scale + MIN_UNITS < demand.min(STARVED_SHARE_FRACTION * capacity)
+    });
+    let least = STARVED_SHARE_FRACTION * capacity / needy_teams.count().max(1) as f64;
+    let mut entitlements = BTreeMap::new();
+    for (team, deserved) in deserved.iter().enumerate() {
+        let classes: Vec<_> = usages
+            .iter()
+            .filter(|(class, _)| class.team.as_usize() == team)
+            .collect();
+        let caps: Vec<f64> = classes.iter().map(|(_, usage)| usage.demand).collect();
+        let limit = cluster.accounted_units(&cluster.teams[team].limit);
+        let share = (deserved * scale).max(least).min(limit);
+        let parts = split_with_caps(share, &caps);
+        entitlements.extend(classes.iter().map(|(class, _)| **class).zip(parts));
     }
+    entitlements
+}
+
+/// The first jobs of a class that may be placed now, in their team's order.
+pub fn placeable_jobs_of(
+    cluster: &ClusterState,
+    class: WorkloadClass,
+    now: Millis,
+) -> impl Iterator<Item = QueueKey> {
+    let team = &cluster.teams[class.team.as_usize()];
+    let queue = team.queue.iter().copied();
+    queue.filter(move |&(.., index)| {
+        let job = cluster.job(index);
+        job.class == class.class
+            && job.kind != JobKind::Gang
+            && !job.quarantined
+            && job.backoff_until <= now
+            && team.allows(&job.requested)
+    })
 }
 
 #[cfg(test)]
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -18,6 +18,7 @@
         QueueKey, Resources, TeamIndex,
     },
     protocol::job::{JobKind, Priority},
+    scheduling::fair_share::{FairShareLedger, WorkloadClass},
     time::{Millis, millis},
 };
 
@@ -212,21 +213,26 @@
 /// One allocation round: pops the team with the fewest booked units, places its first task,
 /// reshuffles. A job that fits nowhere, or whose team is at its limit, sits this round out; a team
 /// without another job leaves the heap. Returns how many tasks were placed.
-pub fn run_scheduling_cycle(cluster: &mut ClusterState, now: Millis) -> usize {
-    run_scheduling_cycle_with(cluster, now, &mut CandidateCache::default())
+pub fn run_scheduling_cycle(
+    cluster: &mut ClusterState,
+    fair_share: &mut FairShareLedger,
+    now: Millis,
+) -> usize {
+    run_scheduling_cycle_with(cluster, fair_share, now, &mut CandidateCache::default())
 }
 
 /// A round that tells of its looks.
 pub fn run_scheduling_cycle_with(
     cluster: &mut ClusterState,
+    fair_share: &mut FairShareLedger,
     now: Millis,
     looks: &mut CandidateCache,
 ) -> usize {
     let capacity = schedulable_capacity(cluster);
     let deserved = compute_deserved_shares(cluster, capacity);
-    cluster.update_fair_shares(now, capacity, &deserved);
-    let mut placed = place_starved_classes(cluster, now, looks);
-    let behind = cluster.fair_share.starved_classes();
+    fair_share.update(cluster, now, capacity, &deserved);
+    let mut placed = place_starved_classes(cluster, fair_share, now, looks);
+    let behind = fair_share.starved_classes();
     let mut heap: BinaryHeap<_> = (0..cluster.teams.len() as u32)
         .map(TeamIndex)
         .filter(|team| !cluster.teams[team.as_usize()].queue.is_empty())
@@ -252,7 +258,7 @@
         let mut found = None;
         for key in queue.range((after, Bound::Unbounded)) {
             let entry = cluster.job(key.2);
-            if cluster.fair_share.would_be_preempted(entry, now) {
+            if fair_share.would_be_preempted(entry, now) {
                 continue;
             }
             if !full
@@ -307,18 +313,17 @@
                     let task = loser.task_id(attempt.task);
                     let ran_s = elapsed_run_s(attempt, now) as u64;
                     tracing::info!(%task, %to, reason = "Image", ran_s, "gives way");
-                    let flow = cluster.workload_class(attempt.job);
-                    cluster.fair_share.status_mut(flow).attempts_preempted += 1;
+                    let flow = WorkloadClass::of_job(loser);
+                    fair_share.status_mut(flow).attempts_preempted += 1;
                     cluster.request_stop(machine, at, 0.0);
                 }
                 cluster.place(job, task, machine, now);
                 looks.placed_on.push(machine);
                 placed += 1;
-                if !behind.is_empty() && !behind.contains(&cluster.workload_class(job)) {
+                if !behind.is_empty() && !behind.contains(&WorkloadClass::of_job(cluster.job(job)))
+                {
                     let units = cluster.accounted_units(&cluster.job(job).requested);
-                    cluster
-                        .fair_share
-                        .earn_credit(units, fair_share::STARVED_SHARE_FRACTION * capacity);
+                    fair_share.earn_credit(units, fair_share::STARVED_SHARE_FRACTION * capacity);
                 }
             }
             None => {
@@ -337,7 +342,7 @@
         heap.push(Reverse(team_heap_key(cluster, team, &deserved)));
     }
     if let Some(priority) = pressing {
-        cluster.fair_share.note_blocked_arrays(priority, now);
+        fair_share.note_blocked_arrays(priority, now);
     }
     placed + place_long_waiting_on_slow_machines(cluster, now)
 }
@@ -402,13 +407,13 @@
 /// Gives those that are behind their due their part of the room that others have got.
 fn place_starved_classes(
     cluster: &mut ClusterState,
+    fair_share: &mut FairShareLedger,
     now: Millis,
     looks: &mut CandidateCache,
 ) -> usize {
     let mut placed = 0;
-    for flow in cluster.fair_share.starved_classes() {
-        let jobs: Vec<JobIndex> = cluster
-            .placeable_jobs_of(flow, now)
+    for flow in fair_share.starved_classes() {
+        let jobs: Vec<JobIndex> = fair_share::placeable_jobs_of(cluster, flow, now)
             .take(MAX_PLACEMENTS_PER_CYCLE)
             .map(|(.., job)| job)
             .collect();
@@ -422,7 +427,7 @@
             {
                 continue;
             }
-            while cluster.fair_share.credit() > 0.0 && placed < MAX_PLACEMENTS_PER_CYCLE {
+            while fair_share.credit() > 0.0 && placed < MAX_PLACEMENTS_PER_CYCLE {
                 let entry = cluster.job(job);
                 let Some(&task) = entry.waiting.first() else {
                     break;
@@ -442,9 +447,7 @@
                 };
                 cluster.place_for_fair_share(job, task, machine, now);
                 looks.placed_on.push(machine);
-                cluster
-                    .fair_share
-                    .spend_credit(cluster.accounted_units(&need));
+                fair_share.spend_credit(cluster.accounted_units(&need));
                 placed += 1;
             }
         }
--- a/tests/floods.rs
+++ b/tests/floods.rs
@@ -6,7 +6,7 @@
 use dalelb::{
     cluster::{Attempt, ClusterState, JobIndex, MachineIndex, Phase},
     protocol::job::{JobKind, Priority, Submission},
-    scheduling::{self, PreemptionScope},
+    scheduling::{self, PreemptionScope, fair_share::FairShareLedger},
 };
 
 mod fixtures;
@@ -25,6 +25,7 @@
 /// A fleet whose tasks run for as long as was estimated.
 struct SimulatedFleet {
     cluster: ClusterState,
+    fair_share: FairShareLedger,
     now: u64,
     counts: HashMap<&'static str, TaskCounts>,
 }
@@ -33,6 +34,7 @@
     fn new(cluster: ClusterState) -> Self {
         SimulatedFleet {
             cluster,
+            fair_share: FairShareLedger::default(),
             now: 0,
             counts: HashMap::new(),
         }
@@ -75,7 +77,7 @@
         }
         self.cluster.set_time_of_day(now, now);
         self.cluster.refresh_placement_deadlines(now);
-        scheduling::run_scheduling_cycle(&mut self.cluster, now);
+        scheduling::run_scheduling_cycle(&mut self.cluster, &mut self.fair_share, now);
         if now % 1000 == 0 {
             let whose = if now % 10_000 == 0 {
                 PreemptionScope::All
@@ -192,10 +194,7 @@
             fleet.add_job(&calm);
         }
         fleet.step();
-        assert!(
-            fleet.cluster.fair_share.starved_classes().is_empty(),
-            "step {step}"
-        );
+        assert!(fleet.fair_share.starved_classes().is_empty(), "step {step}");
     }
     assert!(
         fleet.team_counts("blue").preempted_running + fleet.team_counts("red").preempted_running
@@ -232,7 +231,7 @@
 #[test]
 fn scheduling_cycle_cost_is_proportional_to_placements() {
     let mut fleet = flooded_fleet(1300);
-    while scheduling::run_scheduling_cycle(&mut fleet.cluster, 250) > 0 {}
+    while scheduling::run_scheduling_cycle(&mut fleet.cluster, &mut fleet.fair_share, 250) > 0 {}
     for number in 0..10_000 {
         let waits = Submission {
             class: format!("class-{}", number % 20),
@@ -252,13 +251,14 @@
         took
     };
     let cluster = &mut fleet.cluster;
+    let fair_share = &mut fleet.fair_share;
     let mut looks = scheduling::CandidateCache::default();
     timed("round with a look at dues", &mut || {
-        scheduling::run_scheduling_cycle_with(cluster, 10_000, &mut looks);
+        scheduling::run_scheduling_cycle_with(cluster, fair_share, 10_000, &mut looks);
     });
     let mut looks = scheduling::CandidateCache::default();
     let round = timed("round", &mut || {
-        scheduling::run_scheduling_cycle_with(cluster, 10_040, &mut looks);
+        scheduling::run_scheduling_cycle_with(cluster, fair_share, 10_040, &mut looks);
     });
     assert!(
         looks.machines_scored <= 30 * 1300,
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -6,13 +6,13 @@
     autoscaler::Autoscaler,
     cluster::{
         ClusterState, InheritedUrgency, JobIndex, Machine, MachineIndex, MachineState,
-        MachineTypeIndex, Phase, Resources, TeamIndex,
+        MachineTypeIndex, Phase, Resources, TeamIndex, records,
     },
     protocol::{
         ids::JobId,
         job::{JobKind, Priority, Submission},
     },
-    scheduling::{self, CandidateCache, PreemptionScope},
+    scheduling::{self, CandidateCache, PreemptionScope, fair_share::FairShareLedger},
     storage,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -32,25 +32,30 @@
 #[test]
 fn equal_teams_get_equal_reservations_regardless_of_arrival_and_backlog() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 4);
+    let mut fair_share = FairShareLedger::default();
     cluster.add_job(&job(1, "red", 1000, 4.0), 0, 0);
     cluster.add_job(&job(2, "blue", 10, 4.0), 99, 0);
-    scheduling::run_scheduling_cycle(&mut cluster, 0);
+    scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0);
     assert_eq!(reserved_units(&cluster), [32.0, 32.0]);
 }
 
 #[test]
 fn guarantee_is_enforced_by_preempting_only_excess_of_other_teams() {
     let mut cluster = cluster((16.0, 0.0), (0.0, 0.0), 4);
+    let mut fair_share = FairShareLedger::default();
     let aimed = Submission {
         deadline_s: Some(1000.0),
         ..job(1, "blue", 16, 4.0)
     };
     cluster.add_job(&aimed, 0, 0);
-    scheduling::run_scheduling_cycle(&mut cluster, 0);
+    scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0);
     advance_all_to_running(&mut cluster, 0);
     assert_eq!(reserved_units(&cluster), [0.0, 64.0]);
     cluster.add_job(&job(2, "red", 100, 4.0), 0, 0);
-    assert_eq!(scheduling::run_scheduling_cycle(&mut cluster, 1), 0);
+    assert_eq!(
+        scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 1),
+        0
+    );
     // Red deserves its 16 and half of the other 48.
     assert_eq!(
         scheduling::compute_deserved_shares(&cluster, 64.0),
@@ -85,7 +90,7 @@
             }
         }
     }
-    scheduling::run_scheduling_cycle(&mut cluster, 5001);
+    scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 5001);
     assert_eq!(reserved_units(&cluster), [16.0, 48.0]);
     assert!(
         scheduling::select_preemptions(&cluster, 6000, PreemptionScope::All).is_empty(),
@@ -98,6 +103,7 @@
     for seed in 0..40 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut cluster = cluster((8.0, 24.0), (0.0, 48.0), 6);
+        let mut fair_share = FairShareLedger::default();
         cluster.machines[5].spot = true;
         let mut now = 0;
         for number in 1..60 {
@@ -116,7 +122,7 @@
                 spec.one_zone = !spec.spread && rng.random_bool(0.5);
             }
             cluster.add_job(&spec, number, now);
-            scheduling::run_scheduling_cycle(&mut cluster, now);
+            scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, now);
             for machine in 0..cluster.machines.len() as u32 {
                 let machine = MachineIndex(machine);
                 for at in (0..cluster.machine(machine).attempts.len()).rev() {
@@ -161,10 +167,11 @@
 #[test]
 fn replica_preempts_array_task_on_machine_that_has_its_image() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 2);
+    let mut fair_share = FairShareLedger::default();
     let mut warm = job(1, "red", 4, 4.0);
     warm.image = "front-img".into();
     cluster.add_job(&warm, 0, 0);
-    scheduling::run_scheduling_cycle(&mut cluster, 0);
+    scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0);
     advance_all_to_running(&mut cluster, 0);
     let mut replica = job(2, "blue", 1, 4.0);
     replica.kind = JobKind::Service;
@@ -174,7 +181,7 @@
     replica.image_gb = 5.0;
     replica.spot = false;
     cluster.add_job(&replica, 0, 40_000);
-    scheduling::run_scheduling_cycle(&mut cluster, 40_000);
+    scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 40_000);
     let holder = cluster
         .machines
         .iter()
@@ -232,6 +239,7 @@
 #[test]
 fn waiting_tasks_scale_out_and_idle_machines_scale_in() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 0);
+    let mut fair_share = FairShareLedger::default();
     let mut autoscaler = Autoscaler::default();
     let mut replica = job(1, "red", 4, 4.0);
     replica.kind = JobKind::Service;
@@ -254,7 +262,7 @@
 
     let mut cluster = self::cluster((0.0, 0.0), (0.0, 0.0), 3);
     cluster.add_job(&job(2, "red", 1, 4.0), 0, 0);
-    scheduling::run_scheduling_cycle(&mut cluster, 0);
+    scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0);
     let (_, returns) = autoscaler.plan_scaling(&cluster, &[], 200_000, 200_000);
     assert_eq!(returns.len(), 2, "the one with work stays");
 }
@@ -321,11 +329,12 @@
 #[test]
 fn largest_job_fits_snapshot_value_limit_and_scheduling_cycle() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 40);
+    let mut fair_share = FairShareLedger::default();
     let index = cluster.add_job(&job(1, "red", 100_000, 0.1), 0, 0).unwrap();
-    while scheduling::run_scheduling_cycle(&mut cluster, 0) > 0 {}
+    while scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0) > 0 {}
     assert!(cluster.job(index).waiting.len() < 100_000);
     for chunk in 0..cluster.job(index).task_ranges.len() as u32 {
-        let record = storage::snapshot_record(&cluster, index, chunk);
+        let record = records::snapshot_record(&cluster, index, chunk);
         let value = storage::to_value(&record);
         assert!(value.to_string().len() <= 16 * 1024);
         assert_eq!(
@@ -339,12 +348,13 @@
 #[test]
 fn image_records_stay_within_value_limit() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 600);
+    let mut fair_share = FairShareLedger::default();
     cluster.add_job(&job(1, "red", 1200, 8.0), 0, 0);
-    while scheduling::run_scheduling_cycle(&mut cluster, 0) > 0 {}
+    while scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0) > 0 {}
     advance_all_to_running(&mut cluster, 0);
     cluster.machines[3].draining = true;
     for bytes in [2048, 16 * 1024] {
-        let records = storage::images_records(&cluster, bytes);
+        let records = records::images_records(&cluster, bytes);
         let mut told = 0;
         for record in records {
             told += record
@@ -380,18 +390,19 @@
 #[test]
 fn log_records_fit_value_limit_and_contain_each_change_once() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 600);
+    let mut fair_share = FairShareLedger::default();
     for number in 0..300 {
         let team = ["red", "blue"][number as usize % 2];
         cluster.add_job(&job(number, team, 7, 4.0), 0, 0);
     }
-    while scheduling::run_scheduling_cycle(&mut cluster, 0) > 0 {}
+    while scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0) > 0 {}
     let changed: Vec<_> = cluster.unlogged_tasks.iter().copied().collect();
     assert_eq!(changed.len(), 2100, "each placement is a change");
     for bytes in [600, 4096, 16 * 1024] {
         let mut tasks = changed.iter().copied().peekable();
         let mut named = 0;
         while tasks.peek().is_some() {
-            let record = storage::log_record(&cluster, &mut tasks, (1, 1), bytes);
+            let record = records::log_record(&cluster, &mut tasks, (1, 1), bytes);
             named += record
                 .jobs
                 .iter()
@@ -409,19 +420,23 @@
 #[test]
 fn gang_is_placed_atomically() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 4);
+    let mut fair_share = FairShareLedger::default();
     let mut gang = job(1, "red", 9, 4.0);
     gang.kind = JobKind::Gang;
     gang.one_zone = true;
     let index = cluster.add_job(&gang, 0, 0).unwrap();
     assert_eq!(
-        scheduling::run_scheduling_cycle(&mut cluster, 0),
+        scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0),
         0,
         "a zone holds eight"
     );
     let zone = cluster.intern_zone("a");
     let more = cluster.add_machine("vm-000009", MachineTypeIndex(0), zone, false, 0);
     cluster.machines[more.as_usize()].state = MachineState::Up;
-    assert_eq!(scheduling::run_scheduling_cycle(&mut cluster, 0), 9);
+    assert_eq!(
+        scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0),
+        9
+    );
     assert_eq!(cluster.job(index).active_by_zone, [9, 0]);
 }
 
@@ -469,10 +484,13 @@
             crowded_cluster(seed, 12, 20, 20),
             crowded_cluster(seed, 12, 20, 20),
         );
+        let mut shared_fair_share = FairShareLedger::default();
+        let mut plain_fair_share = FairShareLedger::default();
         for now in (0..4000).step_by(40) {
-            scheduling::run_scheduling_cycle(&mut shared, now);
+            scheduling::run_scheduling_cycle(&mut shared, &mut shared_fair_share, now);
             scheduling::run_scheduling_cycle_with(
                 &mut plain,
+                &mut plain_fair_share,
                 now,
                 &mut CandidateCache::without_cache(),
             );
@@ -498,6 +516,7 @@
 #[test]
 fn scheduling_cycle_scores_bounded_number_of_machines() {
     let mut cluster = crowded_cluster(1, 600, 30, 4000);
+    let mut fair_share = FairShareLedger::default();
     let tasks: usize = cluster.jobs.iter().map(|job| job.tasks.len()).sum();
     assert!(tasks > 20_000, "{tasks} tasks");
     let mut total = 0;
@@ -508,7 +527,8 @@
         let replicas: usize = services.iter().map(|job| job.waiting.len()).sum();
         let (jobs, teams) = (arrays.len() + services.len(), cluster.teams.len());
         let mut looks = CandidateCache::default();
-        let placed = scheduling::run_scheduling_cycle_with(&mut cluster, now, &mut looks);
+        let placed =
+            scheduling::run_scheduling_cycle_with(&mut cluster, &mut fair_share, now, &mut looks);
         if placed == 0 {
             break;
         }
@@ -539,12 +559,13 @@
 #[test]
 fn room_freed_by_preemption_is_reserved_for_the_preemptor() {
     let mut cluster = cluster((16.0, 0.0), (0.0, 0.0), 4);
+    let mut fair_share = FairShareLedger::default();
     let guest = Submission {
         priority: Priority::Low,
         ..job(1, "blue", 100, 1.0)
     };
     cluster.add_job(&guest, 0, 0);
-    scheduling::run_scheduling_cycle(&mut cluster, 0);
+    scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0);
     advance_all_to_running(&mut cluster, 0);
     // Red is beyond what it deserves, blue below: the heap would have blue go first.
     let urgent = Submission {
@@ -562,7 +583,7 @@
             cluster.machines[victim.machine.as_usize()].reserved_for =
                 Some((victim.beneficiary, now + 3000));
         }
-        scheduling::run_scheduling_cycle(&mut cluster, now);
+        scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, now);
     }
     assert_eq!(
         cluster.job(index).waiting.len(),
@@ -581,6 +602,7 @@
 #[test]
 fn task_with_objective_is_preempted_once_by_arrays_and_always_by_services() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 1);
+    let mut fair_share = FairShareLedger::default();
     let guest = Submission {
         priority: Priority::Low,
         class: "batch".into(),
@@ -588,7 +610,7 @@
     };
     cluster.add_job(&guest, 0, 0);
     for (attempt, stopped) in [(1, 1), (2, 0)] {
-        scheduling::run_scheduling_cycle(&mut cluster, 0);
+        scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0);
         advance_all_to_running(&mut cluster, 0);
         assert_eq!(
             cluster.machine(MachineIndex(0)).attempts[0].attempt,
@@ -606,7 +628,7 @@
             cluster.remove_attempt(MachineIndex(0), at, 1000);
         }
     }
-    scheduling::run_scheduling_cycle(&mut cluster, 2000);
+    scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 2000);
     let service = Submission {
         kind: JobKind::Service,
         priority: Priority::Production,
@@ -626,12 +648,13 @@
 fn arrays_do_not_preempt_work_within_another_teams_guarantee() {
     for (guarantee, stopped) in [(16.0, 0), (8.0, 2), (0.0, 4)] {
         let mut cluster = cluster((0.0, 0.0), (guarantee, 0.0), 1);
+        let mut fair_share = FairShareLedger::default();
         let guaranteed = Submission {
             priority: Priority::Low,
             ..job(1, "blue", 4, 4.0)
         };
         cluster.add_job(&guaranteed, 0, 0);
-        scheduling::run_scheduling_cycle(&mut cluster, 0);
+        scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0);
         advance_all_to_running(&mut cluster, 0);
         let urgent = Submission {
             priority: Priority::High,
@@ -717,6 +740,7 @@
 #[test]
 fn job_inherits_priority_and_deadline_of_its_dependents() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 1);
+    let mut fair_share = FairShareLedger::default();
     let plain = Submission {
         priority: Priority::Low,
         estimate_s: 10.0,
@@ -738,7 +762,7 @@
         (Priority::High, &[27.0, 57.0][..])
     );
     assert_eq!(entry.placement_deadline_ms, 26_500);
-    scheduling::run_scheduling_cycle(&mut cluster, 0);
+    scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0);
     assert_eq!(cluster.job(index).waiting.len(), 5, "it had its turn first");
     let own = InheritedUrgency {
         priority: Priority::Low,
@@ -761,6 +785,7 @@
 #[test]
 fn job_without_objective_is_not_starved_by_blocked_array() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 2);
+    let mut fair_share = FairShareLedger::default();
     let replicas = Submission {
         kind: JobKind::Service,
         priority: Priority::Production,
@@ -769,14 +794,14 @@
         ..job(1, "red", 2, 1.0)
     };
     cluster.add_job(&replicas, 0, 0);
-    scheduling::run_scheduling_cycle(&mut cluster, 0);
+    scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0);
     advance_all_to_running(&mut cluster, 0);
     let urgent = Submission {
         priority: Priority::High,
         ..job(2, "red", 4, 16.0)
     };
     cluster.add_job(&urgent, 500, 500);
-    scheduling::run_scheduling_cycle(&mut cluster, 500);
+    scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 500);
     let small = Submission {
         priority: Priority::Low,
         ..job(3, "blue", 3, 1.0)
@@ -784,7 +809,7 @@
     let small = cluster.add_job(&small, 1000, 1000).expect("a known team");
     let mut placed = None;
     for now in (1000..91_000).step_by(1000) {
-        scheduling::run_scheduling_cycle(&mut cluster, now);
+        scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, now);
         assert!(
             scheduling::select_preemptions(&cluster, now, PreemptionScope::All).is_empty(),
             "nobody is in the way"
@@ -805,17 +830,18 @@
 #[test]
 fn job_retries_failed_machine_after_avoidance_period() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 1);
+    let mut fair_share = FairShareLedger::default();
     let index = cluster
         .add_job(&job(1, "red", 1, 4.0), 0, 0)
         .expect("a known team");
-    scheduling::run_scheduling_cycle(&mut cluster, 0);
+    scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0);
     let on = MachineIndex(0);
     cluster.advance_phase(on, 0, Phase::Ended, 1000);
     cluster.requeue(index, 0, 1);
     cluster.on_task_failed(index, on, 1000);
     cluster.remove_attempt(on, 0, 1000);
     let placed = (2000..91_000).step_by(1000).find(|now| {
-        scheduling::run_scheduling_cycle(&mut cluster, *now);
+        scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, *now);
         cluster.job(index).waiting.is_empty()
     });
     let placed = placed.expect("there was room");
@@ -826,6 +852,7 @@
 #[test]
 fn long_waiting_job_is_placed_on_slow_machine() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 1);
+    let mut fair_share = FairShareLedger::default();
     let replica = Submission {
         kind: JobKind::Service,
         priority: Priority::Production,
@@ -833,7 +860,7 @@
         ..job(1, "red", 1, 4.0)
     };
     cluster.add_job(&replica, 0, 0);
-    scheduling::run_scheduling_cycle(&mut cluster, 0);
+    scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0);
     advance_all_to_running(&mut cluster, 0);
     assert!(cluster.drain_for_replacement(MachineIndex(0), 1, "is slow"));
     let index = cluster
@@ -841,11 +868,11 @@
         .expect("a known team");
     let waiting = |cluster: &ClusterState| cluster.job(index).waiting.len();
     for now in (1000..75_000).step_by(1000) {
-        scheduling::run_scheduling_cycle(&mut cluster, now);
+        scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, now);
     }
     assert_eq!(waiting(&cluster), 4, "it is to be replaced");
     for now in (75_000..90_000).step_by(1000) {
-        scheduling::run_scheduling_cycle(&mut cluster, now);
+        scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, now);
     }
     assert_eq!(waiting(&cluster), 1, "it holds three more");
 }
