--- /dev/null
+++ b/src/cluster/durability.rs
@@ -0,0 +1,106 @@
+//! What the store holds of the tasks' changes: those not logged yet, and stored snapshots.
+
+use std::{collections::BTreeSet, ops::RangeInclusive};
+
+use crate::{
+    cluster::{
+        ClusterState,
+        attempt::{Attempt, Phase},
+        index::JobIndex,
+        task::TaskStatus,
+    },
+    protocol::{ids::JobId, worker::FailureCause},
+    storage::SnapshotNumber,
+};
+
+impl ClusterState {
+    /// The store holds what is known of these tasks: their starts and reaps may be sent.
+    pub fn mark_machines_for_commands(&mut self, tasks: &BTreeSet<(JobIndex, u32)>) {
+        for &(job, task) in tasks {
+            let task = self.jobs[job.as_usize()].tasks.get(task as usize);
+            if let Some(TaskStatus::Active(on)) = task.map(|task| task.status) {
+                self.machines_needing_commands.insert(on);
+            }
+        }
+    }
+
+    /// Whether the store holds what is known of the task: where it was placed, or that it is done.
+    pub fn is_durable(&self, job: JobIndex, task: u32) -> bool {
+        !self.unlogged_tasks.contains(&(job, task))
+            && !self.tasks_being_logged.contains(&(job, task))
+    }
+
+    /// Whether an attempt has ended, and its result is known beyond its worker.
+    pub fn is_acknowledged(&self, attempt: &Attempt) -> bool {
+        attempt.phase == Phase::Ended
+            && attempt.reconciled
+            && (attempt.cause != Some(FailureCause::Done)
+                || self.job(attempt.job).closed
+                || self.is_durable(attempt.job, attempt.task))
+    }
+
+    /// Whether all changes of the job's tasks are stored or in the write that is in flight.
+    pub fn is_fully_submitted(&self, job: JobIndex) -> bool {
+        self.unlogged_tasks
+            .range(task_keys_of_job(job))
+            .next()
+            .is_none()
+    }
+
+    /// The store holds a snapshot with this version; 0: it does not.
+    pub fn record_snapshot_version(&mut self, id: JobId, page: SnapshotNumber, version: u64) {
+        let Some(&job) = self.jobs_by_id.get(&id) else {
+            return;
+        };
+        let job = &mut self.jobs[job.as_usize()];
+        if let Some(index) = page.range_index(self.task_range_len) {
+            if let Some(range) = job.task_ranges.get_mut(index as usize) {
+                range.key_version = version;
+                range.in_flight = false;
+            }
+        } else {
+            job.foreign_snapshots.retain(|(other, _)| *other != page);
+            if version > 0 {
+                job.foreign_snapshots.push((page, version));
+            }
+        }
+    }
+
+    /// The stored snapshots of a job, with their versions.
+    pub fn stored_snapshots(&self, index: JobIndex) -> Vec<(SnapshotNumber, u64)> {
+        let job = self.job(index);
+        let ranges = job.task_ranges.iter().zip(0..);
+        let snapshots = ranges.map(|(range, index)| {
+            (
+                SnapshotNumber::new(self.task_range_len, index),
+                range.key_version,
+            )
+        });
+        snapshots
+            .filter(|(_, version)| *version > 0)
+            .chain(job.foreign_snapshots.iter().copied())
+            .collect()
+    }
+
+    /// Forgets a job that is over, unless a write in flight still names it. Returns whether it did.
+    pub fn free_job(&mut self, index: JobIndex) -> bool {
+        if self
+            .tasks_being_logged
+            .range(task_keys_of_job(index))
+            .next()
+            .is_some()
+        {
+            return false;
+        }
+        let job = &mut self.jobs[index.as_usize()];
+        self.jobs_by_id.remove(&job.id);
+        job.tasks = Vec::new();
+        self.free_job_slots.push(index);
+        true
+    }
+}
+
+/// The range of the keys of all tasks of a job.
+pub(super) fn task_keys_of_job(job: JobIndex) -> RangeInclusive<(JobIndex, u32)> {
+    (job, 0)..=(job, u32::MAX)
+}
--- /dev/null
+++ b/src/cluster/objectives.rs
@@ -0,0 +1,95 @@
+//! Service-level objectives: within how long the jobs of a class are to start and to end.
+
+use crate::{
+    cluster::{ClusterState, index::ClassIndex},
+    config::Objective,
+};
+
+/// The factor by which estimated run times are raised: they are often too low.
+pub const ESTIMATE_MARGIN: f64 = 1.3;
+
+/// The objectives of a class of jobs, in seconds from their submission.
+#[derive(Clone, Debug, Default)]
+pub struct ServiceLevelObjectives {
+    /// Within how many seconds of its release a job is to start.
+    pub start_s: Vec<f64>,
+    /// Within how many seconds of its release a job is to be done.
+    pub finish_s: Vec<f64>,
+    /// Multiples of a job's own deadline by which it is to be done.
+    pub deadline_multiples: Vec<f64>,
+}
+
+impl ServiceLevelObjectives {
+    /// The tightest objective for starting, in seconds.
+    pub fn tightest_start_s(&self) -> Option<f64> {
+        self.start_s.iter().copied().reduce(f64::min)
+    }
+
+    /// The completion objectives of a job with a deadline, in seconds from its submission.
+    pub fn completion_objectives_s(&self, deadline_s: Option<f64>) -> impl Iterator<Item = f64> {
+        let times = if self.deadline_multiples.is_empty() {
+            &[1.0][..]
+        } else {
+            &self.deadline_multiples
+        };
+        let due = deadline_s.into_iter();
+        due.flat_map(move |due| times.iter().map(move |times| due * times))
+    }
+
+    /// How many seconds the tasks of a job can wait from its release, `held_s` after its submission, to
+    /// end in time. Objectives that can't be met even by starting at once are left out.
+    pub(super) fn completion_slacks_s(
+        &self,
+        estimate_s: f64,
+        deadline_s: Option<f64>,
+        held_s: f64,
+    ) -> Vec<f64> {
+        let run_s = estimate_s * ESTIMATE_MARGIN;
+        let deadlines = self
+            .completion_objectives_s(deadline_s)
+            .map(|due| due - held_s - run_s);
+        let finishes = self.finish_s.iter().map(|within| within - run_s);
+        let mut waits: Vec<f64> = finishes.chain(deadlines).collect();
+        waits.retain(|wait| *wait > 0.0);
+        waits
+    }
+}
+
+impl ClusterState {
+    /// The completion objectives of a job of a class, in seconds from its submission.
+    pub fn completion_objectives_s(&self, class: &str, deadline_s: Option<f64>) -> Vec<f64> {
+        match self.class_interner.get(class) {
+            Some(class) => self.objectives[class as usize]
+                .completion_objectives_s(deadline_s)
+                .collect(),
+            None => deadline_s.into_iter().collect(),
+        }
+    }
+
+    pub(super) fn intern_class(&mut self, name: &str) -> ClassIndex {
+        let index = self.class_interner.intern(name);
+        if index as usize == self.objectives.len() {
+            self.objectives.push(ServiceLevelObjectives::default());
+        }
+        ClassIndex(index)
+    }
+
+    pub(super) fn add_objective(&mut self, objective: &Objective) {
+        if objective.kind == "guarantee" {
+            self.guarantee_objective_s = objective.target_s;
+        }
+        let Some(class) = &objective.class else {
+            return;
+        };
+        let class = self.intern_class(class);
+        let objectives = &mut self.objectives[class.as_usize()];
+        match (objective.kind.as_str(), objective.target_s) {
+            ("wait", Some(within)) => objectives.start_s.push(within),
+            ("finished", Some(within)) => objectives.finish_s.push(within),
+            ("deadline", _) => objectives
+                .deadline_multiples
+                .push(objective.times.unwrap_or(1.0)),
+            _ => {}
+        }
+    }
+}
--- a/src/cluster/records.rs
+++ b/src/cluster/records.rs
@@ -3,7 +3,9 @@
 use std::{cmp::Reverse, collections::HashMap, iter::Peekable};
 
 use crate::{
-    cluster::{ClusterState, ImageIndex, JobIndex, MachineIndex, MachineState, Task, TaskStatus},
+    cluster::{
+        ClusterState, ImageIndex, JobIndex, Machine, MachineIndex, MachineState, Task, TaskStatus,
+    },
     protocol::ids::JobId,
     storage::{
         ImagesRecord, JobSummary, LogRecord, MAX_IMAGES_PER_RECORD, MachineRecord, REPLACEMENT_BIT,
@@ -11,83 +13,125 @@
     },
 };
 
-/// Jobs at fault that are told of.
+/// Quarantined jobs that are recorded.
 const MAX_QUARANTINED_JOBS_RECORDED: usize = 64;
-/// The longest id of a job, with its quotes and a comma.
+/// The longest id of a job as JSON, with its quotes and a comma.
 const MAX_JOB_ID_JSON_BYTES: usize = 25;
-/// What a record has besides its lists' entries.
+/// The bytes of a record besides its lists' entries.
 const IMAGES_RECORD_HEADER_BYTES: usize = 64;
 
-/// What the books know of machines' images and faults, in records whose JSON has at most `bytes` bytes each.
-pub fn images_records(cluster: &ClusterState, bytes: usize) -> Vec<ImagesRecord> {
-    let mut names: HashMap<ImageIndex, &str> = HashMap::new();
-    for (name, index) in cluster.image_interner.iter() {
-        names.insert(ImageIndex(index), name);
+/// An image on some machines.
+struct CachedImage {
+    index: ImageIndex,
+    machine_count: usize,
+    size_gb: f64,
+}
+
+/// The images that records name, and what each record spends on them.
+struct ImageTable {
+    /// Name and size in gigabytes.
+    images: Vec<(String, f64)>,
+    bit_by_image: HashMap<ImageIndex, usize>,
+    /// The bytes of a record without machines and quarantined jobs.
+    header_bytes: usize,
+}
+
+impl ImageTable {
+    /// The images on the most machines come first; half of a record is left for the machines.
+    fn new(cluster: &ClusterState, record_bytes: usize) -> Self {
+        let mut names: HashMap<ImageIndex, &str> = HashMap::new();
+        for (name, index) in cluster.image_interner.iter() {
+            names.insert(ImageIndex(index), name);
+        }
+        let cached = most_cached_images(cluster);
+        let mut header_bytes = IMAGES_RECORD_HEADER_BYTES;
+        let mut images: Vec<(String, f64)> = Vec::new();
+        for image in &cached {
+            let Some(name) = names.get(&image.index) else {
+                continue;
+            };
+            let entry = ((*name).to_owned(), image.size_gb);
+            header_bytes += json_len(&entry) + 1;
+            if header_bytes > record_bytes / 2 {
+                break;
+            }
+            images.push(entry);
+        }
+        let bits = cached.iter().map(|image| image.index).zip(0..images.len());
+        ImageTable {
+            bit_by_image: bits.collect(),
+            images,
+            header_bytes,
+        }
     }
-    let up = || {
-        cluster
-            .machines
+
+    /// A bit for each image that the machine holds, and [`REPLACEMENT_BIT`].
+    fn machine_bits(&self, machine: &Machine) -> u64 {
+        let images = machine
+            .cached_images
             .iter()
-            .filter(|m| m.state == MachineState::Up)
-    };
-    let mut count: HashMap<ImageIndex, (usize, f64)> = HashMap::new();
-    for &(image, gb) in up().flat_map(|machine| &machine.cached_images) {
-        let known = count.entry(image).or_insert((0, gb));
-        known.0 += 1;
+            .filter_map(|(image, _)| self.bit_by_image.get(image))
+            .fold(0, |bits, bit| bits | 1 << bit);
+        images | if machine.draining { REPLACEMENT_BIT } else { 0 }
     }
-    let mut table: Vec<(ImageIndex, usize, f64)> = count
-        .into_iter()
-        .map(|(image, (held, gb))| (image, held, gb))
-        .collect();
-    table.sort_by_key(|&(image, held, _)| (Reverse(held), image));
-    table.truncate(MAX_IMAGES_PER_RECORD);
-    // What is held most comes first; half of a record is for the machines.
-    let mut head = IMAGES_RECORD_HEADER_BYTES;
-    let mut images: Vec<(String, f64)> = Vec::new();
-    for (image, _, gb) in &table {
-        let Some(name) = names.get(image) else {
-            continue;
-        };
-        let image = ((*name).to_owned(), *gb);
-        head += json_len(&image) + 1;
-        if head > bytes / 2 {
-            break;
-        }
-        images.push(image);
+}
+
+/// Images of the machines that are up, those on the most machines first.
+fn most_cached_images(cluster: &ClusterState) -> Vec<CachedImage> {
+    let mut by_index: HashMap<ImageIndex, CachedImage> = HashMap::new();
+    for &(index, size_gb) in machines_up(cluster).flat_map(|machine| &machine.cached_images) {
+        let image = by_index.entry(index).or_insert(CachedImage {
+            index,
+            machine_count: 0,
+            size_gb,
+        });
+        image.machine_count += 1;
     }
-    let bit: HashMap<ImageIndex, usize> =
-        table.iter().map(|row| row.0).zip(0..images.len()).collect();
-    let mut records: Vec<ImagesRecord> = Vec::new();
-    let mut used = usize::MAX;
-    let at_fault = cluster.jobs_by_id.values().map(|index| cluster.job(*index));
-    let mut at_fault: Vec<JobId> = at_fault
-        .filter(|job| job.quarantined && !job.closed)
+    let mut images: Vec<CachedImage> = by_index.into_values().collect();
+    images.sort_by_key(|image| (Reverse(image.machine_count), image.index));
+    images.truncate(MAX_IMAGES_PER_RECORD);
+    images
+}
+
+fn machines_up(cluster: &ClusterState) -> impl Iterator<Item = &Machine> {
+    let machines = cluster.machines.iter();
+    machines.filter(|machine| machine.state == MachineState::Up)
+}
+
+/// The quarantined jobs that one record can name.
+fn quarantined_jobs(cluster: &ClusterState, record_bytes: usize) -> Vec<JobId> {
+    let jobs = cluster.jobs_by_id.values().map(|index| cluster.job(*index));
+    jobs.filter(|job| job.quarantined && !job.closed)
         .map(|job| job.id)
-        .take(MAX_QUARANTINED_JOBS_RECORDED.min(bytes / 4 / MAX_JOB_ID_JSON_BYTES))
-        .collect();
-    for machine in up() {
-        let held = machine
-            .cached_images
-            .iter()
-            .filter_map(|(image, _)| bit.get(image))
-            .fold(0, |held, bit| held | 1 << bit);
-        let held = held | if machine.draining { REPLACEMENT_BIT } else { 0 };
-        if held == 0 {
+        .take(MAX_QUARANTINED_JOBS_RECORDED.min(record_bytes / 4 / MAX_JOB_ID_JSON_BYTES))
+        .collect()
+}
+
+/// The images and faults of the machines that are up, in records whose JSON has at most
+/// `record_bytes` bytes each.
+pub fn images_records(cluster: &ClusterState, record_bytes: usize) -> Vec<ImagesRecord> {
+    let table = ImageTable::new(cluster, record_bytes);
+    let mut quarantined = quarantined_jobs(cluster, record_bytes);
+    let mut records: Vec<ImagesRecord> = Vec::new();
+    let mut used_bytes = usize::MAX;
+    for machine in machines_up(cluster) {
+        let bits = table.machine_bits(machine);
+        if bits == 0 {
             continue;
         }
-        let machine = (machine.name.clone(), held);
-        let size = json_len(&machine) + 1;
-        if used.saturating_add(size) > bytes {
-            used = head + at_fault.len() * MAX_JOB_ID_JSON_BYTES;
+        let entry = (machine.name.clone(), bits);
+        let entry_bytes = json_len(&entry) + 1;
+        if used_bytes.saturating_add(entry_bytes) > record_bytes {
+            used_bytes = table.header_bytes + quarantined.len() * MAX_JOB_ID_JSON_BYTES;
             records.push(ImagesRecord {
-                images: images.clone(),
+                images: table.images.clone(),
                 machines: Vec::new(),
-                quarantined: std::mem::take(&mut at_fault),
+                quarantined: std::mem::take(&mut quarantined),
             });
         }
-        used += size;
+        used_bytes += entry_bytes;
         if let Some(record) = records.last_mut() {
-            record.machines.push(machine);
+            record.machines.push(entry);
         }
     }
     records
@@ -140,7 +184,7 @@
     }
 }
 
-/// The record of a chunk as the books have it now.
+/// The snapshot of a range of a job's tasks as they stand now.
 pub fn snapshot_record(cluster: &ClusterState, index: JobIndex, chunk: u32) -> SnapshotRecord {
     let tasks = &cluster.job(index).tasks;
     let first = (chunk * cluster.task_range_len) as usize;
@@ -162,8 +206,8 @@
 /// An entry without any job or machine, with the largest numbers.
 const LOG_RECORD_HEADER_BYTES: usize = 96;
 
-/// Takes tasks off the front of `tasks` for one entry whose JSON has at most `bytes` bytes; at least
-/// one is taken.
+/// Takes tasks off the front of `tasks` for one log entry whose JSON has at most `bytes` bytes; at
+/// least one is taken.
 pub fn log_record(
     cluster: &ClusterState,
     tasks: &mut Peekable<impl Iterator<Item = (JobIndex, u32)>>,
--- /dev/null
+++ b/src/cluster/reservations.rs
@@ -0,0 +1,202 @@
+//! Reservations: placing attempts, following them, and releasing what they hold.
+
+use crate::{
+    cluster::{
+        ClusterState,
+        attempt::{Attempt, Phase},
+        durability::task_keys_of_job,
+        index::{JobIndex, MachineIndex},
+        resources::Resources,
+        task::TaskStatus,
+    },
+    time::Millis,
+};
+
+impl ClusterState {
+    /// Places an attempt of a starved class.
+    pub fn place_for_fair_share(
+        &mut self,
+        job: JobIndex,
+        task: u32,
+        on: MachineIndex,
+        now: Millis,
+    ) {
+        self.place(job, task, on, now);
+        if let Some(attempt) = self.machines[on.as_usize()].attempts.last_mut() {
+            attempt.placed_for_fair_share = true;
+        }
+    }
+
+    /// Places an attempt; its start may be sent once that is stored.
+    pub fn place(&mut self, job: JobIndex, task: u32, on: MachineIndex, now: Millis) {
+        let entry = &mut self.jobs[job.as_usize()].tasks[task as usize];
+        debug_assert_eq!(entry.status, TaskStatus::Waiting);
+        let attempt = entry.attempt + 1;
+        self.unlogged_tasks.insert((job, task));
+        self.reserve(
+            Attempt {
+                job,
+                task,
+                attempt,
+                phase: Phase::Placed,
+                cause: None,
+                placed_at: now,
+                running_since: None,
+                start_sent: false,
+                recovered: false,
+                direct_start_in_flight: false,
+                started_by_heartbeat: None,
+                fencing_token: 0,
+                stop_grace_s: None,
+                stop_sent: false,
+                reconciled: false,
+                direct_start_term: 0,
+                placed_for_fair_share: false,
+            },
+            on,
+        );
+    }
+
+    /// Reserves what an attempt holds that may be running: its team's share and its machine's room.
+    pub fn reserve(&mut self, attempt: Attempt, on: MachineIndex) {
+        let machine = &mut self.machines[on.as_usize()];
+        let job = &mut self.jobs[attempt.job.as_usize()];
+        let task = &mut job.tasks[attempt.task as usize];
+        task.status = TaskStatus::Active(on);
+        task.attempt = attempt.attempt;
+        job.waiting.remove(&attempt.task);
+        job.active_by_zone[machine.zone.as_usize()] += 1;
+        machine.reserved.add(&job.requested);
+        let team = &mut self.teams[job.team.as_usize()];
+        team.reserved.add(&job.requested);
+        if job.waiting.is_empty() {
+            team.queue.remove(&job.queue_key(attempt.job));
+        }
+        machine.attempts.push(attempt);
+    }
+
+    /// Releases what an attempt holds: it is known to run no more.
+    fn release_reservation(&mut self, on: MachineIndex, attempt: &Attempt, now: Millis) {
+        let machine = &mut self.machines[on.as_usize()];
+        let job = &mut self.jobs[attempt.job.as_usize()];
+        job.active_by_zone[machine.zone.as_usize()] -= 1;
+        if attempt.phase >= Phase::Running && attempt.phase < Phase::Ended {
+            job.running_count -= 1;
+        }
+        machine.reserved.sub(&job.requested);
+        self.teams[job.team.as_usize()].reserved.sub(&job.requested);
+        if machine.is_idle() {
+            machine.reserved = Resources::default();
+            machine.idle_since = now;
+        }
+        self.scheduling_needed = true;
+    }
+
+    /// Follows a report by which the attempt is in `phase` now.
+    pub fn advance_phase(&mut self, on: MachineIndex, at: usize, phase: Phase, now: Millis) {
+        let attempt = &mut self.machines[on.as_usize()].attempts[at];
+        let before = attempt.phase;
+        if before == phase || before == Phase::Ended {
+            return;
+        }
+        let counted = |phase| matches!(phase, Phase::Running | Phase::Saving);
+        let (job, shown) = (attempt.job, attempt.clone());
+        attempt.phase = phase;
+        if phase == Phase::Running {
+            attempt.running_since = Some(now);
+        }
+        if phase == Phase::Ended {
+            self.release_reservation(on, &shown, now);
+            return;
+        }
+        let entry = &mut self.jobs[job.as_usize()];
+        if counted(phase) && !counted(before) {
+            entry.running_count += 1;
+            let (image, gb) = (entry.image, entry.image_gb);
+            self.cache_image(on, image, gb);
+        } else if counted(before) && !counted(phase) {
+            entry.running_count -= 1;
+        }
+    }
+
+    /// Removes an attempt that is known to be gone. Its task, if this was still its attempt, waits
+    /// again.
+    pub fn remove_attempt(&mut self, on: MachineIndex, at: usize, now: Millis) {
+        let attempt = self.machines[on.as_usize()].attempts.swap_remove(at);
+        if attempt.phase != Phase::Ended {
+            self.release_reservation(on, &attempt, now);
+        }
+        if !attempt.reconciled {
+            self.requeue(attempt.job, attempt.task, attempt.attempt);
+        }
+    }
+
+    /// The task waits again, if this attempt was its latest.
+    pub fn requeue(&mut self, job: JobIndex, task: u32, attempt: u32) {
+        let entry = &mut self.jobs[job.as_usize()];
+        let state = &mut entry.tasks[task as usize];
+        if state.attempt != attempt || !matches!(state.status, TaskStatus::Active(_)) {
+            return;
+        }
+        state.status = TaskStatus::Waiting;
+        self.scheduling_needed = true;
+        if entry.closed {
+            return;
+        }
+        entry.waiting.insert(task);
+        let key = entry.queue_key(job);
+        self.teams[entry.team.as_usize()].queue.insert(key);
+    }
+
+    /// The task has completed.
+    pub fn complete_task(&mut self, job: JobIndex, task: u32) {
+        let entry = &mut self.jobs[job.as_usize()];
+        let state = &mut entry.tasks[task as usize];
+        if state.status != TaskStatus::Done {
+            state.status = TaskStatus::Done;
+            entry.done_count += 1;
+            entry.waiting.remove(&task);
+            if entry.waiting.is_empty() {
+                let key = entry.queue_key(job);
+                self.teams[entry.team.as_usize()].queue.remove(&key);
+            }
+            if entry.is_complete() {
+                self.completed_jobs.insert(job);
+            }
+        }
+        self.unlogged_tasks.insert((job, task));
+    }
+
+    /// The job is over: nothing of it is placed any more, and what runs is to be stopped.
+    pub fn close_job(&mut self, index: JobIndex) {
+        let job = &mut self.jobs[index.as_usize()];
+        job.closed = true;
+        job.waiting.clear();
+        let key = job.queue_key(index);
+        self.teams[job.team.as_usize()].queue.remove(&key);
+        self.completed_jobs.remove(&index);
+        let unlogged = self.unlogged_tasks.range(task_keys_of_job(index)).copied();
+        for note in unlogged.collect::<Vec<_>>() {
+            self.unlogged_tasks.remove(&note);
+        }
+        for (number, machine) in self.machines.iter_mut().enumerate() {
+            for attempt in &mut machine.attempts {
+                if attempt.job == index && attempt.phase != Phase::Ended {
+                    attempt.stop_grace_s = Some(0.0);
+                    attempt.stop_sent = false;
+                    self.machines_needing_commands
+                        .insert(MachineIndex(number as u32));
+                }
+            }
+        }
+        self.scheduling_needed = true;
+    }
+
+    /// Has an attempt stopped, giving it `grace_s` seconds to save.
+    pub fn request_stop(&mut self, on: MachineIndex, at: usize, grace_s: f64) {
+        let attempt = &mut self.machines[on.as_usize()].attempts[at];
+        attempt.stop_grace_s = Some(grace_s);
+        attempt.stop_sent = false;
+        self.machines_needing_commands.insert(on);
+    }
+}
--- /dev/null
+++ b/src/cluster/resources.rs
@@ -0,0 +1,38 @@
+//! Amounts of processors, GPUs and memory.
+
+/// An amount of each resource that tasks request and machines have.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Resources {
+    /// Processors; fractions are allowed.
+    pub cpus: f64,
+    /// GPUs.
+    pub gpus: f64,
+    /// Memory, in gigabytes.
+    pub ram_gb: f64,
+}
+
+/// Sums of decimal amounts may miss a whole number by a rounding error.
+pub(super) const RESOURCE_EPSILON: f64 = 1e-6;
+
+impl Resources {
+    /// Whether this amount is available in `room`, up to rounding errors.
+    pub fn fits_in(&self, room: &Resources) -> bool {
+        self.cpus <= room.cpus + RESOURCE_EPSILON
+            && self.gpus <= room.gpus + RESOURCE_EPSILON
+            && self.ram_gb <= room.ram_gb + RESOURCE_EPSILON
+    }
+
+    /// Adds the other amount to this one.
+    pub fn add(&mut self, other: &Resources) {
+        self.cpus += other.cpus;
+        self.gpus += other.gpus;
+        self.ram_gb += other.ram_gb;
+    }
+
+    /// Subtracts the other amount from this one.
+    pub fn sub(&mut self, other: &Resources) {
+        self.cpus -= other.cpus;
+        self.gpus -= other.gpus;
+        self.ram_gb -= other.ram_gb;
+    }
+}
--- /dev/null
+++ b/src/cluster/submission.rs
@@ -0,0 +1,212 @@
+//! Entering jobs into the cluster state, and keeping their places in the queues up to date.
+
+use std::collections::VecDeque;
+
+use crate::{
+    cluster::{
+        ClusterState,
+        index::{ImageIndex, JobIndex, TeamIndex},
+        job::Job,
+        objectives::ESTIMATE_MARGIN,
+        resources::Resources,
+        straggler::RunningMean,
+        task::{Task, TaskRange, TaskStatus},
+    },
+    protocol::job::{JobKind, Priority, Submission},
+    time::{Millis, millis},
+};
+
+/// The urgency that a job inherits from the jobs that depend on it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct InheritedUrgency {
+    /// The highest priority of any of them.
+    pub priority: Priority,
+    /// By when the job has to be done for each of their objectives, in milliseconds of the time of
+    /// day, the earliest first.
+    pub finish_by_ms: Vec<u64>,
+}
+
+impl InheritedUrgency {
+    /// Keeps the earliest times only.
+    pub fn keep_earliest(&mut self, count: usize) {
+        self.finish_by_ms.sort_unstable();
+        self.finish_by_ms.dedup();
+        self.finish_by_ms.truncate(count);
+    }
+}
+
+impl ClusterState {
+    /// Moves jobs that have missed an objective to their places for the next one: they yield to those
+    /// that can still meet theirs. In their old order all waiting jobs would come too late.
+    pub fn refresh_placement_deadlines(&mut self, now: Millis) {
+        let wall_ms = self.wall_ms(now);
+        for team in &mut self.teams {
+            let passed: Vec<_> = team
+                .queue
+                .iter()
+                .filter(|(.., job)| {
+                    self.jobs[job.as_usize()].placement_deadline_valid_until_ms <= wall_ms
+                })
+                .copied()
+                .collect();
+            for key in passed {
+                team.queue.remove(&key);
+                let job = &mut self.jobs[key.2.as_usize()];
+                job.refresh_placement_deadline(wall_ms);
+                team.queue.insert(job.queue_key(key.2));
+            }
+        }
+    }
+
+    /// Enters an unfinished job without dependencies. `None`: its team is unknown here.
+    pub fn add_job(
+        &mut self,
+        spec: &Submission,
+        submitted_ms: u64,
+        now: Millis,
+    ) -> Option<JobIndex> {
+        self.add_released_job(spec, (submitted_ms, submitted_ms), now)
+    }
+
+    /// Enters an unfinished job whose dependencies are all done. Jobs with pending dependencies are not
+    /// in the cluster state at all, so that they have no weight in it. `None`: its team is unknown here.
+    pub fn add_released_job(
+        &mut self,
+        spec: &Submission,
+        (submitted_ms, released_ms): (u64, u64),
+        now: Millis,
+    ) -> Option<JobIndex> {
+        if let Some(&known) = self.jobs_by_id.get(&spec.id) {
+            return Some(known);
+        }
+        let team = TeamIndex(self.team_interner.get(&spec.team)?);
+        let mut job = self.new_job(spec, team, (submitted_ms, released_ms), now);
+        let (to_start, to_end) = self.own_slacks_s(&job);
+        job.set_slacks(&to_start, to_end);
+        job.refresh_placement_deadline(self.wall_ms(now));
+        let index = match self.free_job_slots.pop() {
+            Some(index) => {
+                self.jobs[index.as_usize()] = job;
+                index
+            }
+            None => {
+                self.jobs.push(job);
+                JobIndex(self.jobs.len() as u32 - 1)
+            }
+        };
+        self.jobs_by_id.insert(spec.id, index);
+        let key = self.job(index).queue_key(index);
+        self.teams[team.as_usize()].queue.insert(key);
+        self.scheduling_needed = true;
+        Some(index)
+    }
+
+    /// A job none of whose tasks was ever placed, without its place in the queue.
+    fn new_job(
+        &mut self,
+        spec: &Submission,
+        team: TeamIndex,
+        (submitted_ms, released_ms): (u64, u64),
+        now: Millis,
+    ) -> Job {
+        let types = match &spec.types {
+            None => u64::MAX,
+            Some(names) => names
+                .iter()
+                .filter_map(|name| self.type_interner.get(name))
+                .fold(0, |mask, index| mask | 1 << index),
+        };
+        let zone = spec.zone.as_deref().map(|name| self.intern_zone(name));
+        let count = spec.tasks;
+        let class = self.intern_class(&spec.class);
+        Job {
+            id: spec.id,
+            team,
+            class,
+            kind: spec.kind,
+            priority: spec.priority,
+            submitted_priority: spec.priority,
+            submitted_ms,
+            released_ms,
+            placement_deadline_ms: 0,
+            placement_deadline_valid_until_ms: 0,
+            objective_slacks_s: Vec::new(),
+            completion_slacks_s: Vec::new(),
+            latest_placements_ms: Vec::new(),
+            first_seen_at: now,
+            requested: Resources {
+                cpus: spec.cpus,
+                gpus: spec.gpus,
+                ram_gb: spec.ram_gb,
+            },
+            allowed_types: types,
+            zone,
+            one_zone: spec.one_zone,
+            spread: spec.spread,
+            spot: spec.spot,
+            image: ImageIndex(self.image_interner.intern(&spec.image)),
+            image_gb: spec.image_gb,
+            estimate_s: spec.estimate_s,
+            checkpoint_s: spec.checkpoint_s,
+            save_s: spec.save_s,
+            deadline_s: spec.deadline_s,
+            tasks: vec![
+                Task {
+                    status: TaskStatus::Waiting,
+                    attempt: 0,
+                    last_log_seq: 0,
+                };
+                count as usize
+            ],
+            task_ranges: vec![TaskRange::default(); count.div_ceil(self.task_range_len) as usize],
+            foreign_snapshots: Vec::new(),
+            waiting: (0..count).collect(),
+            done_count: 0,
+            running_count: 0,
+            active_by_zone: vec![0; self.zone_names.len()],
+            closed: false,
+            finishing: false,
+            backoff_until: 0,
+            consecutive_failures: 0,
+            quarantined: false,
+            mean_runtime_s: RunningMean::default(),
+            recently_failed_on: VecDeque::new(),
+            last_failed_at: 0,
+        }
+    }
+
+    /// How many seconds a job's tasks can wait for its own objectives: to start, and to end.
+    fn own_slacks_s(&self, job: &Job) -> (Vec<f64>, Vec<f64>) {
+        // Replicas do not end: they are ordered by age.
+        if job.kind == JobKind::Service {
+            return Default::default();
+        }
+        let held_s = job.released_ms.saturating_sub(job.submitted_ms) as f64 / 1000.0;
+        let objectives = &self.objectives[job.class.as_usize()];
+        let to_end = objectives.completion_slacks_s(job.estimate_s, job.deadline_s, held_s);
+        (objectives.start_s.clone(), to_end)
+    }
+
+    /// Makes a job as urgent as the most urgent of those that depend on it: it is to end by the latest
+    /// times at which they can still meet their objectives.
+    pub fn inherit_urgency(&mut self, index: JobIndex, pull: &InheritedUrgency, now: Millis) {
+        let wall_ms = self.wall_ms(now);
+        let (to_start, mut to_end) = self.own_slacks_s(self.job(index));
+        let job = &mut self.jobs[index.as_usize()];
+        let queue = &mut self.teams[job.team.as_usize()].queue;
+        let queued = queue.remove(&job.queue_key(index));
+        let run_ms = millis(job.estimate_s * ESTIMATE_MARGIN);
+        let due = pull.finish_by_ms.iter().filter_map(|due| {
+            let wait = due.checked_sub(job.released_ms + run_ms)?;
+            (wait > 0).then_some(wait as f64 / 1000.0)
+        });
+        to_end.extend(due);
+        job.set_slacks(&to_start, to_end);
+        job.priority = job.submitted_priority.min(pull.priority);
+        job.refresh_placement_deadline(wall_ms);
+        if queued {
+            queue.insert(job.queue_key(index));
+            self.scheduling_needed = true;
+        }
+    }
+}
