--- a/src/cells.rs
+++ b/src/cells.rs
@@ -2,9 +2,7 @@
 
 use std::{collections::BTreeMap, net::SocketAddrV4, str::FromStr};
 
-use crate::config::Team;
-
-/// More would not fit into a home's record.
+/// More would not fit into a coordinator's stored record.
 const MAX_CELLS: usize = 12;
 const MAX_CELL_NAME_LEN: usize = 40;
 /// A team's name is part of keys.
@@ -19,12 +17,12 @@
     pub addrs: Vec<SocketAddrV4>,
 }
 
-/// This cell and the others.
+/// This cell and its peers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CellTopology {
     /// This cell's name.
     pub own_cell: String,
-    /// The others, by name.
+    /// The other cells: their controllers' addresses by the cell's name.
     pub peers: BTreeMap<String, Vec<SocketAddrV4>>,
 }
 
@@ -42,7 +40,7 @@
     /// Two cells of one name.
     #[error("the cell {0:?} is named twice")]
     Twice(String),
-    /// Too many.
+    /// More cells than a record can hold.
     #[error("{0} cells, {MAX_CELLS} at most")]
     TooMany(usize),
     /// A team whose name can't be part of a key.
@@ -56,10 +54,13 @@
     type Err = CellError;
 
     fn from_str(text: &str) -> Result<Self, CellError> {
-        let form = || CellError::Form(text.to_owned());
-        let (name, addrs) = text.split_once('=').ok_or_else(form)?;
-        let addrs = addrs.split(',').map(|addr| addr.trim().parse());
-        let addrs: Vec<SocketAddrV4> = addrs.collect::<Result<_, _>>().map_err(|_| form())?;
+        let malformed = || CellError::Form(text.to_owned());
+        let (name, addrs) = text.split_once('=').ok_or_else(malformed)?;
+        let addrs: Vec<SocketAddrV4> = addrs
+            .split(',')
+            .map(|addr| addr.trim().parse())
+            .collect::<Result<_, _>>()
+            .map_err(|_| malformed())?;
         Ok(PeerCell {
             name: name.trim().to_owned(),
             addrs,
@@ -68,28 +69,30 @@
 }
 
 impl CellTopology {
-    /// Checks the names.
-    pub fn new(own: &str, peers: &[PeerCell]) -> Result<Self, CellError> {
-        let mut known = BTreeMap::new();
-        validate_cell_name(own)?;
-        for peer in peers {
+    /// This cell and its peers, once their names are checked.
+    ///
+    /// # Errors
+    /// A name can't be used or occurs twice, or there are too many cells.
+    pub fn new(own_cell: &str, peer_cells: &[PeerCell]) -> Result<Self, CellError> {
+        let mut peers = BTreeMap::new();
+        validate_cell_name(own_cell)?;
+        for peer in peer_cells {
             validate_cell_name(&peer.name)?;
-            let twice = peer.name == own || known.contains_key(&peer.name);
-            if twice {
+            if peer.name == own_cell || peers.contains_key(&peer.name) {
                 return Err(CellError::Twice(peer.name.clone()));
             }
-            known.insert(peer.name.clone(), peer.addrs.clone());
+            peers.insert(peer.name.clone(), peer.addrs.clone());
         }
-        if known.len() >= MAX_CELLS {
-            return Err(CellError::TooMany(known.len() + 1));
+        if peers.len() >= MAX_CELLS {
+            return Err(CellError::TooMany(peers.len() + 1));
         }
         Ok(CellTopology {
-            own_cell: own.to_owned(),
-            peers: known,
+            own_cell: own_cell.to_owned(),
+            peers,
         })
     }
 
-    /// All names, in their order: the same list in each cell.
+    /// All names, sorted: the same list in each cell.
     pub fn names(&self) -> Vec<String> {
         let peers = self.peers.keys().cloned();
         let mut names: Vec<String> = peers.chain([self.own_cell.clone()]).collect();
@@ -97,22 +100,30 @@
         names
     }
 
-    /// Every team whose name can't be part of a key.
-    pub fn validate_teams(teams: &[Team]) -> Result<(), CellError> {
-        let unfit = |name: &str| {
-            name.is_empty() || name.len() > MAX_TEAM_NAME_LEN || name.contains(char::is_whitespace)
-        };
-        match teams.iter().find(|team| unfit(&team.name)) {
-            Some(team) => Err(CellError::Team(team.name.clone())),
+    /// Checks that the teams' names can be part of stored keys.
+    ///
+    /// # Errors
+    /// [`CellError::Team`] for the first name that can't.
+    pub fn validate_team_names<'a>(
+        names: impl IntoIterator<Item = &'a str>,
+    ) -> Result<(), CellError> {
+        match names.into_iter().find(|name| !is_key_part(name)) {
+            Some(name) => Err(CellError::Team(name.to_owned())),
             None => Ok(()),
         }
     }
 }
 
+fn is_key_part(name: &str) -> bool {
+    !name.is_empty() && name.len() <= MAX_TEAM_NAME_LEN && !name.contains(char::is_whitespace)
+}
+
 fn validate_cell_name(name: &str) -> Result<(), CellError> {
-    let sign = |sign: char| sign.is_ascii_alphanumeric() || "-_.".contains(sign);
-    let fits = !name.is_empty() && name.len() <= MAX_CELL_NAME_LEN && name.chars().all(sign);
-    fits.then_some(())
+    let is_allowed = |sign: char| sign.is_ascii_alphanumeric() || "-_.".contains(sign);
+    let is_valid =
+        !name.is_empty() && name.len() <= MAX_CELL_NAME_LEN && name.chars().all(is_allowed);
+    is_valid
+        .then_some(())
         .ok_or_else(|| CellError::Name(name.to_owned()))
 }
 
--- a/src/daemon/settings_file.rs
+++ b/src/daemon/settings_file.rs
@@ -1,4 +1,4 @@
-//! The settings file while the service runs: its teams are read again when it changes.
+//! The settings file while the process runs: its teams are read again when it changes.
 
 use std::{
     path::{Path, PathBuf},
@@ -7,47 +7,70 @@
 
 use tokio::sync::mpsc;
 
-use crate::{cells::CellTopology, config::Config, coordination::Command};
+use crate::{
+    cells::{CellError, CellTopology},
+    config::{Config, ConfigError, Team},
+    coordination::Command,
+};
 
-/// How often the file is looked at.
+/// How often the file's metadata is read.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What shows that a file was written again.
-type FileFingerprint = Option<(SystemTime, u64)>;
+/// What differs once a file has been written again.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct FileFingerprint {
+    modified_at: SystemTime,
+    len_bytes: u64,
+}
+
+impl FileFingerprint {
+    /// `None`: the file can't be read now.
+    fn of(path: &Path) -> Option<Self> {
+        let metadata = std::fs::metadata(path).ok()?;
+        Some(FileFingerprint {
+            modified_at: metadata.modified().ok()?,
+            len_bytes: metadata.len(),
+        })
+    }
+}
 
-fn fingerprint(path: &Path) -> FileFingerprint {
-    let file = std::fs::metadata(path).ok()?;
-    Some((file.modified().ok()?, file.len()))
+/// Why changed settings are not applied.
+#[derive(Debug, thiserror::Error)]
+enum SettingsError {
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    #[error(transparent)]
+    Cells(#[from] CellError),
 }
 
-/// Tells the owner of the teams whenever the file has changed and has no mistake. With a mistake, which is told of on
-/// one line, all stays as it was. Returns when the owner is gone.
-pub async fn watch_settings_file(path: PathBuf, owner: mpsc::UnboundedSender<Command>) {
-    let mut known = fingerprint(&path);
-    let mut clock = tokio::time::interval(POLL_INTERVAL);
+/// Sends the teams to the event loop whenever the file has changed and is valid. Otherwise logs the
+/// errors on one line and keeps the settings in force. Returns when the event loop is gone.
+pub(super) async fn watch_settings_file(path: PathBuf, commands: mpsc::UnboundedSender<Command>) {
+    let mut known = FileFingerprint::of(&path);
+    let mut poll = tokio::time::interval(POLL_INTERVAL);
     loop {
-        clock.tick().await;
-        let now = fingerprint(&path);
-        if now == known {
+        poll.tick().await;
+        let current = FileFingerprint::of(&path);
+        if current == known {
             continue;
         }
-        known = now;
-        let teams = match Config::load(&path) {
-            Ok(config) => config.settings.teams,
-            Err(error) => {
-                tracing::error!(%error, "the settings before stay in force");
-                continue;
+        known = current;
+        match load_teams(&path) {
+            Ok(teams) => {
+                if commands.send(Command::TeamsChanged(teams)).is_err() {
+                    return;
+                }
             }
-        };
-        if let Err(error) = CellTopology::validate_teams(&teams) {
-            tracing::error!(%error, "the settings before stay in force");
-            continue;
-        }
-        if owner.send(Command::TeamsChanged(teams)).is_err() {
-            return;
+            Err(error) => tracing::error!(%error, "the settings before stay in force"),
         }
     }
 }
 
+fn load_teams(path: &Path) -> Result<Vec<Team>, SettingsError> {
+    let teams = Config::load(path)?.settings.teams;
+    CellTopology::validate_team_names(teams.iter().map(|team| team.name.as_str()))?;
+    Ok(teams)
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/main.rs
+++ b/src/main.rs
@@ -102,6 +102,7 @@
     else {
         return Ok(None);
     };
-    CellTopology::validate_teams(&config.settings.teams)?;
+    let teams = &config.settings.teams;
+    CellTopology::validate_team_names(teams.iter().map(|team| team.name.as_str()))?;
     CellTopology::new(own, peer_cells).map(Some)
 }
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -151,10 +151,12 @@
 }
 
 /// A call to the cloud that gave no reply.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CloudError {
-    /// Not executed.
+    /// Answered with a refusal of this status: surely not executed.
+    #[error("refused with status {0}")]
     Refused(u16),
-    /// Executed, or not, or to be executed later.
+    /// No usable answer: executed, or not, or to be executed later.
+    #[error("no answer")]
     NoAnswer,
 }
