--- /dev/null
+++ b/src/daemon/background_tasks.rs
@@ -0,0 +1,57 @@
+//! The tasks that run as long as the process. Dropping the set ends them.
+
+use std::{collections::HashMap, future::Future};
+
+use tokio::task::{Id, JoinError, JoinSet};
+
+/// Named tasks that should never fail.
+#[derive(Default)]
+pub(super) struct BackgroundTasks {
+    tasks: JoinSet<()>,
+    names: HashMap<Id, &'static str>,
+}
+
+impl BackgroundTasks {
+    /// Starts a task.
+    pub(super) fn spawn(
+        &mut self,
+        name: &'static str,
+        task: impl Future<Output = ()> + Send + 'static,
+    ) {
+        let handle = self.tasks.spawn(task);
+        self.names.insert(handle.id(), name);
+    }
+
+    /// Starts a task that stays on this thread.
+    ///
+    /// # Panics
+    /// Outside a `LocalSet`.
+    pub(super) fn spawn_local(
+        &mut self,
+        name: &'static str,
+        task: impl Future<Output = ()> + 'static,
+    ) {
+        let handle = self.tasks.spawn_local(task);
+        self.names.insert(handle.id(), name);
+    }
+
+    /// Logs each task that ends, for none should. Never returns.
+    pub(super) async fn log_failures(&mut self) {
+        while let Some(ended) = self.tasks.join_next_with_id().await {
+            self.log_end(ended);
+        }
+        std::future::pending().await
+    }
+
+    fn log_end(&mut self, ended: Result<(Id, ()), JoinError>) {
+        let id = match &ended {
+            Ok((id, ())) => *id,
+            Err(error) => error.id(),
+        };
+        let task = self.names.remove(&id).unwrap_or("unnamed");
+        match ended {
+            Ok(_) => tracing::error!(task, "background task ended"),
+            Err(error) => tracing::error!(task, %error, "background task failed"),
+        }
+    }
+}
--- /dev/null
+++ b/src/daemon/service_rate_limits.rs
@@ -0,0 +1,73 @@
+//! This node's share of the services' rate limits.
+
+use crate::{
+    config::Config,
+    coordination::rate_limit_shares::{self, RateLimitShares},
+    protocol::state::Urgency,
+    transport::rate_limiter::TokenBucket,
+};
+
+/// A token bucket for each limit. The leader's shares are larger than the followers'.
+pub(super) struct ServiceRateLimits {
+    /// Nodes of the deployment, this one included.
+    node_count: f64,
+    cluster: ClusterRateLimits,
+    state_requests: TokenBucket,
+    state_writes: TokenBucket,
+    cloud_requests: TokenBucket,
+}
+
+/// The limits of all nodes together, per second.
+struct ClusterRateLimits {
+    state_rps: f64,
+    state_write_rps: f64,
+    cloud_rps: f64,
+}
+
+impl ServiceRateLimits {
+    /// The buckets of a follower.
+    pub(super) fn new(config: &Config) -> Self {
+        let state = config.settings.state.strictest();
+        let cluster = ClusterRateLimits {
+            state_rps: state.rps,
+            state_write_rps: state.write_rps,
+            cloud_rps: config.settings.cloud.rps,
+        };
+        let node_count = config.members.len() as f64 + 1.0;
+        let shares = rate_limit_shares::shares_for(node_count, false);
+        ServiceRateLimits {
+            node_count,
+            state_requests: TokenBucket::new(cluster.state_rps * shares.state_requests),
+            state_writes: TokenBucket::new(cluster.state_write_rps * shares.state_writes),
+            cloud_requests: TokenBucket::new(cluster.cloud_rps * shares.cloud),
+            cluster,
+        }
+    }
+
+    /// Sets the rates of a leader or a follower.
+    pub(super) fn set_leadership(&self, is_leader: bool) {
+        let RateLimitShares {
+            state_requests,
+            state_writes,
+            cloud,
+        } = rate_limit_shares::shares_for(self.node_count, is_leader);
+        self.state_requests
+            .set_rate(self.cluster.state_rps * state_requests);
+        self.state_writes
+            .set_rate(self.cluster.state_write_rps * state_writes);
+        self.cloud_requests.set_rate(self.cluster.cloud_rps * cloud);
+    }
+
+    /// Waits until a request with `writes` writes may be sent to the state service.
+    pub(super) async fn acquire_state_request(&self, writes: usize, urgency: Urgency) {
+        if writes > 0 {
+            self.state_writes.acquire(writes as f64, urgency).await;
+        }
+        self.state_requests.acquire(1.0, urgency).await;
+    }
+
+    /// Waits until a request may be sent to the cloud.
+    pub(super) async fn acquire_cloud_request(&self) {
+        self.cloud_requests.acquire(1.0, Urgency::Vital).await;
+    }
+}
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -4,4 +4,5 @@
 mod connection_limiter;
 pub mod mesh;
 pub mod rate_limiter;
+mod recent_calls;
 pub mod server;
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -9,7 +9,7 @@
 
 use dalelb::{
     protocol::{self, ids::TaskId, job::JobStatus, job::JobView},
-    transport::client::HttpClient,
+    transport::client::{HttpClient, HttpRequest},
 };
 use dalelb_emulators::{
     cloud_emulator::{Cloud, machine_type},
@@ -161,26 +161,27 @@
     let call = |method: Method, to: usize, path: String, body: Vec<u8>| {
         let (http, addr) = (http.clone(), addrs[to].to_string());
         async move {
-            http.call(method, &addr, &path, body, true, Duration::from_secs(5))
+            let request = HttpRequest { method, path, body };
+            http.call(&addr, request, true, Duration::from_secs(5))
                 .await
         }
     };
     let ready = |to: usize| {
         let answer = call(Method::GET, to, "/ready".into(), Vec::new());
-        async move { answer.await.filter(|(status, _)| *status == 200) }
+        async move { answer.await.filter(|response| response.status == 200) }
     };
     wait_until("the first node is ready", || ready(0)).await;
     let _second = start_node(1, &ports, state, cloud);
     wait_until("the second node is ready", || ready(1)).await;
     let submit = |to: usize, body: Vec<u8>, status: u16| {
         let answer = call(Method::POST, to, "/v2/runs".into(), body);
-        async move { answer.await.filter(|(got, _)| *got == status) }
+        async move { answer.await.filter(|response| response.status == status) }
     };
     let ended = |to: usize, id: &str, status: JobStatus| {
         let answer = call(Method::GET, to, format!("/v2/runs/{id}"), Vec::new());
         async move {
-            let (_, body) = answer.await.filter(|(got, _)| *got == 200)?;
-            let view: JobView = protocol::decode(&body).ok()?;
+            let response = answer.await.filter(|response| response.status == 200)?;
+            let view: JobView = protocol::decode(&response.body).ok()?;
             (view.status == status).then_some(())
         }
     };
@@ -207,7 +208,7 @@
     wait_until("refused for its size", || submit(0, large.clone(), 400)).await;
     for path in ["/v2/runs/j-999999", "/v2/runs/odd", "/nowhere"] {
         let answer = call(Method::GET, 1, path.into(), Vec::new()).await;
-        assert_eq!(answer.map(|(status, _)| status), Some(404), "{path}");
+        assert_eq!(answer.map(|response| response.status), Some(404), "{path}");
     }
 
     wait_until("a service accepted", || {
@@ -225,7 +226,7 @@
             "/v2/runs/j-000004/abort".into(),
             Vec::new(),
         );
-        async move { answer.await.filter(|(status, _)| *status == 200) }
+        async move { answer.await.filter(|response| response.status == 200) }
     };
     wait_until("cancelled", cancel).await;
     wait_until("cancelled everywhere", || {
@@ -265,7 +266,7 @@
     let cancel = |id: &'static str| {
         let path = format!("/v2/runs/{id}/abort");
         let answer = call(Method::POST, 1, path, Vec::new());
-        async move { answer.await.filter(|(status, _)| *status == 200) }
+        async move { answer.await.filter(|response| response.status == 200) }
     };
     wait_until("the service cancelled", || cancel("j-000014")).await;
     for (id, awaits) in [("j-000015", "j-000014"), ("j-000016", "j-000015")] {
@@ -280,7 +281,7 @@
     wait_until("metrics", || {
         let answer = call(Method::GET, 0, "/metrics".into(), Vec::new());
         async move {
-            let text = String::from_utf8(answer.await?.1.to_vec()).ok()?;
+            let text = String::from_utf8(answer.await?.body.to_vec()).ok()?;
             let value = |name: &str| -> Option<f64> {
                 let mut lines = text.lines();
                 lines.find_map(|line| line.strip_prefix(name)?.trim().parse().ok())
@@ -299,7 +300,7 @@
         wait_until("an admission table", || {
             let answer = call(Method::GET, index, "/metrics".into(), Vec::new());
             async move {
-                let text = String::from_utf8(answer.await?.1.to_vec()).ok()?;
+                let text = String::from_utf8(answer.await?.body.to_vec()).ok()?;
                 let value = |name: &str| -> Option<f64> {
                     let mut lines = text.lines();
                     lines.find_map(|line| line.strip_prefix(name)?.trim().parse().ok())
@@ -356,11 +357,10 @@
         async move {
             let http = HttpClient::new(0, Duration::from_secs(1), false);
             let timeout = Duration::from_secs(1);
-            let path = "/ready";
             let answer = http
-                .call(Method::GET, &addr, path, Vec::new(), false, timeout)
+                .call(&addr, HttpRequest::get("/ready"), false, timeout)
                 .await;
-            answer.filter(|(status, _)| *status == 200)
+            answer.filter(|response| response.status == 200)
         }
     };
     for at in 0..2 {
@@ -379,11 +379,9 @@
                 let addr = addrs[(user + number) % 2].to_string();
                 let body = job(&id, "array", "red");
                 let timeout = Duration::from_secs(5);
-                let path = "/v2/runs";
-                let answer = http
-                    .call(Method::POST, &addr, path, body, true, timeout)
-                    .await;
-                if let Some((200 | 201, _)) = answer {
+                let request = HttpRequest::post("/v2/runs", body);
+                let answer = http.call(&addr, request, true, timeout).await;
+                if answer.is_some_and(|response| matches!(response.status, 200 | 201)) {
                     accepted.borrow_mut().push(id);
                     number += 1;
                 }
@@ -423,11 +421,13 @@
             let (http, addr, path) = (http.clone(), addrs[1].to_string(), format!("/v2/runs/{id}"));
             async move {
                 let timeout = Duration::from_secs(5);
-                let (status, body) = http
-                    .call(Method::GET, &addr, &path, Vec::new(), true, timeout)
+                let response = http
+                    .call(&addr, HttpRequest::get(path), true, timeout)
                     .await?;
-                assert_ne!(status, 404, "forgotten");
-                let view: JobView = protocol::decode(&body).ok().filter(|_| status == 200)?;
+                assert_ne!(response.status, 404, "forgotten");
+                let view: JobView = protocol::decode(&response.body)
+                    .ok()
+                    .filter(|_| response.status == 200)?;
                 (number >= 20 || view.status == JobStatus::Done).then_some(())
             }
         })
