--- a/src/metrics/quotas.rs
+++ b/src/metrics/quotas.rs
@@ -1,28 +1,20 @@
-//! How quotas that cells share stand. Without cells there are no values, and so no lines.
-
-use std::sync::atomic::{AtomicI64, AtomicU64};
+//! Quotas that cells share. Without cells there are no values, and so no lines.
 
 use prometheus_client::{
     encoding::EncodeLabelSet,
-    metrics::{family::Family, gauge::Gauge},
+    metrics::family::Family,
     registry::{Registry, Unit},
 };
 
 use crate::coordination::QuotaStatus;
 
-#[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct TeamLabels {
-    team: String,
-}
+use super::labels::{FloatGauge, IntGauge, TeamLabels};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct CellLabels {
     cell: String,
 }
 
-type FloatGauge = Gauge<f64, AtomicU64>;
-type IntGauge = Gauge<i64, AtomicI64>;
-
 /// Metrics of quotas.
 #[derive(Default)]
 pub(super) struct QuotaMetrics {
@@ -35,74 +27,72 @@
 }
 
 impl QuotaMetrics {
-    pub(super) fn register(&self, all: &mut Registry) {
-        all.register(
+    pub(super) fn register(&self, registry: &mut Registry) {
+        registry.register(
             "quota_allocation",
             "Units that a team may use in this cell",
             self.allocation.clone(),
         );
-        all.register(
+        registry.register(
             "quota_used",
             "Units that a team uses in this cell",
             self.used.clone(),
         );
-        all.register(
+        registry.register(
             "quota_version",
             "The version of a team's quota that this cell has stored",
             self.version.clone(),
         );
-        all.register_with_unit(
+        registry.register_with_unit(
             "quota_oldest_change",
             "For how long the oldest change of a team whose home this cell is has waited to be in force everywhere",
             Unit::Seconds,
             self.oldest_change.clone(),
         );
-        all.register(
+        registry.register(
             "quota_behind",
             "Teams whose latest quota is not in force in a cell, as their home knows",
             self.cells_behind.clone(),
         );
-        all.register(
+        registry.register(
             "quota_refused",
             "Messages of other cells that were not taken",
             self.refused_cells.clone(),
         );
     }
 
-    /// Takes over how quotas stand; `None`: this node has nothing to tell of them.
+    /// Takes over the status of quotas; `None`: this node knows none.
     pub(super) fn record(&self, status: Option<QuotaStatus>) {
-        for each in [&self.allocation, &self.used] {
-            each.clear();
-        }
+        self.allocation.clear();
+        self.used.clear();
         self.version.clear();
         self.oldest_change.clear();
-        for each in [&self.cells_behind, &self.refused_cells] {
-            each.clear();
-        }
+        self.cells_behind.clear();
+        self.refused_cells.clear();
         let Some(status) = status else {
             return;
         };
-        for each in status.teams {
-            let team = TeamLabels { team: each.team };
+        for quota in status.teams {
+            let team = TeamLabels { team: quota.team };
             self.allocation
                 .get_or_create(&team)
-                .set(each.allocated_units);
-            self.used.get_or_create(&team).set(each.used_units);
+                .set(quota.allocated_units);
+            self.used.get_or_create(&team).set(quota.used_units);
             self.version
                 .get_or_create(&team)
-                .set(each.quota_version as i64);
+                .set(quota.quota_version as i64);
         }
         for (cell, teams) in status.cells_behind {
             let cell = CellLabels { cell };
             self.cells_behind.get_or_create(&cell).set(teams as i64);
         }
-        let own = CellLabels {
+        let own_cell = CellLabels {
             cell: status.own_cell,
         };
         let seconds = status.oldest_change_ms as f64 / 1000.0;
-        self.oldest_change.get_or_create(&own).set(seconds);
+        self.oldest_change.get_or_create(&own_cell).set(seconds);
         self.refused_cells
-            .get_or_create(&own)
+            .get_or_create(&own_cell)
             .set(status.rejected_messages as i64);
     }
 }
