--- a/src/main.rs
+++ b/src/main.rs
@@ -1,15 +1,21 @@
 //! The command line.
 
-use std::{path::PathBuf, process::ExitCode};
+use std::{
+    path::{Path, PathBuf},
+    process::ExitCode,
+};
 
 use clap::{Parser, Subcommand};
 use dalelb::{
     cells::{CellError, CellTopology, PeerCell},
-    config::Config,
-    daemon,
+    config::{Config, ConfigError},
+    daemon::{self, DaemonError},
 };
 use tracing_subscriber::EnvFilter;
 
+/// Wrong settings, or an address that can't be listened at.
+const EXIT_FAILURE: u8 = 2;
+
 #[derive(Parser)]
 #[command(name = "dalelb", version, about)]
 struct Cli {
@@ -50,59 +56,75 @@
     },
 }
 
+/// Why a command failed.
+#[derive(Debug, thiserror::Error)]
+enum CommandError {
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    #[error(transparent)]
+    Cells(#[from] CellError),
+    #[error(transparent)]
+    Daemon(#[from] DaemonError),
+}
+
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let (Command::Serve { config: path, .. } | Command::Check { config: path }) = &cli.command;
-    let mut config = match Config::load(path) {
-        Ok(config) => config,
-        Err(error) => {
-            eprintln!("dalelb: {error}");
-            return ExitCode::from(2);
-        }
+    let result = match &cli.command {
+        Command::Serve {
+            config,
+            cell,
+            peer_cells,
+        } => serve(config, cell.as_deref(), peer_cells, cli.log_level),
+        Command::Check { config } => check(config),
     };
-    if matches!(cli.command, Command::Check { .. }) {
-        println!("{}: ok", path.display());
-        return ExitCode::SUCCESS;
-    }
-    config.cells = match parse_cell_topology(&cli.command, &config) {
-        Ok(cells) => cells,
+    match result {
+        Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("dalelb: {error}");
-            return ExitCode::from(2);
+            ExitCode::from(EXIT_FAILURE)
         }
+    }
+}
+
+fn check(path: &Path) -> Result<(), CommandError> {
+    Config::load(path)?;
+    println!("{}: ok", path.display());
+    Ok(())
+}
+
+fn serve(
+    path: &Path,
+    cell: Option<&str>,
+    peer_cells: &[PeerCell],
+    log_level: tracing::Level,
+) -> Result<(), CommandError> {
+    let mut config = Config::load(path)?;
+    config.cells = match cell {
+        Some(own_cell) => Some(cell_topology(&config, own_cell, peer_cells)?),
+        None => None,
     };
+    init_logging(log_level);
+    daemon::run(config, path)?;
+    Ok(())
+}
+
+fn init_logging(level: tracing::Level) {
+    let filter = EnvFilter::new(format!("error,warp=off,dalelb={level}"));
     tracing_subscriber::fmt()
-        .with_env_filter(EnvFilter::new(format!(
-            "error,warp=off,dalelb={}",
-            cli.log_level
-        )))
+        .with_env_filter(filter)
         .with_writer(std::io::stderr)
         .with_ansi(false)
         .without_time()
         .init();
-    match daemon::run(config, path) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(error) => {
-            eprintln!("dalelb: {error}");
-            ExitCode::from(2)
-        }
-    }
 }
 
-/// The cells that share quotas, if operators name this one.
-fn parse_cell_topology(
-    command: &Command,
+/// The cells that share quotas, this one among them.
+fn cell_topology(
     config: &Config,
-) -> Result<Option<CellTopology>, CellError> {
-    let Command::Serve {
-        cell: Some(own),
-        peer_cells,
-        ..
-    } = command
-    else {
-        return Ok(None);
-    };
+    own_cell: &str,
+    peer_cells: &[PeerCell],
+) -> Result<CellTopology, CellError> {
     let teams = &config.settings.teams;
     CellTopology::validate_team_names(teams.iter().map(|team| team.name.as_str()))?;
-    CellTopology::new(own, peer_cells).map(Some)
+    CellTopology::new(own_cell, peer_cells)
 }
