--- a/src/transport/mesh/messages.rs
+++ b/src/transport/mesh/messages.rs
@@ -1,6 +1,6 @@
-//! Conversions between the mesh's messages and the types that the owner works with.
+//! Conversions between the mesh's messages and the types of the event loop.
 
-use super::proto::{self, Renewals, Told, request::Ask as Asked};
+use super::proto::{self, Renewals, Told, request::Ask};
 use crate::{
     coordination::{
         AdmissionCounts, ApiRequest, JobProgress, LeaderAnnouncement, LeaseRenewalAge,
@@ -65,7 +65,7 @@
 
 impl From<Told> for MemberStatus {
     fn from(message: Told) -> Self {
-        let of = |demand: &proto::Demand| WorkloadClassName {
+        let class = |demand: &proto::Demand| WorkloadClassName {
             team: demand.team.clone(),
             class: demand.class.clone(),
         };
@@ -83,18 +83,23 @@
             quotas_seq: message.table,
             capacity_per_s: message.takes,
             lateness: message.late,
-            demands: demands.clone().map(|each| (of(each), each.rate)).collect(),
-            counts: demands.map(|each| (of(each), counts(each))).collect(),
+            demands: demands
+                .clone()
+                .map(|demand| (class(demand), demand.rate))
+                .collect(),
+            counts: demands
+                .map(|demand| (class(demand), counts(demand)))
+                .collect(),
             reservations: message.turns.into_iter().map(decode_reservation).collect(),
         }
     }
 }
 
 impl From<&MemberStatus> for Told {
-    fn from(news: &MemberStatus) -> Self {
-        let demands = news.counts.iter().map(|(class, counts)| {
-            let mut asked = news.demands.iter();
-            let rate = asked.find_map(|(other, rate)| (other == class).then_some(*rate));
+    fn from(status: &MemberStatus) -> Self {
+        let demands = status.counts.iter().map(|(class, counts)| {
+            let mut demands = status.demands.iter();
+            let rate = demands.find_map(|(other, rate)| (other == class).then_some(*rate));
             proto::Demand {
                 team: class.team.clone(),
                 class: class.class.clone(),
@@ -108,12 +113,12 @@
             }
         });
         Told {
-            label: news.label.clone(),
-            table: news.quotas_seq,
-            takes: news.capacity_per_s,
-            late: news.lateness,
+            label: status.label.clone(),
+            table: status.quotas_seq,
+            takes: status.capacity_per_s,
+            late: status.lateness,
             demands: demands.collect(),
-            turns: news.reservations.iter().map(encode_reservation).collect(),
+            turns: status.reservations.iter().map(encode_reservation).collect(),
         }
     }
 }
@@ -164,26 +169,26 @@
 }
 
 impl From<RenewalReply> for Renewals {
-    fn from(word: RenewalReply) -> Self {
-        let renewals = word.renewals.into_iter().map(|renewal| proto::Renewal {
+    fn from(reply: RenewalReply) -> Self {
+        let renewals = reply.renewals.into_iter().map(|renewal| proto::Renewal {
             machine: renewal.machine,
             age_ms: renewal.age_ms,
             inquiry: renewal.is_inquiry,
         });
         Renewals {
             renewals: renewals.collect(),
-            hears: word.workers_heard as u32,
+            hears: reply.workers_heard as u32,
         }
     }
 }
 
-/// A user's request as a member is asked to answer it; `None`: no user asks that.
-pub fn encode_relayed_request(ask: &ApiRequest) -> Option<proto::Request> {
-    let asked = match ask {
-        ApiRequest::Submit(submission) => Asked::Submit(protocol::encode(&**submission)),
-        ApiRequest::Poll(job) => Asked::Poll(job.0),
-        ApiRequest::Cancel(job) => Asked::Cancel(job.0),
+/// A user's request as it is relayed to a member; `None`: not a request of a user.
+pub fn encode_relayed_request(request: &ApiRequest) -> Option<proto::Request> {
+    let ask = match request {
+        ApiRequest::Submit(submission) => Ask::Submit(protocol::encode(&**submission)),
+        ApiRequest::Poll(job) => Ask::Poll(job.0),
+        ApiRequest::Cancel(job) => Ask::Cancel(job.0),
         ApiRequest::Heartbeat(_) | ApiRequest::Readiness | ApiRequest::Relayed(_) => return None,
     };
-    Some(proto::Request { ask: Some(asked) })
+    Some(proto::Request { ask: Some(ask) })
 }
--- a/src/transport/mesh/mod.rs
+++ b/src/transport/mesh/mod.rs
@@ -4,6 +4,7 @@
 
 use crate::coordination::{CellGrants, CellReport, LeaseRevocation, RenewalReply};
 
+mod cell_messages;
 mod members;
 pub mod messages;
 pub mod peer_cells;
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,4 +1,5 @@
-//! Sockets, connection pools, rate limits and timeouts. Nothing here decides anything.
+//! Servers and clients: sockets, connection pools, rate limits and timeouts. All decisions are made
+//! in [`crate::coordination`].
 
 pub mod client;
 mod connection_limiter;
--- a/src/transport/rate_limiter.rs
+++ b/src/transport/rate_limiter.rs
@@ -1,4 +1,4 @@
-//! Token buckets that keep this node under a service's limits, the urgent first.
+//! Token buckets that keep this node under a service's limits, the most urgent calls first.
 
 use std::{cell::RefCell, time::Duration};
 
@@ -6,7 +6,16 @@
 
 use crate::{coordination::admission::load_shedding::reserved_fraction, protocol::state::Urgency};
 
-/// A bucket that refills at `rate` and holds a second's worth.
+/// Tokens that any bucket can hold, so that a single call always fits.
+const MIN_CAPACITY: f64 = 1.0;
+/// Sums of fractions may fall this short of a whole token.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
+/// Bounds of the wait before the bucket is looked at again: others may take tokens, or the rate
+/// may change.
+const MIN_WAIT_S: f64 = 0.002;
+const MAX_WAIT_S: f64 = 1.0;
+
+/// A bucket that refills at a rate and holds a second's worth.
 pub struct TokenBucket {
     inner: RefCell<BucketState>,
 }
@@ -18,40 +27,62 @@
 }
 
 impl TokenBucket {
-    pub fn new(rate: f64) -> Self {
+    /// A full bucket that refills at `rate_per_s`.
+    pub fn new(rate_per_s: f64) -> Self {
         TokenBucket {
             inner: RefCell::new(BucketState {
-                rate_per_s: rate,
-                tokens: rate,
+                rate_per_s,
+                tokens: rate_per_s,
                 refilled_at: Instant::now(),
             }),
         }
     }
 
-    pub fn set_rate(&self, rate: f64) {
-        self.inner.borrow_mut().rate_per_s = rate;
+    /// Changes the rate from now on.
+    pub fn set_rate(&self, rate_per_s: f64) {
+        self.inner.borrow_mut().rate_per_s = rate_per_s;
     }
 
-    /// Waits until `cost` tokens may be taken. Less urgent callers leave a reserve in the bucket.
+    /// Waits until `cost` tokens may be taken, and takes them. Less urgent callers leave a reserve
+    /// in the bucket. Nothing is taken when the future is dropped before.
     pub async fn acquire(&self, cost: f64, urgency: Urgency) {
         loop {
-            let wait = {
-                let mut inner = self.inner.borrow_mut();
-                let now = Instant::now();
-                let gained = now.duration_since(inner.refilled_at).as_secs_f64() * inner.rate_per_s;
-                let full = inner.rate_per_s.max(1.0);
-                inner.tokens = (inner.tokens + gained).min(full);
-                inner.refilled_at = now;
-                let reserve = full * reserved_fraction(urgency);
-                // A cost above what the bucket can ever hold is let through once it is full.
-                let needed = (cost + reserve).min(full);
-                if inner.tokens >= needed - 1e-9 {
-                    inner.tokens -= cost;
-                    return;
-                }
-                (needed - inner.tokens) / inner.rate_per_s
+            let acquired = self.inner.borrow_mut().try_acquire(cost, urgency);
+            let Err(shortfall) = acquired else {
+                return;
             };
-            tokio::time::sleep(Duration::from_secs_f64(wait.clamp(0.002, 1.0))).await;
+            let wait_s = shortfall.wait_s.clamp(MIN_WAIT_S, MAX_WAIT_S);
+            tokio::time::sleep(Duration::from_secs_f64(wait_s)).await;
         }
     }
 }
+
+/// Too few tokens now.
+struct Shortfall {
+    /// Seconds until the bucket holds enough, if nobody else takes any.
+    wait_s: f64,
+}
+
+impl BucketState {
+    fn try_acquire(&mut self, cost: f64, urgency: Urgency) -> Result<(), Shortfall> {
+        let full = self.rate_per_s.max(MIN_CAPACITY);
+        self.refill(full);
+        let reserve = full * reserved_fraction(urgency);
+        // A cost above what the bucket can ever hold is let through once it is full.
+        let needed = (cost + reserve).min(full);
+        if self.tokens >= needed - ROUNDING_TOLERANCE {
+            self.tokens -= cost;
+            return Ok(());
+        }
+        Err(Shortfall {
+            wait_s: (needed - self.tokens) / self.rate_per_s,
+        })
+    }
+
+    fn refill(&mut self, full: f64) {
+        let now = Instant::now();
+        let gained = now.duration_since(self.refilled_at).as_secs_f64() * self.rate_per_s;
+        self.tokens = (self.tokens + gained).min(full);
+        self.refilled_at = now;
+    }
+}
