--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,7 +1,9 @@
-//! Sockets, connection pools, rate limits and timeouts. Nothing here decides anything.
+//! Servers and clients: sockets, connection pools, rate limits and timeouts. All decisions are made
+//! in [`crate::coordination`].
 
 pub mod client;
 mod connection_limiter;
 pub mod mesh;
 pub mod rate_limiter;
+mod recent_calls;
 pub mod server;
