--- /dev/null
+++ b/src/scheduling/cycle.rs
@@ -0,0 +1,396 @@
+//! The scheduling cycle: a heap of teams, from which the team with the fewest units places next.
+
+use std::{
+    cmp::Reverse,
+    collections::{BinaryHeap, HashSet},
+    ops::Bound,
+};
+
+use crate::{
+    cluster::{ClusterState, Job, JobIndex, Machine, MachineIndex, QueueKey, TeamIndex},
+    protocol::job::{JobKind, Priority},
+    scheduling::{
+        MAX_PLACEMENTS_PER_CYCLE, UNITS_EPSILON,
+        candidates::{CandidateCache, UnmetRequest},
+        deserved_shares::{compute_deserved_shares, schedulable_capacity},
+        fair_share::{self, FairShareLedger, WorkloadClass},
+        gang::find_gang_placement,
+        replica::find_replica_placement,
+        scoring::{elapsed_run_s, meets_start_objective},
+        to_milli_units,
+    },
+    time::Millis,
+};
+
+/// How long a job has waited when it takes what is left, and how many jobs of a team are tried then.
+const LONG_WAIT_MS: Millis = 75_000;
+const MAX_LONG_WAITING_JOBS_PER_TEAM: usize = 50;
+/// A team's place in the heap: those with the fewest reserved units first. A team that has what it
+/// deserves yields to those that have not: with guarantees, equal counts are not what teams deserve,
+/// and room preempted for a starved team would go to the one that it was taken from.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct TeamHeapKey {
+    has_deserved_share: bool,
+    reserved_milli_units: i64,
+    team: TeamIndex,
+}
+
+impl TeamHeapKey {
+    fn new(cluster: &ClusterState, team: TeamIndex, deserved: &[f64]) -> Self {
+        let reserved = cluster.accounted_units(&cluster.teams[team.as_usize()].reserved);
+        TeamHeapKey {
+            has_deserved_share: reserved + UNITS_EPSILON >= deserved[team.as_usize()],
+            reserved_milli_units: to_milli_units(reserved),
+            team,
+        }
+    }
+}
+
+/// Runs one scheduling cycle: pops the team with the fewest units, places its first task, reshuffles.
+/// A job that fits nowhere, or whose team is at its limit, sits this cycle out; a team without another
+/// job leaves the heap. Returns how many tasks were placed.
+pub fn run_scheduling_cycle(
+    cluster: &mut ClusterState,
+    fair_share: &mut FairShareLedger,
+    now: Millis,
+) -> usize {
+    run_scheduling_cycle_with(cluster, fair_share, now, &mut CandidateCache::default())
+}
+
+/// Runs one scheduling cycle with the given cache of candidates, which counts its searches.
+pub fn run_scheduling_cycle_with(
+    cluster: &mut ClusterState,
+    fair_share: &mut FairShareLedger,
+    now: Millis,
+    candidates: &mut CandidateCache,
+) -> usize {
+    let capacity = schedulable_capacity(cluster);
+    let deserved = compute_deserved_shares(cluster, capacity);
+    fair_share.update(cluster, now, capacity, &deserved);
+    let mut placed = place_starved_classes(cluster, fair_share, now, candidates);
+    let mut cycle = SchedulingCycle::new(cluster, fair_share, now, candidates, capacity, deserved);
+    cycle.placed_count = placed;
+    cycle.run();
+    placed = cycle.placed_count;
+    placed + place_long_waiting_on_slow_machines(cluster, now)
+}
+
+/// Where a task is to be placed.
+struct TaskPlacement {
+    task: u32,
+    machine: MachineIndex,
+    /// The positions of the machine's attempts that are stopped for it.
+    victims: Vec<usize>,
+}
+
+/// The state of one cycle of the heap of teams.
+struct SchedulingCycle<'a> {
+    cluster: &'a mut ClusterState,
+    fair_share: &'a mut FairShareLedger,
+    now: Millis,
+    candidates: &'a mut CandidateCache,
+    capacity: f64,
+    deserved: Vec<f64>,
+    starved_classes: Vec<WorkloadClass>,
+    heap: BinaryHeap<Reverse<TeamHeapKey>>,
+    /// Where each team's queue goes on: the jobs before sit this cycle out. Searching from the start
+    /// for each task took time in proportion to the square of the queue's length.
+    last_skipped: Vec<Option<QueueKey>>,
+    /// Jobs for which room is reserved on some machine.
+    reserved_for: HashSet<JobIndex>,
+    unmet_requests: Vec<UnmetRequest>,
+    /// The priority of the most urgent array that found no room.
+    blocked_priority: Option<Priority>,
+    placed_count: usize,
+}
+
+impl<'a> SchedulingCycle<'a> {
+    fn new(
+        cluster: &'a mut ClusterState,
+        fair_share: &'a mut FairShareLedger,
+        now: Millis,
+        candidates: &'a mut CandidateCache,
+        capacity: f64,
+        deserved: Vec<f64>,
+    ) -> Self {
+        let teams = (0..cluster.teams.len() as u32).map(TeamIndex);
+        let heap = teams
+            .filter(|team| !cluster.teams[team.as_usize()].queue.is_empty())
+            .map(|team| Reverse(TeamHeapKey::new(cluster, team, &deserved)))
+            .collect();
+        let reservations = cluster
+            .machines
+            .iter()
+            .filter_map(|machine| machine.reserved_for);
+        let reserved_for = reservations
+            .filter(|(_, until)| now < *until)
+            .map(|(job, _)| job)
+            .collect();
+        SchedulingCycle {
+            starved_classes: fair_share.starved_classes(),
+            heap,
+            last_skipped: vec![None; cluster.teams.len()],
+            reserved_for,
+            unmet_requests: Vec::new(),
+            blocked_priority: None,
+            placed_count: 0,
+            cluster,
+            fair_share,
+            now,
+            candidates,
+            capacity,
+            deserved,
+        }
+    }
+
+    fn run(&mut self) {
+        while let Some(Reverse(popped)) = self.heap.pop() {
+            let team = popped.team;
+            let Some(key) = self.next_job(team) else {
+                continue;
+            };
+            if self.cluster.job(key.2).kind == JobKind::Gang {
+                self.place_gang(team, key);
+                self.push_team(team);
+                continue;
+            }
+            self.place_next_task(team, key);
+            if self.placed_count >= MAX_PLACEMENTS_PER_CYCLE {
+                self.cluster.scheduling_needed = true;
+                break;
+            }
+            self.push_team(team);
+        }
+        if let Some(priority) = self.blocked_priority {
+            self.fair_share.note_blocked_arrays(priority, self.now);
+        }
+    }
+
+    fn push_team(&mut self, team: TeamIndex) {
+        let key = TeamHeapKey::new(self.cluster, team, &self.deserved);
+        self.heap.push(Reverse(key));
+    }
+
+    /// The first job of the team's queue that has not been skipped and may find room.
+    fn next_job(&mut self, team: TeamIndex) -> Option<QueueKey> {
+        let after = self.last_skipped[team.as_usize()].map_or(Bound::Unbounded, Bound::Excluded);
+        let (cluster, fair_share, now) = (&*self.cluster, &*self.fair_share, self.now);
+        let queue = &cluster.teams[team.as_usize()].queue;
+        for key in queue.range((after, Bound::Unbounded)) {
+            let entry = cluster.job(key.2);
+            if fair_share.would_be_preempted(entry, now) {
+                continue;
+            }
+            let ruled_out = self
+                .unmet_requests
+                .iter()
+                .any(|request| request.rules_out(key.2, entry, &self.reserved_for));
+            if !ruled_out {
+                return Some(*key);
+            }
+            note_blocked_array(&mut self.blocked_priority, entry, now);
+        }
+        None
+    }
+
+    /// Places all waiting tasks of a gang, or none.
+    fn place_gang(&mut self, team: TeamIndex, key: QueueKey) {
+        let job = key.2;
+        let Some(places) = find_gang_placement(self.cluster, job, self.now) else {
+            self.last_skipped[team.as_usize()] = Some(key);
+            return;
+        };
+        self.placed_count += places.len();
+        for (task, machine) in places {
+            self.cluster.place(job, task, machine, self.now);
+            self.candidates.placed_on.push(machine);
+        }
+    }
+
+    /// Places the first waiting task of a job, or skips the job for the rest of the cycle.
+    fn place_next_task(&mut self, team: TeamIndex, key: QueueKey) {
+        let job = key.2;
+        let entry = self.cluster.job(job);
+        let task = entry.waiting.first().copied();
+        let is_ready = entry.backoff_until <= self.now
+            && entry.placeable_tasks() > 0
+            && self.cluster.teams[team.as_usize()].allows(&entry.requested);
+        let ready_task = task.filter(|_| is_ready);
+        if let Some(placement) = ready_task.and_then(|task| self.find_placement(job, task)) {
+            self.place_task(job, &placement);
+            return;
+        }
+        let entry = self.cluster.job(job);
+        if ready_task.is_some() {
+            note_blocked_array(&mut self.blocked_priority, entry, self.now);
+        }
+        let unmet = UnmetRequest::from_unplaced_job(entry, self.cluster, self.now);
+        self.unmet_requests.extend(unmet);
+        self.last_skipped[team.as_usize()] = Some(key);
+    }
+
+    fn find_placement(&mut self, job: JobIndex, task: u32) -> Option<TaskPlacement> {
+        let (cluster, now) = (&*self.cluster, self.now);
+        let entry = cluster.job(job);
+        let best = self.candidates.find_best_machine(cluster, job, task, now);
+        let without_victims = |machine| TaskPlacement {
+            task,
+            machine,
+            victims: Vec::new(),
+        };
+        if entry.kind != JobKind::Service {
+            return best.map(without_victims);
+        }
+        let in_time =
+            best.filter(|at| meets_start_objective(cluster, entry, cluster.machine(*at), now));
+        if let Some(machine) = in_time {
+            return Some(without_victims(machine));
+        }
+        let (task, machine, victims) =
+            find_replica_placement(cluster, job, task, best, now, self.candidates)?;
+        Some(TaskPlacement {
+            task,
+            machine,
+            victims,
+        })
+    }
+
+    fn place_task(&mut self, job: JobIndex, placement: &TaskPlacement) {
+        for &victim in &placement.victims {
+            self.preempt(placement.machine, victim, job);
+        }
+        let cluster = &mut *self.cluster;
+        cluster.place(job, placement.task, placement.machine, self.now);
+        self.candidates.placed_on.push(placement.machine);
+        self.placed_count += 1;
+        let class = WorkloadClass::of_job(cluster.job(job));
+        if !self.starved_classes.is_empty() && !self.starved_classes.contains(&class) {
+            let units = cluster.accounted_units(&cluster.job(job).requested);
+            let max_credit = fair_share::STARVED_SHARE_FRACTION * self.capacity;
+            self.fair_share.earn_credit(units, max_credit);
+        }
+    }
+
+    /// Stops an attempt for a replica that finds its image on the attempt's machine.
+    fn preempt(&mut self, machine: MachineIndex, attempt_index: usize, beneficiary: JobIndex) {
+        let cluster = &mut *self.cluster;
+        let attempt = &cluster.machine(machine).attempts[attempt_index];
+        let (loser, to) = (cluster.job(attempt.job), cluster.job(beneficiary).id);
+        let task = loser.task_id(attempt.task);
+        let ran_s = elapsed_run_s(attempt, self.now) as u64;
+        tracing::info!(%task, %to, reason = "Image", ran_s, "gives way");
+        let class = WorkloadClass::of_job(loser);
+        self.fair_share.status_mut(class).attempts_preempted += 1;
+        cluster.request_stop(machine, attempt_index, 0.0);
+    }
+}
+
+/// Places what has waited for long, and found nothing else, on machines that are draining for being
+/// slow: as long as they have other work they are not replaced, and late is better than never.
+fn place_long_waiting_on_slow_machines(cluster: &mut ClusterState, now: Millis) -> usize {
+    let slow =
+        |machine: &Machine| machine.draining && !machine.faulty && machine.can_receive_commands();
+    let machines = cluster.machines.iter().zip(0..);
+    let slow: Vec<MachineIndex> = machines
+        .filter(|(machine, _)| slow(machine))
+        .map(|(_, at)| MachineIndex(at))
+        .collect();
+    if slow.is_empty() {
+        return 0;
+    }
+    let queues = cluster
+        .teams
+        .iter()
+        .flat_map(|team| team.queue.iter().take(MAX_LONG_WAITING_JOBS_PER_TEAM));
+    let jobs = queues.map(|(.., job)| *job);
+    let jobs: Vec<JobIndex> = jobs
+        .filter(|job| cluster.job(*job).first_seen_at + LONG_WAIT_MS <= now)
+        .collect();
+    let mut placed = 0;
+    for job in jobs {
+        for &on in &slow {
+            loop {
+                let (entry, machine) = (cluster.job(job), cluster.machine(on));
+                let team = &cluster.teams[entry.team.as_usize()];
+                let Some(&task) = entry.waiting.first() else {
+                    break;
+                };
+                if entry.kind == JobKind::Gang
+                    || entry.backoff_until > now
+                    || entry.placeable_tasks() == 0
+                    || !team.allows(&entry.requested)
+                    || !cluster.is_feasible(entry, machine)
+                    || machine.avoid_until > now
+                    || entry.is_avoiding(on, now)
+                    || machine.has_attempt_of(job, task)
+                {
+                    break;
+                }
+                cluster.place(job, task, on, now);
+                placed += 1;
+            }
+        }
+    }
+    placed
+}
+
+/// Notes that an array found no room: others will be preempted for it before long. Whether it can
+/// still wait is not asked: a new leader takes all jobs for new, and started 4,500 tasks that it
+/// stopped 4 s later.
+fn note_blocked_array(blocked_priority: &mut Option<Priority>, job: &Job, now: Millis) {
+    if job.kind == JobKind::Array && !job.quarantined && job.backoff_until <= now {
+        let priority = blocked_priority.map_or(job.priority, |known| known.min(job.priority));
+        *blocked_priority = Some(priority);
+    }
+}
+
+/// Places tasks of starved classes for the credit that the placements of others have earned them.
+fn place_starved_classes(
+    cluster: &mut ClusterState,
+    fair_share: &mut FairShareLedger,
+    now: Millis,
+    candidates: &mut CandidateCache,
+) -> usize {
+    let mut placed = 0;
+    for class in fair_share.starved_classes() {
+        let jobs: Vec<JobIndex> = fair_share::placeable_jobs_of(cluster, class, now)
+            .take(MAX_PLACEMENTS_PER_CYCLE)
+            .map(|(.., job)| job)
+            .collect();
+        let mut unmet_requests: Vec<UnmetRequest> = Vec::new();
+        for job in jobs {
+            let requested = cluster.job(job).requested;
+            let entry = cluster.job(job);
+            if unmet_requests
+                .iter()
+                .any(|request| request.rules_out(job, entry, &HashSet::new()))
+            {
+                continue;
+            }
+            while fair_share.credit() > 0.0 && placed < MAX_PLACEMENTS_PER_CYCLE {
+                let entry = cluster.job(job);
+                let Some(&task) = entry.waiting.first() else {
+                    break;
+                };
+                if entry.placeable_tasks() == 0
+                    || !cluster.teams[entry.team.as_usize()].allows(&requested)
+                {
+                    break;
+                }
+                let Some(machine) = candidates.find_best_machine(cluster, job, task, now) else {
+                    unmet_requests.extend(UnmetRequest::from_unplaced_job(
+                        cluster.job(job),
+                        cluster,
+                        now,
+                    ));
+                    break;
+                };
+                cluster.place_for_fair_share(job, task, machine, now);
+                candidates.placed_on.push(machine);
+                fair_share.spend_credit(cluster.accounted_units(&requested));
+                placed += 1;
+            }
+        }
+    }
+    placed
+}
--- /dev/null
+++ b/src/scheduling/deserved_shares.rs
@@ -0,0 +1,64 @@
+//! What each team deserves of the fleet.
+
+use crate::{cluster::ClusterState, scheduling::UNITS_EPSILON};
+
+/// The units of all machines that can be used.
+pub(super) fn schedulable_capacity(cluster: &ClusterState) -> f64 {
+    let usable = cluster
+        .machines
+        .iter()
+        .filter(|machine| machine.is_schedulable());
+    usable
+        .map(|machine| {
+            let kind = &cluster.machine_types[machine.machine_type.as_usize()];
+            if cluster.shares_gpus() {
+                kind.gpus
+            } else {
+                kind.cpus
+            }
+        })
+        .sum()
+}
+
+/// What each team deserves now, in units: its guarantee and an equal split of the rest, capped by its
+/// demand and its limit. What a cap leaves over is split again.
+pub fn compute_deserved_shares(cluster: &ClusterState, capacity: f64) -> Vec<f64> {
+    let caps: Vec<f64> = cluster
+        .teams
+        .iter()
+        .map(|team| {
+            let waiting: f64 = team
+                .queue
+                .iter()
+                .map(|&(_, _, job)| {
+                    let job = cluster.job(job);
+                    cluster.accounted_units(&job.requested) * job.placeable_tasks() as f64
+                })
+                .sum();
+            let demand = cluster.accounted_units(&team.reserved) + waiting;
+            demand.min(cluster.accounted_units(&team.limit))
+        })
+        .collect();
+    let mut shares: Vec<f64> = cluster
+        .teams
+        .iter()
+        .zip(&caps)
+        .map(|(team, cap)| cluster.accounted_units(&team.guarantee).min(*cap))
+        .collect();
+    let mut rest = capacity - shares.iter().sum::<f64>();
+    while rest > UNITS_EPSILON {
+        let open: Vec<usize> = (0..shares.len())
+            .filter(|&team| shares[team] + UNITS_EPSILON < caps[team])
+            .collect();
+        if open.is_empty() {
+            break;
+        }
+        let each = rest / open.len() as f64;
+        for team in open {
+            let gain = each.min(caps[team] - shares[team]);
+            shares[team] += gain;
+            rest -= gain;
+        }
+    }
+    shares
+}
--- a/src/scheduling/fair_share.rs
+++ b/src/scheduling/fair_share.rs
@@ -1,11 +1,12 @@
-//! What each class of each team is due of the fleet, what it got, and who has to catch up.
+//! What each class of each team is entitled to, what it got, and which classes are starved.
 //!
-//! The heap shares room among teams, and priorities decide within them and who has to give way. Neither looks
-//! at a class over time: small tasks of a team without a guarantee were started and stopped again for urgent
-//! arrays, each second, for as long as those came, and none of them ended. So once a second each class of each
-//! team is given its due, and whose running work stays below half of it for a while is *behind*: until it has
-//! caught up, a part of the room that becomes free goes to its tasks first, and what was started so is not
-//! stopped for an array. Nothing else is changed by it, and nobody is stopped for it.
+//! The heap divides room among teams, and priorities decide within them and about preemption. Neither
+//! looks at a class over time: small tasks of a team without a guarantee were started and preempted
+//! again for urgent arrays, each second, for as long as those came, and none of them completed. So once
+//! a second each class of each team is given its entitlement, and a class whose running work stays
+//! below half of it for a while is *starved*: until it has caught up, a part of the room that becomes
+//! free goes to its tasks first, and what was started so is not preempted for an array. Nothing else
+//! is changed by it, and nobody is preempted for it.
 
 use std::collections::BTreeMap;
 
@@ -15,34 +16,40 @@
     time::Millis,
 };
 
-/// The part of the room that becomes free which goes to those that are behind, and of the fleet that is due to
-/// teams that the guarantees of others leave nothing.
+/// The fraction of the room that becomes free which goes to starved classes, and of the fleet to which
+/// teams are entitled that the guarantees of others leave nothing.
 pub const STARVED_SHARE_FRACTION: f64 = 0.125;
-/// How often dues are looked at.
+/// How often entitlements are computed.
 const FAIR_SHARE_UPDATE_INTERVAL_MS: Millis = 1000;
-/// FairShareLedger and what was got are means that forget over this time, in seconds.
+/// The time constant of the means of what classes are entitled to and got, in seconds.
 const FAIR_SHARE_WINDOW_S: f64 = 20.0;
-/// Who gets less than this part of its due for so long is behind, and has caught up at that part.
+/// A class that gets less than this fraction of its entitlement is starved,
 const STARVED_BELOW_FRACTION: f64 = 0.5;
+/// if it does so for this long,
 const STARVATION_DELAY_MS: Millis = 5000;
+/// until it gets this fraction.
 const CAUGHT_UP_FRACTION: f64 = 1.0;
-/// How long arrays that found no room are taken to want it still.
+/// How long arrays that found no room are taken to need it still.
 const BLOCKED_ARRAYS_TTL_MS: Millis = 1500;
-/// Who is held to be in the way is tried all the same this often, for that long: the arrays that wait may have no use
-/// for the room that there is, and a start for nothing now and then costs little.
+/// How often a job that would be preempted is tried all the same: the arrays that wait may have no use
+/// for the room that there is, and a start in vain now and then costs little.
 const BLOCKED_RETRY_INTERVAL_MS: Millis = 40_000;
+/// For how long it is tried each time.
 const BLOCKED_RETRY_WINDOW_MS: Millis = 2000;
-/// Fewer units than this are nobody's due.
+/// Fewer units than this are no entitlement.
 const MIN_UNITS: f64 = 1e-6;
 
 /// One class of one team.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WorkloadClass {
+    /// The team.
     pub team: TeamIndex,
+    /// The class of jobs.
     pub class: ClassIndex,
 }
 
 impl WorkloadClass {
+    /// The class of a job's team to which it belongs.
     pub fn of_job(job: &Job) -> Self {
         WorkloadClass {
             team: job.team,
@@ -63,39 +70,44 @@
     oldest_wait_ms: Millis,
 }
 
-/// How a class of a team stands. Resources are units: GPUs, or CPUs where there are none.
+/// How a class of a team is served. Amounts are in units: GPUs, or processors where there are no GPUs.
 #[derive(Clone, Debug, Default)]
 pub struct ShareStatus {
     /// What it could use now: what it runs, and what waits.
     pub demand: f64,
-    /// TaskModel that wait.
+    /// How many tasks wait.
     pub waiting_tasks: usize,
-    /// Its due and what runs of it, as means over some time.
+    /// What it is entitled to, as a mean over time.
     pub entitled: f64,
+    /// What runs of it, as a mean over time.
     pub allocated: f64,
     /// How long its oldest waiting job has been known here, in milliseconds.
     pub oldest_wait_ms: Millis,
-    /// It has half of its due at this moment.
+    /// It has half of its entitlement at this moment.
     currently_served: bool,
     below_share_since: Option<Millis>,
+    /// It has got too little for too long, and not caught up yet.
     pub starved: bool,
-    /// What this leader has seen: tasks that ran, that completed, and attempts that were stopped for others.
+    /// Tasks that this leader has seen start.
     pub tasks_started: u64,
+    /// Tasks that this leader has seen complete.
     pub tasks_completed: u64,
+    /// Attempts that this leader has preempted.
     pub attempts_preempted: u64,
-    /// Arrays that were completed, and those of them by the first time that is aimed at for their end.
+    /// Jobs that this leader has seen complete.
     pub jobs_completed: u64,
+    /// Those of them that met the earliest of their completion objectives.
     pub jobs_on_time: u64,
 }
 
 impl ShareStatus {
-    fn update_means(&mut self, due: f64, got: f64, part: f64) {
-        self.currently_served = got >= STARVED_BELOW_FRACTION * due;
-        self.entitled += (due - self.entitled) * part;
-        self.allocated += (got - self.allocated) * part;
+    fn update_means(&mut self, entitled: f64, allocated: f64, weight: f64) {
+        self.currently_served = allocated >= STARVED_BELOW_FRACTION * entitled;
+        self.entitled += (entitled - self.entitled) * weight;
+        self.allocated += (allocated - self.allocated) * weight;
     }
 
-    /// Notices that it falls behind or has caught up; whether that changed.
+    /// Determines whether it is starved; returns whether that changed.
     fn update_starvation(&mut self, now: Millis) -> bool {
         let before = self.starved;
         if self.waiting_tasks == 0 || self.entitled < MIN_UNITS {
@@ -120,46 +132,48 @@
 pub struct FairShareLedger {
     statuses: BTreeMap<WorkloadClass, ShareStatus>,
     updated_at: Option<Millis>,
-    /// Units that those behind may be given before others; below 0 they have had more.
+    /// Units that starved classes may be given before others; below 0 they have had more.
     credit: f64,
     /// Arrays of this priority found no room, and until when that counts.
     blocked_arrays: Option<(Priority, Millis)>,
 }
 
 impl FairShareLedger {
+    /// All classes, and how they are served.
     pub fn statuses(&self) -> impl Iterator<Item = (WorkloadClass, &ShareStatus)> {
-        self.statuses
-            .iter()
-            .map(|(flow, standing)| (*flow, standing))
+        self.statuses.iter().map(|(class, status)| (*class, status))
     }
 
-    pub fn status_mut(&mut self, flow: WorkloadClass) -> &mut ShareStatus {
-        self.statuses.entry(flow).or_default()
+    /// How a class is served.
+    pub fn status_mut(&mut self, class: WorkloadClass) -> &mut ShareStatus {
+        self.statuses.entry(class).or_default()
     }
 
-    /// Those behind, who got the least part of its due first.
+    /// The starved classes, the one that got the least part of its entitlement first.
     pub fn starved_classes(&self) -> Vec<WorkloadClass> {
-        let mut behind: Vec<(f64, WorkloadClass)> = self
+        let mut starved: Vec<(f64, WorkloadClass)> = self
             .statuses
             .iter()
-            .filter(|(_, standing)| standing.starved)
-            .map(|(flow, standing)| (standing.allocated / standing.entitled.max(MIN_UNITS), *flow))
+            .filter(|(_, status)| status.starved)
+            .map(|(class, status)| (status.allocated / status.entitled.max(MIN_UNITS), *class))
             .collect();
-        behind.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        behind.into_iter().map(|(_, flow)| flow).collect()
+        starved.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+        starved.into_iter().map(|(_, class)| class).collect()
     }
 
+    /// Units that starved classes may be given before others.
     pub fn credit(&self) -> f64 {
         self.credit
     }
 
-    /// Somebody who is not behind got `units`: a part of as much is due to those who are.
+    /// A class that is not starved got `units`: those that are earn a part of as much, up to `most`.
     pub fn earn_credit(&mut self, units: f64, most: f64) {
         self.credit = (self.credit
             + units * STARVED_SHARE_FRACTION / (1.0 - STARVED_SHARE_FRACTION))
             .min(most);
     }
 
+    /// A starved class got `units`.
     pub fn spend_credit(&mut self, units: f64) {
         self.credit -= units;
     }
@@ -169,17 +183,17 @@
         self.blocked_arrays = Some((priority, now + BLOCKED_ARRAYS_TTL_MS));
     }
 
-    /// Whether the job's tasks would be stopped at the next check for the sake of arrays that wait. Started all
-    /// the same, three of four starts were for nothing.
+    /// Whether the job's tasks would be preempted at the next check for arrays that wait. Started all the
+    /// same, three of four starts were in vain.
     pub fn would_be_preempted(&self, job: &Job, now: Millis) -> bool {
-        let pressed = self.blocked_arrays.filter(|(_, until)| now < *until);
+        let blocked = self.blocked_arrays.filter(|(_, until)| now < *until);
         let waited = now.saturating_sub(job.first_seen_at);
-        let tried = waited >= BLOCKED_RETRY_INTERVAL_MS
+        let retried = waited >= BLOCKED_RETRY_INTERVAL_MS
             && waited % BLOCKED_RETRY_INTERVAL_MS < BLOCKED_RETRY_WINDOW_MS;
         job.kind == JobKind::Array
             && job.latest_placements_ms.is_empty()
-            && !tried
-            && pressed.is_some_and(|(priority, _)| priority < job.priority)
+            && !retried
+            && blocked.is_some_and(|(priority, _)| priority < job.priority)
     }
 }
 
--- /dev/null
+++ b/src/scheduling/preemption.rs
@@ -0,0 +1,206 @@
+//! Who is preempted: the trial fit of waiting tasks against the excess of over-share teams and
+//! against work of lower priority.
+
+use crate::{
+    cluster::{ClusterState, Job, JobIndex, MachineIndex, QueueKey, Resources, TeamIndex},
+    protocol::job::JobKind,
+    scheduling::{
+        MAX_PLACEMENTS_PER_CYCLE, UNITS_EPSILON,
+        deserved_shares::{compute_deserved_shares, schedulable_capacity},
+        to_milli_units,
+        trial_fit::{FailedTrial, TrialFit, TrialFleet},
+    },
+    time::{Millis, millis},
+};
+
+/// The fraction of an array's slack that it waits before others are preempted for it.
+const PREEMPTION_PATIENCE_FRACTION: f64 = 0.25;
+/// How long an array waits at most, in seconds, before others are preempted for it.
+const MAX_PREEMPTION_PATIENCE_S: f64 = 4.0;
+
+/// Why a running task is preempted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PreemptionReason {
+    /// A starved team's task takes a place beyond what the victim's team deserves.
+    Share,
+    /// A job of higher priority.
+    Priority,
+}
+
+/// The waiting tasks for which one check preempts others. Those who are to start sooner are checked
+/// for more often.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum PreemptionScope {
+    /// Services only.
+    Services,
+    /// Services, and jobs with an objective that they can still meet.
+    WithObjective,
+    /// All jobs.
+    All,
+}
+
+impl PreemptionScope {
+    fn includes(self, job: &Job) -> bool {
+        // A gang waits for room of its own; nobody is stopped for a part of it.
+        job.kind != JobKind::Gang
+            && match self {
+                PreemptionScope::Services => job.kind == JobKind::Service,
+                PreemptionScope::WithObjective => {
+                    job.kind == JobKind::Service || !job.latest_placements_ms.is_empty()
+                }
+                PreemptionScope::All => true,
+            }
+    }
+}
+
+/// An attempt that is to be stopped for a waiting task.
+#[derive(Clone, Debug, PartialEq)]
+pub struct PreemptionVictim {
+    /// The job that is to have its place.
+    pub beneficiary: JobIndex,
+    /// The victim's machine.
+    pub machine: MachineIndex,
+    /// The victim's position among the machine's attempts.
+    pub attempt_index: usize,
+    /// Why it is to be stopped.
+    pub reason: PreemptionReason,
+}
+
+/// Whether an array can still do without the preemption of work that has objectives of its own: tasks
+/// end all the time, and the teams that have least get their places first. Those that were stopped at
+/// once had mostly just been placed.
+fn can_wait_for_completions(cluster: &ClusterState, job: &Job, now: Millis) -> bool {
+    if job.kind == JobKind::Service {
+        return false;
+    }
+    let tightest = job
+        .objective_slacks_s
+        .first()
+        .copied()
+        .unwrap_or(f64::INFINITY);
+    let tightest = tightest.min(cluster.guarantee_objective_s.unwrap_or(f64::INFINITY));
+    let patience = (PREEMPTION_PATIENCE_FRACTION * tightest).min(MAX_PREEMPTION_PATIENCE_S);
+    now < job.first_seen_at + millis(patience)
+}
+
+/// Selects the attempts to preempt, by a trial fit. For each team with waiting work that fits
+/// nowhere: would it fit if the excess of over-share teams, or work of lower priority, were stopped?
+/// Only then are those attempts selected.
+pub fn select_preemptions(
+    cluster: &ClusterState,
+    now: Millis,
+    scope: PreemptionScope,
+) -> Vec<PreemptionVictim> {
+    let is_included = |&(_, _, job): &QueueKey| scope.includes(cluster.job(job));
+    if !cluster
+        .teams
+        .iter()
+        .any(|team| team.queue.iter().any(is_included))
+    {
+        return Vec::new();
+    }
+    let deserved = compute_deserved_shares(cluster, schedulable_capacity(cluster));
+    let reserved: Vec<f64> = cluster
+        .teams
+        .iter()
+        .map(|team| cluster.accounted_units(&team.reserved))
+        .collect();
+    let mut fleet = TrialFleet::new(cluster, &reserved, &deserved);
+    let mut order: Vec<usize> = (0..cluster.teams.len()).collect();
+    order.sort_by_key(|&team| to_milli_units(reserved[team]));
+    let mut victims = Vec::new();
+    for team in order {
+        // Beyond its guarantee a team waits for what others return: the protocol lets nobody stop
+        // work of the same or a higher priority for more than a guarantee.
+        let guarantee = cluster.accounted_units(&cluster.teams[team].guarantee);
+        let mut trial = TeamTrial {
+            cluster,
+            now,
+            team: TeamIndex(team as u32),
+            entitled_units: deserved[team].min(guarantee) - reserved[team],
+            reserved: cluster.teams[team].reserved,
+            failed_trials: Vec::new(),
+        };
+        for &(_, _, job) in &cluster.teams[team].queue {
+            let entry = cluster.job(job);
+            // Nobody is preempted for a quarantined job.
+            if entry.backoff_until > now || entry.quarantined || !scope.includes(entry) {
+                continue;
+            }
+            trial.try_job(job, &mut fleet, &mut victims);
+        }
+    }
+    victims
+}
+
+/// The trial of one team's waiting jobs.
+struct TeamTrial<'a> {
+    cluster: &'a ClusterState,
+    now: Millis,
+    team: TeamIndex,
+    /// How many more units the team could get of what it deserves and is guaranteed.
+    entitled_units: f64,
+    /// What the team would have reserved.
+    reserved: Resources,
+    failed_trials: Vec<FailedTrial>,
+}
+
+impl TeamTrial<'_> {
+    /// Selects victims for as many of the job's waiting tasks as would then fit.
+    fn try_job(
+        &mut self,
+        job: JobIndex,
+        fleet: &mut TrialFleet,
+        victims: &mut Vec<PreemptionVictim>,
+    ) {
+        let cluster = self.cluster;
+        let entry = cluster.job(job);
+        let units = cluster.accounted_units(&entry.requested);
+        let can_wait = can_wait_for_completions(cluster, entry, self.now);
+        let starved = self.is_starved(units);
+        if self
+            .failed_trials
+            .iter()
+            .any(|failed| failed.rules_out(entry, can_wait, starved))
+        {
+            return;
+        }
+        let mut trial = TrialFit {
+            cluster,
+            job_index: job,
+            job: entry,
+            team: self.team,
+            can_wait,
+            starved,
+            fleet,
+            now: self.now,
+        };
+        let mut candidates = trial.candidate_machines();
+        for _ in 0..entry.waiting.len().min(MAX_PLACEMENTS_PER_CYCLE) {
+            let mut reserved = self.reserved;
+            reserved.add(&entry.requested);
+            if self.exceeds_limit(&reserved) {
+                break;
+            }
+            trial.starved = self.is_starved(units);
+            let Some(chosen) = trial.choose_victims(&mut candidates) else {
+                let failed = FailedTrial::new(entry, can_wait, trial.starved);
+                self.failed_trials.extend(failed);
+                break;
+            };
+            self.reserved = reserved;
+            self.entitled_units -= units;
+            victims.extend(chosen);
+        }
+    }
+
+    /// Whether a task of so many units would be within what the team deserves and is guaranteed.
+    fn is_starved(&self, units: f64) -> bool {
+        units <= self.entitled_units + UNITS_EPSILON
+    }
+
+    fn exceeds_limit(&self, reserved: &Resources) -> bool {
+        let limit = &self.cluster.teams[self.team.as_usize()].limit;
+        reserved.cpus > limit.cpus + UNITS_EPSILON || reserved.gpus > limit.gpus + UNITS_EPSILON
+    }
+}
