--- /dev/null
+++ b/tests/histories/cluster.rs
@@ -0,0 +1,316 @@
+//! The simulated cluster: its construction, its event queue and the life of its processes.
+
+use super::*;
+
+impl SimulatedCluster {
+    pub(crate) fn new(seed: u64) -> Self {
+        let mut world = SimulatedCluster {
+            now: 0,
+            timings: worker_timings(seed),
+            rng: StdRng::seed_from_u64(seed),
+            queue: BinaryHeap::new(),
+            events: HashMap::new(),
+            next_event: 0,
+            nodes: (0..NODE_COUNT).map(|_| None).collect(),
+            incarnations: vec![0; NODE_COUNT],
+            booted_at: vec![0; NODE_COUNT],
+            state_service_cut_until: vec![0; NODE_COUNT],
+            state_service_refuses_until: vec![0; NODE_COUNT],
+            recovery_read_delay_ms: 0,
+            state_reply_delay_ms: 0,
+            delayed_writes_until: 0,
+            duplicated_reports_until: 0,
+            lost_replies_until: 0,
+            lost_reply_kind: None,
+            lost_reply_tickets: HashSet::new(),
+            retain_reports_until: 0,
+            retained_reports: Vec::new(),
+            consistency_checks_until: 0,
+            cancel_at_completion_until: 0,
+            slow_state_service_until: 0,
+            state_service_outage: None,
+            fault_until: 0,
+            delayed_writes_applied: 0,
+            duplicated_reports: 0,
+            dropped_messages: 0,
+            lost_replies_by_kind: BTreeMap::new(),
+            replayed_reports: 0,
+            answered_consistency_checks: 0,
+            undelivered_reports: 0,
+            messages_held_by_hung_workers: 0,
+            malformed_responses: BTreeMap::new(),
+            starts_by_task: HashMap::new(),
+            max_run_after_cancel_ms: 0,
+            worker_cut_until: vec![0; NODE_COUNT],
+            mesh_cut_until: vec![0; NODE_COUNT],
+            zone_cut: (0, String::new(), 0),
+            start_delay_ms: 0,
+            frozen_until: vec![0; NODE_COUNT],
+            effects_held_until: 0,
+            leader_freezes: 0,
+            resignations: 0,
+            requests: 0,
+            writes: 0,
+            store: Store::new(limits(seed)),
+            watches: Vec::new(),
+            answered: HashSet::new(),
+            workers: Vec::new(),
+            provisioned_instances: HashMap::new(),
+            jobs: BTreeMap::new(),
+            completed: HashSet::new(),
+            pending_requests: HashMap::new(),
+            pending_revocations: HashMap::new(),
+            next_request_id: 0,
+            starts: 0,
+            dependent_starts: 0,
+            limit_notice_at: [0; NODE_COUNT],
+            limit_drop: (u64::MAX, limits(seed)),
+            limits_unannounced: false,
+            oversized_writes: 0,
+            relayed_successes: 0,
+            member_statuses: vec![None; NODE_COUNT],
+            acceptances_at: Vec::new(),
+            retry_at: HashMap::new(),
+            rejections: 0,
+            seed,
+            quotas_written_at: None,
+            duplicate_start_delay_ms: 0,
+            delayed_renewer_key: (NODE_COUNT, 0),
+            quick_restarts: 0,
+            duplicated_messages: 0,
+            replica_seconds: [(0, 0); 2],
+            flood_jobs: HashSet::new(),
+            trace: DefaultHasher::new(),
+            sent: Trace::default(),
+            kept: None,
+            late_order_chance: [0.0, 0.1, 0.4][(seed / 3) as usize % 3],
+            faults_enabled: true,
+            leader: None,
+        };
+        // In half of the histories the limits fall. Nodes that don't know of that yet write longer pages
+        // and entries, and lead in turn with those that do.
+        if seed % 2 == 1 {
+            world.store.limits = USUAL_LIMITS;
+            world.limit_notice_at = [20_000, 45_000, 70_000];
+            world.limit_drop.0 = 80_000;
+        }
+        // And now and then nobody was told of it.
+        if seed % 4 == 3 {
+            world.limit_notice_at = [u64::MAX; NODE_COUNT];
+            world.limits_unannounced = true;
+        }
+        for index in 0..4 {
+            world.add_worker(["a", "b"][index % 2], index == 3);
+        }
+        for index in 0..NODE_COUNT {
+            world.boot(index);
+        }
+        world
+    }
+
+    pub(crate) fn add_worker(&mut self, zone: &str, spot: bool) -> String {
+        let name = format!("vm-{:06}", self.workers.len());
+        let drift = 1.0 + self.rng.random_range(-0.0005..0.0005);
+        self.workers.push(Worker {
+            name: name.clone(),
+            zone: zone.into(),
+            spot,
+            incarnation: 1,
+            seq: 0,
+            token: 0,
+            lease_renewed_at: self.now,
+            tasks: BTreeMap::new(),
+            node: self.rng.random_range(0..NODE_COUNT),
+            report_at: self.now + 500,
+            report_in_flight: None,
+            cut_until: 0,
+            drops_inbound_until: 0,
+            lost_starts: BTreeSet::new(),
+            drops_outbound_until: 0,
+            hung_until: 0,
+            booted_at: self.now,
+            deleted_at: 0,
+            gone: false,
+            clock_drift: drift,
+            images: BTreeSet::new(),
+        });
+        name
+    }
+
+    pub(crate) fn schedule(&mut self, time: u64, what: SimulationEvent) {
+        self.next_event += 1;
+        self.queue.push(Reverse((time, self.next_event)));
+        self.events.insert(self.next_event, what);
+    }
+
+    pub(crate) fn schedule_command(
+        &mut self,
+        index: usize,
+        life: u64,
+        time: u64,
+        command: Command,
+    ) {
+        self.schedule(
+            time,
+            SimulationEvent::DeliverCommand(index, life, Box::new(command)),
+        );
+    }
+
+    /// The node that an event is to happen on.
+    pub(crate) fn node_of_event(what: &SimulationEvent) -> Option<usize> {
+        match what {
+            SimulationEvent::Tick(index, _)
+            | SimulationEvent::DeliverCommand(index, ..)
+            | SimulationEvent::DeliverReport(_, index, ..)
+            | SimulationEvent::Revoke(_, index, ..)
+            | SimulationEvent::Relay(_, _, index, ..) => Some(*index),
+            _ => None,
+        }
+    }
+
+    pub(crate) fn boot(&mut self, index: usize) {
+        self.incarnations[index] += 1;
+        self.booted_at[index] = self.now;
+        self.frozen_until[index] = 0;
+        let (_, next) = self.limit_drop;
+        let next = (self.limit_notice_at[index] <= self.now).then_some(next);
+        self.nodes[index] = Some(Node::new(config(
+            index,
+            self.timings,
+            self.store.limits,
+            next,
+        )));
+        self.schedule(
+            self.now,
+            SimulationEvent::Tick(index, self.incarnations[index]),
+        );
+    }
+
+    pub(crate) fn crash(&mut self, index: usize) {
+        if self.nodes[index].is_some() && self.faults_enabled && self.rng.random_bool(0.5) {
+            self.delay_messages_of_crashed_node(index);
+        }
+        self.nodes[index] = None;
+        self.incarnations[index] += 1;
+    }
+
+    /// What a process had under way to the state service and the workers as it ended is carried out late: its
+    /// successor under the same label is at work by then.
+    pub(crate) fn delay_messages_of_crashed_node(&mut self, index: usize) {
+        let life = self.incarnations[index];
+        let of_it = |what: &SimulationEvent| match what {
+            SimulationEvent::StateRequestArrives(from, of, ..)
+            | SimulationEvent::DeliverOrders(from, of, ..) => (*from, *of) == (index, life),
+            _ => false,
+        };
+        let mut late: Vec<u64> = self
+            .events
+            .iter()
+            .filter(|(_, what)| of_it(what))
+            .map(|(id, _)| *id)
+            .collect();
+        late.sort();
+        for id in late {
+            let time = self.now + self.rng.random_range(30..20_000);
+            if let Some(what) = self.events.remove(&id) {
+                self.schedule(time, what);
+            }
+        }
+    }
+
+    /// A process ends and is back after a pause, mostly within a second.
+    pub(crate) fn stop_process(&mut self, index: usize, pause: u64) {
+        self.crash(index);
+        self.quick_restarts += usize::from(pause < 1000);
+        self.schedule(self.now + pause, SimulationEvent::Boot(index));
+    }
+
+    pub(crate) fn random_restart_delay(&mut self) -> u64 {
+        match self.rng.random_range(0..10) {
+            0 => self.rng.random_range(1000..6000),
+            1 | 2 => 30,
+            _ => self.rng.random_range(30..1000),
+        }
+    }
+
+    /// One process, or all of them, end several times in quick succession, also before they are ready.
+    pub(crate) fn schedule_process_stops(&mut self, who: &[usize]) {
+        for &index in who {
+            let mut time = self.now;
+            for _ in 0..self.rng.random_range(1..5) {
+                let pause = self.random_restart_delay();
+                self.schedule(time, SimulationEvent::StopProcess(index, pause));
+                // Ready takes some 100 ms here, a takeover some 300.
+                time += pause + self.rng.random_range(5..2500);
+            }
+        }
+    }
+
+    pub(crate) fn step(&mut self, index: usize, life: u64, command: Command) {
+        if self.incarnations[index] != life {
+            return;
+        }
+        let now = ClockReading {
+            monotonic_ms: self.now - self.booted_at[index],
+            wall_ms: 1_700_000_000_000 + self.now,
+        };
+        let Some(node) = &mut self.nodes[index] else {
+            return;
+        };
+        let effects = node.step([command], now);
+        // The worst moment: all is decided, nothing is sent.
+        if self.faults_enabled && self.rng.random_bool(0.0002) {
+            self.freeze(index);
+            self.effects_held_until = self.frozen_until[index];
+        }
+        for effect in effects {
+            self.execute_effect(index, life, effect);
+        }
+        self.effects_held_until = 0;
+    }
+
+    /// A node stands still: for less than the leader's lease, about as long, longer than a worker's.
+    pub(crate) fn freeze(&mut self, index: usize) {
+        let lease = self.timings.lease_ttl_ms;
+        let lengths = [
+            500,
+            2500,
+            3400,
+            3600,
+            lease / 2,
+            lease - 200,
+            lease + 2000,
+            25_000,
+            40_000,
+        ];
+        let length = lengths[self.rng.random_range(0..lengths.len())];
+        self.frozen_until[index] = self.now + length;
+        self.leader_freezes += usize::from(self.leader == Some(index));
+    }
+
+    /// The version of the leader's key, and the term.
+    pub(crate) fn leadership(&self) -> (Option<u64>, u64) {
+        let leader = self.store.row("shared/leader").map(|row| row.version);
+        let term = self.store.row("shared/term");
+        let term = term.and_then(|row| row.value["term"].as_u64());
+        (leader, term.unwrap_or(0))
+    }
+
+    pub(crate) fn run_until(&mut self, end: u64) {
+        while self.now < end {
+            let next = self.now + 25;
+            while let Some(Reverse((time, id))) = self.queue.peek().copied() {
+                if time > next {
+                    break;
+                }
+                self.queue.pop();
+                self.now = self.now.max(time);
+                if let Some(what) = self.events.remove(&id) {
+                    self.handle_event(what);
+                }
+            }
+            self.now = next;
+            self.run_background();
+        }
+    }
+}
--- /dev/null
+++ b/tests/histories/faults.rs
@@ -0,0 +1,140 @@
+//! Faults that are injected, alone and at random.
+
+use super::*;
+
+impl SimulatedCluster {
+    pub(crate) fn inject_random_fault(&mut self) {
+        let index = self.rng.random_range(0..NODE_COUNT);
+        let until = self.now + self.rng.random_range(2000..30_000);
+        match self.rng.random_range(0..13 + FAULT_KINDS + 4) {
+            kind @ 13.. if kind < 13 + FAULT_KINDS => self.inject_fault(kind - 13, index, until),
+            13.. => {
+                // Two that meet.
+                let first = self.rng.random_range(0..FAULT_KINDS);
+                let second = (first + self.rng.random_range(1..FAULT_KINDS)) % FAULT_KINDS;
+                self.inject_fault(first, index, until);
+                self.inject_fault(second, index, until);
+            }
+            11 => self.schedule_process_stops(&[index]),
+            12 => self.schedule_process_stops(&[0, 1, 2]),
+            10 => {
+                let zone = ["a", "b"][self.rng.random_range(0..2)];
+                // For longer than the node may renew workers.
+                let room = 2 * self.timings.cancellation_bound_ms;
+                let until = self.now + self.rng.random_range(5000..room);
+                self.cut_zone(index, zone, until);
+            }
+            8 => self.freeze(index),
+            9 => {
+                let leader = self.leader.unwrap_or(index);
+                self.freeze(leader);
+            }
+            0 => {
+                let pause = self.random_restart_delay();
+                self.stop_process(index, pause);
+            }
+            1 => {
+                for each in 0..NODE_COUNT {
+                    let pause = self.random_restart_delay();
+                    self.stop_process(each, pause);
+                }
+            }
+            2 => {
+                self.start_state_service_outage(until);
+            }
+            3 => self.state_service_cut_until[index] = until,
+            4 => self.worker_cut_until[index] = until,
+            5 => {
+                self.state_service_cut_until[index] = until;
+                self.worker_cut_until[index] = until;
+                self.mesh_cut_until[index] = until;
+            }
+            6 => self.mesh_cut_until[index] = until,
+            _ => {
+                let at = self.rng.random_range(0..self.workers.len());
+                self.workers[at].cut_until = until;
+            }
+        }
+    }
+
+    /// One of the troubles that users have seen meet others.
+    pub(crate) fn inject_fault(&mut self, kind: usize, index: usize, until: u64) {
+        self.fault_until = self.fault_until.max(until);
+        let leader = self.leader.unwrap_or(index);
+        match kind {
+            0 => self.delayed_writes_until = until,
+            1 => self.duplicated_reports_until = until,
+            2 => {
+                let until = until.max(self.now + self.timings.lease_ttl_ms + 5000);
+                self.fault_until = self.fault_until.max(until);
+                let zone = ["a", "b"][self.rng.random_range(0..2)];
+                for worker in self.workers.iter_mut().filter(|w| w.zone == zone) {
+                    worker.drops_inbound_until = until;
+                }
+            }
+            3 => self.slow_state_service_until = until,
+            4 => self.lost_replies_until = until,
+            5 => {
+                // An old report for a new leader, which begins soon.
+                self.retain_reports_until = until;
+                let pause = self.random_restart_delay();
+                self.schedule(until + 100, SimulationEvent::StopProcess(leader, pause));
+            }
+            6 | 7 => {
+                let zone = ["a", "b"][self.rng.random_range(0..2)];
+                let part = [0.3, 1.0][self.rng.random_range(0..2)];
+                for at in 0..self.workers.len() {
+                    if self.workers[at].zone != zone || !self.rng.random_bool(part) {
+                        continue;
+                    }
+                    match kind {
+                        6 => self.workers[at].drops_outbound_until = until,
+                        _ => self.workers[at].hung_until = until,
+                    }
+                }
+            }
+            8 => {
+                self.consistency_checks_until = until;
+                self.cancel_at_completion_until = until;
+            }
+            // The leader loses the state service and the members, not its workers or users, or is refused alone.
+            _ if self.rng.random_bool(0.5) => {
+                self.state_service_cut_until[leader] = until;
+                self.mesh_cut_until[leader] = until;
+            }
+            _ => {
+                self.state_service_refuses_until[leader] =
+                    until.max(self.state_service_refuses_until[leader])
+            }
+        }
+    }
+
+    /// The state service refuses the leader alone, and soon everybody, for longer than a cancellation may take.
+    pub(crate) fn refuse_all_state_requests(&mut self) {
+        let cancel = self.timings.cancellation_bound_ms;
+        let leader = self.leader.unwrap_or(0);
+        let from = self.now + self.rng.random_range(0..cancel / 2);
+        let until = from + cancel + self.rng.random_range(1000..10_000);
+        self.state_service_refuses_until[leader] = until;
+        self.state_service_outage = Some((from, until));
+        self.fault_until = self.fault_until.max(until);
+    }
+
+    /// Whether the state service answers this node with 503.
+    pub(crate) fn is_refused_by_state_service(&self, index: usize) -> bool {
+        self.store
+            .down_until
+            .max(self.state_service_refuses_until[index])
+            > self.now
+    }
+
+    /// It is down for all; afterwards all leases get their full time again.
+    pub(crate) fn start_state_service_outage(&mut self, until: u64) {
+        self.store.expire_leases(self.now);
+        let until = until.max(self.store.down_until);
+        self.store.down_until = until;
+        for (end, life) in self.store.leases.values_mut() {
+            *end = until + *life;
+        }
+    }
+}
--- /dev/null
+++ b/tests/histories/invariants.rs
@@ -0,0 +1,211 @@
+//! What must hold at all times, checked in the background and at the end.
+
+use super::*;
+
+impl SimulatedCluster {
+    /// What happens by itself every 25 ms.
+    pub(crate) fn run_background(&mut self) {
+        if self.limit_drop.0 <= self.now {
+            self.store.limits = self.limit_drop.1;
+        }
+        for index in 0..NODE_COUNT {
+            // Its turn: killed, it comes back a moment later.
+            if (self.now - 25..self.now).contains(&self.limit_notice_at[index]) && self.now > 25 {
+                self.crash(index);
+                self.boot(index);
+            }
+        }
+        for at in 0..self.workers.len() {
+            self.advance_worker(at);
+            let now = self.now;
+            let worker = &mut self.workers[at];
+            if worker.gone || now < 1000 || worker.hung_until > now {
+                continue;
+            }
+            if worker
+                .report_in_flight
+                .is_some_and(|(_, until)| until <= now)
+            {
+                worker.report_in_flight = None;
+                worker.node = (worker.node + 1) % NODE_COUNT;
+                worker.report_at = now + 1000;
+            }
+            if worker.report_in_flight.is_none() && worker.report_at <= now {
+                worker.report_in_flight = Some((now, now + 4000));
+                let report = self.timings.report_interval_ms;
+                worker.report_at = now + self.rng.random_range(report * 3 / 4..=report * 5 / 4);
+                let node = worker.node;
+                let report = self.build_report(at);
+                if self.workers[at].drops_outbound_until > now {
+                    // It can't connect, and tries the next node.
+                    self.undelivered_reports += 1;
+                    let worker = &mut self.workers[at];
+                    worker.report_in_flight = None;
+                    worker.node = (node + 1) % NODE_COUNT;
+                    worker.report_at = now + 1000;
+                    continue;
+                }
+                if self.retain_reports_until > now && self.retained_reports.len() < 200 {
+                    self.retained_reports.push((at, Box::new(report.clone())));
+                }
+                let cut = self.link_cut_until(node, at);
+                if let Some(time) = self.message_arrival(cut) {
+                    if let Some(time) = self.duplicate_arrival() {
+                        let copied = Box::new(report.clone());
+                        self.schedule(time, SimulationEvent::DeliverReport(at, node, copied, 0));
+                    }
+                    if self.duplicated_reports_until > self.now && self.rng.random_bool(0.3) {
+                        let later = self.rng.random_range(2000..2 * self.timings.lease_ttl_ms);
+                        // To whoever is asked by then.
+                        let node = self.rng.random_range(0..NODE_COUNT);
+                        let copied = Box::new(report.clone());
+                        self.duplicated_reports += 1;
+                        self.schedule(
+                            now + later,
+                            SimulationEvent::DeliverReport(at, node, copied, 0),
+                        );
+                    }
+                    self.schedule(
+                        time,
+                        SimulationEvent::DeliverReport(at, node, Box::new(report), now),
+                    );
+                }
+            }
+        }
+        if let Some((_, until)) = self
+            .state_service_outage
+            .take_if(|(from, _)| *from <= self.now)
+        {
+            self.start_state_service_outage(until);
+        }
+        self.store.expire_leases(self.now);
+        if self.store.down_until <= self.now {
+            for (index, life, tag, request, sent_and_ticket, until) in
+                std::mem::take(&mut self.watches)
+            {
+                if self.state_service_refuses_until[index] > self.now {
+                    self.watches
+                        .push((index, life, tag, request, sent_and_ticket, until));
+                    continue;
+                }
+                let (sent_at, ticket) = (sent_and_ticket >> 32, sent_and_ticket & 0xffff_ffff);
+                let mut request = request;
+                if until <= self.now
+                    && let StateRequest::Changes { hold_ms, .. } = &mut request
+                {
+                    *hold_ms = 0;
+                }
+                match self.store.execute(&request, self.now) {
+                    Some(reply) => {
+                        let result = Ok(reply);
+                        self.deliver_reply(
+                            index,
+                            life,
+                            ticket,
+                            Command::StateResponse {
+                                tag,
+                                sent_at,
+                                result,
+                            },
+                        );
+                    }
+                    None => self
+                        .watches
+                        .push((index, life, tag, request, sent_and_ticket, until)),
+                }
+            }
+        }
+        // Cancelled tasks must be gone in time.
+        for worker in self.workers.iter().filter(|w| w.hung_until <= self.now) {
+            for (task, on) in &worker.tasks {
+                let told = self.jobs[&task.job].1.cancelled_at;
+                if matches!(on.state, TaskState::Running | TaskState::Saving)
+                    && let Some(told_at) = told
+                {
+                    self.max_run_after_cancel_ms =
+                        self.max_run_after_cancel_ms.max(self.now - told_at);
+                    assert!(
+                        self.now <= told_at + self.timings.cancellation_bound_ms,
+                        "ran_cancelled: {task} at {}",
+                        self.now
+                    );
+                }
+            }
+        }
+    }
+
+    /// Adds up the replicas that have been asked for long enough, as far as their team's limit allows, and those of
+    /// them that run. A second in which nobody can act counts for nothing: the state service is down, or
+    /// no node has been up for long enough.
+    pub(crate) fn count_replicas(&mut self) {
+        let patience = self.timings.lease_ttl_ms + 10_000;
+        let settled = |node: usize| {
+            self.nodes[node].is_some()
+                && self.booted_at[node] + 5000 <= self.now
+                && self.state_service_cut_until[node] + 5000 <= self.now
+                && self.state_service_refuses_until[node] + patience <= self.now
+                && self.worker_cut_until[node] + patience <= self.now
+                && self.frozen_until[node] + 5000 <= self.now
+        };
+        if self.store.down_until.max(self.fault_until) + patience > self.now
+            || !(0..NODE_COUNT).all(settled)
+            || self.zone_cut.2 + patience > self.now
+        {
+            return;
+        }
+        let running = self.running();
+        for (at, (team, most)) in [("red", (TEAM_CPU_LIMIT / 4.0) as u64), ("blue", 30)]
+            .into_iter()
+            .enumerate()
+        {
+            let (mut asked, mut up) = (0, 0);
+            for (id, (spec, told)) in &self.jobs {
+                let old = told.accepted_at.is_some_and(|at| at + patience <= self.now);
+                if spec.kind != JobKind::Service
+                    || spec.team != team
+                    || !old
+                    || told.asked_to_cancel
+                {
+                    continue;
+                }
+                asked += u64::from(spec.tasks);
+                up += running.keys().filter(|task| task.job == *id).count() as u64;
+            }
+            self.replica_seconds[at].0 += asked.min(most);
+            self.replica_seconds[at].1 += up.min(most);
+        }
+    }
+
+    /// No accepted job is forgotten: its user, who asks every 5 s, has had an answer lately.
+    pub(crate) fn assert_users_answered(&self) {
+        for (id, (_, told)) in &self.jobs {
+            let answered = told.answered_at + MAX_ANSWER_DELAY_MS >= self.now;
+            assert!(
+                answered || !told.accepted || self.flood_jobs.contains(id),
+                "forgotten: {id}, last answered at {}",
+                told.answered_at
+            );
+        }
+    }
+
+    /// What was let in never exceeds what the nodes may take together: in any time, as much as comes in then and
+    /// what their buckets hold.
+    pub(crate) fn assert_admissions_within_capacity(&self) {
+        // Of 50 writes a second followers have 0.4 and the leader 0.6, less what is kept free; the users of a
+        // leader have 0.4 of its part, those of a follower 0.95 of theirs.
+        let follower = 0.95 * 0.92 * 0.2 * 50.0;
+        let leader: f64 = 0.4 * 0.92 * 0.6 * 50.0;
+        let whole = 2.0 * follower + leader;
+        let depth = 3.0 * (3.0 * leader.max(follower));
+        for (at, first) in self.acceptances_at.iter().enumerate() {
+            for (count, last) in self.acceptances_at[at..].iter().enumerate() {
+                // A request takes up to two seconds, and restarts fill a bucket anew.
+                let passed = (last - first) as f64 / 1000.0 + 2.0;
+                assert!(
+                    count as f64 <= whole * passed + depth + 0.5 * passed,
+                    "{count} let in within {passed} s"
+                );
+            }
+        }
+    }
+}
--- /dev/null
+++ b/tests/histories/network.rs
@@ -0,0 +1,90 @@
+//! The network: cut links, and messages that are late, lost or duplicated.
+
+use super::*;
+
+impl SimulatedCluster {
+    /// Until when a node and a worker can't reach each other.
+    pub(crate) fn link_cut_until(&self, node: usize, at: usize) -> u64 {
+        let (alone, ref zone, until) = self.zone_cut;
+        let worker = &self.workers[at];
+        let apart = if (node == alone) != (worker.zone == *zone) {
+            until
+        } else {
+            0
+        };
+        self.worker_cut_until[node].max(worker.cut_until).max(apart)
+    }
+
+    /// Cuts a zone off: a node in it, which reaches the zone's workers and nothing else.
+    pub(crate) fn cut_zone(&mut self, node: usize, zone: &str, until: u64) {
+        self.state_service_cut_until[node] = until;
+        self.mesh_cut_until[node] = until;
+        self.zone_cut = (node, zone.into(), until);
+    }
+
+    /// When a message sent now arrives. A cut loses it or holds it back; now and then one is late.
+    pub(crate) fn message_arrival(&mut self, cut_until: u64) -> Option<u64> {
+        let usual = self.now.max(self.effects_held_until) + self.rng.random_range(1..8);
+        if cut_until > self.now {
+            return self.rng.random_bool(0.5).then_some(cut_until + 20);
+        }
+        if self.faults_enabled && self.rng.random_bool(0.004) {
+            return self
+                .rng
+                .random_bool(0.7)
+                .then(|| self.now + self.rng.random_range(300..20_000));
+        }
+        Some(usual)
+    }
+
+    /// ClockReading and then a message that was carried out comes once more, late.
+    pub(crate) fn duplicate_arrival(&mut self) -> Option<u64> {
+        let copied = self.faults_enabled && self.rng.random_bool(0.004);
+        self.duplicated_messages += usize::from(copied);
+        copied.then(|| self.now + self.rng.random_range(200..60_000))
+    }
+
+    /// Whether what is sent to a machine is lost.
+    pub(crate) fn drops_inbound(&mut self, at: usize) -> bool {
+        let deaf = self.workers[at].drops_inbound_until > self.now;
+        self.dropped_messages += usize::from(deaf);
+        deaf
+    }
+
+    /// What was kept of reports reaches every node as a new leader begins, while it makes its books, and once more when
+    /// it has acted.
+    pub(crate) fn replay_retained_reports(&mut self) {
+        for (at, report) in std::mem::take(&mut self.retained_reports) {
+            for node in 0..NODE_COUNT {
+                for later in [1, 40, 400, 2500, 9000] {
+                    let time = self.now + later + self.rng.random_range(0..40);
+                    let copied = report.clone();
+                    self.replayed_reports += 1;
+                    self.schedule(time, SimulationEvent::DeliverReport(at, node, copied, 0));
+                }
+            }
+        }
+    }
+
+    pub(crate) fn deliver_reply(&mut self, index: usize, life: u64, ticket: u64, command: Command) {
+        if self.lost_reply_tickets.contains(&ticket) {
+            if let Command::StateResponse { tag, result, .. } = command
+                && matches!(result, Ok(StateReply::Committed(_)))
+            {
+                *self
+                    .lost_replies_by_kind
+                    .entry(request_kind(&tag))
+                    .or_default() += 1;
+            }
+            return;
+        }
+        if let Some(time) = self.message_arrival(self.state_service_cut_until[index]) {
+            let time = time + self.state_reply_delay_ms;
+            let tag = life | ticket << 20;
+            self.schedule(
+                time,
+                SimulationEvent::DeliverCommand(index, tag, Box::new(command)),
+            );
+        }
+    }
+}
--- /dev/null
+++ b/tests/histories/workers.rs
@@ -0,0 +1,278 @@
+//! Workers: their reports, and how they execute orders.
+
+use super::*;
+
+impl SimulatedCluster {
+    pub(crate) fn build_report(&mut self, at: usize) -> Report {
+        let worker = &mut self.workers[at];
+        worker.seq += 1;
+        Report {
+            machine: worker.name.clone(),
+            addr: "10.0.0.1:1".into(),
+            type_name: "c16".into(),
+            zone: worker.zone.clone(),
+            spot: worker.spot,
+            incarnation: worker.incarnation,
+            seq: worker.seq,
+            token: worker.token,
+            notice_s: None,
+            tasks: worker
+                .tasks
+                .iter()
+                .map(|(task, on)| TaskReport {
+                    task: *task,
+                    attempt: on.attempt,
+                    state: on.state,
+                    cause: on.cause,
+                    saved: None,
+                })
+                .collect(),
+        }
+    }
+
+    /// Lets a worker's own time pass: its lease, its images, its tasks.
+    pub(crate) fn advance_worker(&mut self, at: usize) {
+        let now = self.now;
+        let worker = &mut self.workers[at];
+        if worker.gone {
+            return;
+        }
+        if now
+            > worker.lease_renewed_at
+                + (self.timings.lease_ttl_ms as f64 * worker.clock_drift) as u64
+        {
+            worker.tasks.clear();
+            worker.incarnation += 1;
+            worker.lease_renewed_at = now;
+            worker.report_in_flight = None;
+            worker.report_at = now;
+        }
+        if worker.hung_until > now {
+            return;
+        }
+        let due: Vec<TaskId> = worker
+            .tasks
+            .iter()
+            .filter(|(_, on)| on.ends_at <= now && on.state != TaskState::Ended)
+            .map(|(task, _)| *task)
+            .collect();
+        for task in due {
+            let spec = self.jobs[&task.job].0.clone();
+            let state = self.workers[at].tasks[&task].state;
+            if state == TaskState::Fetching {
+                self.workers[at].images.insert(spec.image.clone());
+                self.on_task_started(at, task, &spec);
+                let done = self.completed.contains(&task);
+                let on = self.workers[at].tasks.get_mut(&task).expect("it is there");
+                on.state = TaskState::Running;
+                on.ends_at = if done {
+                    now
+                } else if spec.kind == JobKind::Service {
+                    u64::MAX
+                } else {
+                    now + (spec.estimate_s * 1000.0) as u64
+                };
+            } else {
+                if self.completed.insert(task) {
+                    self.cancel_at_completion(task.job, &spec);
+                }
+                let on = self.workers[at].tasks.get_mut(&task).expect("it is there");
+                on.state = TaskState::Ended;
+                on.cause = Some(FailureCause::Done);
+            }
+            let worker = &mut self.workers[at];
+            worker.report_at = worker.report_at.min(now + 500);
+        }
+    }
+
+    /// The job's user calls it off at the moment of its end, or while that is told and stored.
+    pub(crate) fn cancel_at_completion(&mut self, job: JobId, spec: &Submission) {
+        let done = |index| self.completed.contains(&TaskId { job, index });
+        if self.cancel_at_completion_until <= self.now || !(0..spec.tasks).all(done) {
+            return;
+        }
+        let time = self.now + self.rng.random_range(0..2500);
+        self.schedule(time, SimulationEvent::CancelJob(job));
+        for _ in 0..3 {
+            let near = time.saturating_sub(50).max(self.now) + self.rng.random_range(0..100);
+            self.schedule(near, SimulationEvent::CheckConsistency(job));
+        }
+    }
+
+    /// A task has its image: the rules about starting.
+    pub(crate) fn on_task_started(&mut self, at: usize, task: TaskId, spec: &Submission) {
+        self.starts += 1;
+        *self.starts_by_task.entry(task).or_default() += 1;
+        let on = |state| matches!(state, TaskState::Running | TaskState::Saving);
+        for (other, worker) in self.workers.iter().enumerate() {
+            let there = worker.tasks.get(&task).is_some_and(|t| on(t.state));
+            assert!(other == at || !there, "ran_twice: {task} at {}", self.now);
+        }
+        let (worker, told) = (&self.workers[at], &self.jobs[&task.job].1);
+        assert!(!worker.spot || spec.spot, "wrong_place: {task}");
+        let allowed = spec.zone.as_ref().is_none_or(|zone| *zone == worker.zone);
+        assert!(allowed, "wrong_place: {task} in {}", worker.zone);
+        if spec.one_zone {
+            for other in self
+                .workers
+                .iter()
+                .filter(|other| other.zone != worker.zone)
+            {
+                let apart = |(id, t): (&TaskId, &TaskOnWorker)| id.job == task.job && on(t.state);
+                assert!(
+                    !other.tasks.iter().any(apart),
+                    "wrong_place: {task} apart from the others"
+                );
+            }
+        }
+        for awaited in &spec.dependencies {
+            // What counts is the record: a cancellation may win over an end that is not stored.
+            let record = self.store.row(&format!("shared/job/{awaited}"));
+            let record = record.expect("it was accepted").value;
+            assert_eq!(
+                record["status"], "done",
+                "too_early: {task} at {}",
+                self.now
+            );
+            self.dependent_starts += 1;
+        }
+        if let Some(told_at) = told.cancelled_at {
+            assert!(
+                self.now <= told_at + self.timings.cancellation_bound_ms,
+                "ran_cancelled: {task} starts"
+            );
+        }
+        let running = |team: &str| -> f64 {
+            let tasks = self.workers.iter().flat_map(|worker| &worker.tasks);
+            tasks
+                .filter(|(_, t)| on(t.state))
+                .map(|(id, _)| &self.jobs[&id.job].0)
+                .filter(|job| job.team == team)
+                .map(|job| job.cpus)
+                .sum()
+        };
+        if spec.team == "red" {
+            let used = running("red") + spec.cpus;
+            assert!(
+                used <= TEAM_CPU_LIMIT + 1e-6,
+                "quota: red uses {used} with {task} on {}: {:?}",
+                self.workers[at].name,
+                self.task_locations("red")
+            );
+        }
+        if spec.spread {
+            let same = self
+                .workers
+                .iter()
+                .filter(|other| other.zone == worker.zone)
+                .flat_map(|other| &other.tasks)
+                .filter(|(id, t)| id.job == task.job && on(t.state))
+                .count();
+            assert!(
+                same < spec.tasks.div_ceil(2) as usize,
+                "wrong_place: {task} crowds a zone"
+            );
+        }
+    }
+
+    /// Where a team's tasks are: what a broken rule is explained with.
+    pub(crate) fn task_locations(&self, team: &str) -> Vec<String> {
+        let mut found = Vec::new();
+        for worker in &self.workers {
+            for (task, on) in &worker.tasks {
+                if self.jobs[&task.job].0.team == team {
+                    found.push(format!(
+                        "{task}#{} {:?} on {} (session {}, token {}, cut until {})",
+                        on.attempt,
+                        on.state,
+                        worker.name,
+                        worker.incarnation,
+                        worker.token,
+                        worker.cut_until
+                    ));
+                }
+            }
+        }
+        found
+    }
+
+    pub(crate) fn execute_orders(&mut self, at: usize, orders: &[Order]) {
+        for order in orders {
+            match *order {
+                Order::Start { task, attempt } => {
+                    let spec = self.jobs[&task.job].0.clone();
+                    let mut used = 0.0;
+                    for (id, on) in &self.workers[at].tasks {
+                        if on.state != TaskState::Ended {
+                            used += self.jobs[&id.job].0.cpus;
+                        }
+                    }
+                    let fetch = self.rng.random_range(50..3000);
+                    let worker = &mut self.workers[at];
+                    let fetch = if worker.images.contains(&spec.image) {
+                        1
+                    } else {
+                        fetch
+                    };
+                    if worker
+                        .tasks
+                        .get(&task)
+                        .is_some_and(|on| on.attempt == attempt)
+                    {
+                        continue;
+                    }
+                    let refused = if worker.tasks.contains_key(&task) {
+                        // The attempt that is here stays; the refusal is not kept in this model.
+                        continue;
+                    } else {
+                        (used + spec.cpus > 16.0 + 1e-6).then_some(FailureCause::NoRoom)
+                    };
+                    let entry = TaskOnWorker {
+                        attempt,
+                        state: if refused.is_some() {
+                            TaskState::Ended
+                        } else {
+                            TaskState::Fetching
+                        },
+                        cause: refused,
+                        ends_at: self.now + fetch,
+                    };
+                    worker.tasks.insert(task, entry);
+                }
+                Order::Stop { task, attempt, .. } => {
+                    if let Some(on) = self.workers[at].tasks.get_mut(&task)
+                        && on.attempt == attempt
+                        && on.state != TaskState::Ended
+                    {
+                        on.state = TaskState::Ended;
+                        on.cause = Some(FailureCause::Stopped);
+                    }
+                }
+                Order::Forget { task, attempt } => {
+                    let worker = &mut self.workers[at];
+                    if worker
+                        .tasks
+                        .get(&task)
+                        .is_some_and(|on| on.attempt == attempt && on.state == TaskState::Ended)
+                    {
+                        worker.tasks.remove(&task);
+                    }
+                }
+            }
+        }
+        if !orders.is_empty() {
+            let worker = &mut self.workers[at];
+            worker.report_at = worker.report_at.min(self.now + 500);
+        }
+    }
+
+    /// TaskModel that run, each with its attempt and the machine.
+    pub(crate) fn running(&self) -> BTreeMap<TaskId, (u64, usize)> {
+        let all = self.workers.iter().enumerate();
+        let tasks = all.flat_map(|(at, worker)| worker.tasks.iter().map(move |t| (at, t)));
+        tasks
+            .filter(|(_, (_, on))| on.state == TaskState::Running)
+            .map(|(at, (task, on))| (*task, (on.attempt, at)))
+            .collect()
+    }
+}
