--- a/src/coordination/admission/mod.rs
+++ b/src/coordination/admission/mod.rs
@@ -381,12 +381,12 @@
 
     /// Stores the next table, where it differs from the last by enough.
     fn store_admission_quotas(&mut self) {
-        let Some(leading) = &self.leader_state else {
+        let Some(leader) = &self.leader_state else {
             return;
         };
         let admission = &self.admission;
-        let since = admission.quotas_stored_at.max(leading.takeover_at);
-        if leading.cluster.is_none() || admission.store_in_flight || !self.can_start_tasks() {
+        let since = admission.quotas_stored_at.max(leader.takeover_at);
+        if leader.cluster.is_none() || admission.store_in_flight || !self.can_start_tasks() {
             return;
         }
         if let Some((table, version)) = &self.registry.admission_quotas
@@ -399,7 +399,7 @@
                 ..table.clone()
             };
             let tag = StateTag::WriteSettledQuotas {
-                lease: leading.lease,
+                lease: leader.lease,
             };
             return self.write_admission_quotas(tag, *version, &settled);
         }
@@ -425,22 +425,22 @@
         let bytes = self.config.settings.state.max_value_bytes();
         let most = bytes.saturating_sub(QUOTAS_OVERHEAD_BYTES + 72 * demands.len()) / each;
         let seq = known.map_or(0, |table| table.seq) + 1;
-        let table = quotas::allocate_quotas(&demands, floor, (seq, leading.term), most);
+        let table = quotas::allocate_quotas(&demands, floor, (seq, leader.term), most);
         let table = table.following(known, equal, floor);
         if known.is_some_and(|known| !table.differs_by(known, MIN_SHARE_CHANGE)) {
             return;
         }
-        let lease = leading.lease;
+        let lease = leader.lease;
         // From the moment that it may be applied.
         self.admission.quotas_stored_at = self.now;
         self.write_admission_quotas(StateTag::WriteAdmissionQuotas { lease }, version, &table);
     }
 
     fn write_admission_quotas(&mut self, tag: StateTag, version: u64, table: &AdmissionQuotas) {
-        let Some(leading) = &self.leader_state else {
+        let Some(leader) = &self.leader_state else {
             return;
         };
-        let mut txn = crate::protocol::state::Txn::only_if(leading.leadership_condition());
+        let mut txn = crate::protocol::state::Txn::only_if(leader.leadership_condition());
         txn.conditions.push(Condition {
             key: storage::ADMISSION_QUOTAS_KEY.into(),
             version,
@@ -483,10 +483,10 @@
     /// One line for each class now and then: how it is served, as far as this leader and its members know.
     fn log_served(&mut self) {
         let now = self.now;
-        let Some(leading) = &self.leader_state else {
+        let Some(leader) = &self.leader_state else {
             return;
         };
-        let Some(cluster) = &leading.cluster else {
+        let Some(cluster) = &leader.cluster else {
             return;
         };
         if self.admission.served_logged_at + SERVED_LOG_INTERVAL_MS > now {
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -4,7 +4,7 @@
 
 use super::{
     ApiResponse, Effect, LeaderState, LeaseRevocation, Node, RenewalReply, RequestId,
-    SilentMachine, WorkerTag,
+    SilentMachine, WorkerTag, leader::fencing::Fence,
 };
 use crate::{
     cluster::{
@@ -76,14 +76,14 @@
         let now = self.now;
         let lease_ms = self.timeouts.worker_lease;
         let may_start = self.can_start_tasks();
-        let leading = self.leader_state.as_ref()?;
-        if report.token > leading.term {
+        let leader = self.leader_state.as_ref()?;
+        if report.token > leader.term {
             // Somebody leads after us.
             self.request_read_barrier();
             return None;
         }
-        let (first_term, term) = (leading.first_term, leading.term);
-        if leading.cluster.is_none() || self.read_barrier.confirmed_at.is_none() {
+        let (first_term, term) = (leader.first_term, leader.term);
+        if leader.cluster.is_none() || self.read_barrier.confirmed_at.is_none() {
             // The books are being made: the lease is renewed, the report comes again. A machine
             // renewed now is covered by the silence that a takeover grants all machines. While the state
             // service is down that may take until it must not be renewed any more: tasks that had been
@@ -170,10 +170,10 @@
         if !self.holds_leadership(tag.lease) {
             return;
         }
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
-        let Some(cluster) = &mut leading.cluster else {
+        let Some(cluster) = &mut leader.cluster else {
             return;
         };
         if let Some(&index) = cluster.machines_by_name.get(&tag.machine) {
@@ -217,7 +217,7 @@
     pub(super) fn send_orders(&mut self) {
         let may_start = self.can_start_tasks();
         let now = self.now;
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
         let LeaderState {
@@ -226,7 +226,7 @@
             lease,
             all_orders_checked_at: swept_orders_at,
             ..
-        } = leading.as_mut()
+        } = leader.as_mut()
         else {
             return;
         };
@@ -325,8 +325,8 @@
     pub(super) fn check_machines(&mut self) {
         let now = self.now;
         match &mut self.leader_state {
-            Some(leading) if leading.machines_checked_at + MACHINE_CHECK_INTERVAL_MS <= now => {
-                leading.machines_checked_at = now
+            Some(leader) if leader.machines_checked_at + MACHINE_CHECK_INTERVAL_MS <= now => {
+                leader.machines_checked_at = now
             }
             _ => return,
         }
@@ -339,7 +339,7 @@
         deputies.remove(&self.config.label);
         let deputies = &deputies;
         self.ask_lease_renewers(deputies.keys().cloned().collect());
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
         let LeaderState {
@@ -347,10 +347,13 @@
             term,
             renewer_lost_at: gone,
             revocation_replies: acks,
-            fenced_at,
+            fence: Fence {
+                raised_at: fenced_at,
+                ..
+            },
             takeover_at,
             ..
-        } = leading.as_mut()
+        } = leader.as_mut()
         else {
             return;
         };
@@ -393,7 +396,7 @@
                 drain_for_reclaim(cluster, index, recall_at, now);
             }
         }
-        leading.fence_requested |= fence || kept_back;
+        leader.fence.requested |= fence || kept_back;
         self.check_reachability();
     }
 
@@ -402,17 +405,17 @@
     /// deputy refused workers that had lost the leader and found it only after trying a dead node.
     fn ask_lease_renewers(&mut self, labels: Vec<String>) {
         let now = self.now;
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
-        if leading.renewers_asked_at + RENEWER_INQUIRY_INTERVAL_MS > now {
+        if leader.renewers_asked_at + RENEWER_INQUIRY_INTERVAL_MS > now {
             return;
         }
-        let Some(cluster) = &leading.cluster else {
+        let Some(cluster) = &leader.cluster else {
             return;
         };
         let lapsing = |label: &String, name: &String| {
-            leading
+            leader
                 .revocation_replies
                 .get(&(label.clone(), name.clone()))
                 .is_some_and(|ack| {
@@ -434,8 +437,8 @@
         if machines.is_empty() {
             return;
         }
-        leading.renewers_asked_at = now;
-        let (lease, term) = (leading.lease, leading.term);
+        leader.renewers_asked_at = now;
+        let (lease, term) = (leader.lease, leader.term);
         let asked_ms = self.wall_ms;
         self.request_read_barrier();
         for label in labels {
@@ -462,16 +465,16 @@
             return;
         }
         let (now, lease_ms) = (self.now, self.timeouts.worker_lease);
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
         let Some(word) = word else { return };
-        leading
+        leader
             .reachability
             .record_member_report(label.clone(), word.workers_heard, now);
         // The question was sent before that node's key was written anew: the answer may be that of a
         // process which has ended since, and binds nobody.
-        if leading
+        if leader
             .renewer_registered_at
             .get(&label)
             .is_some_and(|at| sent_at <= *at)
@@ -487,25 +490,25 @@
                 lease_ends_at: until,
                 is_binding: !renewal.is_inquiry,
             };
-            leading
+            leader
                 .revocation_replies
                 .insert((label.clone(), renewal.machine), ack);
         }
-        leading
+        leader
             .revocation_replies
             .retain(|_, ack| ack.sent_at + 60_000 > now);
     }
 
     /// Asks a machine for its report, without giving orders.
     pub(super) fn probe_machine(&mut self, name: String, addr: String) {
-        let Some(leading) = &self.leader_state else {
+        let Some(leader) = &self.leader_state else {
             return;
         };
         self.effects.push(Effect::CallWorker {
             tag: WorkerTag {
-                lease: leading.lease,
+                lease: leader.lease,
                 machine: name,
-                token: leading.term,
+                token: leader.term,
                 starts: Vec::new(),
                 has_orders: false,
             },
--- a/src/coordination/job_graph.rs
+++ b/src/coordination/job_graph.rs
@@ -7,12 +7,12 @@
     cluster::{ClusterState, ESTIMATE_MARGIN, InheritedUrgency},
     coordination::{
         Node, StateTag,
-        registry::{JobRegistry, LiveJob},
+        registry::{JobRegistry, LiveJob, RegisteredJob},
         write_outcome::{TXN_TIMEOUT_MS, WriteOutcome},
     },
     protocol::{
         ids::JobId,
-        job::Submission,
+        job::{JobKind, Submission},
         state::{StateError, StateReply, StateRequest, Txn, Urgency},
     },
     storage::JobRecord,
@@ -40,13 +40,13 @@
     pub(super) fn store_outcomes(&mut self) {
         // Half of a transaction each time: a wide pipeline must not take the writes that others need.
         let ops = (self.config.settings.state.max_txn_ops / 2).max(1) as usize;
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
-        if leading.outcomes.write_in_flight || leading.outcomes.next_write_at > self.now {
+        if leader.outcomes.write_in_flight || leader.outcomes.next_write_at > self.now {
             return;
         }
-        let mut txn = Txn::only_if(leading.leadership_condition());
+        let mut txn = Txn::only_if(leader.leadership_condition());
         for (id, job) in self.registry.jobs_cancelled_by_dependency() {
             if !txn.writes.is_empty() && txn.writes.len() + 1 + job.part_count as usize > ops {
                 break;
@@ -56,11 +56,11 @@
         if txn.writes.is_empty() {
             return;
         }
-        leading.outcomes = JobOutcomes {
+        leader.outcomes = JobOutcomes {
             write_in_flight: true,
             next_write_at: self.now + OUTCOME_WRITE_INTERVAL_MS,
         };
-        let lease = leading.lease;
+        let lease = leader.lease;
         self.call_state_service(
             StateTag::WriteOutcomes { lease },
             StateRequest::Txn(txn),
@@ -77,8 +77,8 @@
         let Some(fate) = self.write_outcome(lease, result) else {
             return;
         };
-        if let Some(leading) = &mut self.leader_state {
-            leading.outcomes.write_in_flight = false;
+        if let Some(leader) = &mut self.leader_state {
+            leader.outcomes.write_in_flight = false;
         }
         // The records tell what became of it: stored, or cancelled by their users meanwhile.
         if fate != WriteOutcome::Rejected {
@@ -86,15 +86,86 @@
         }
     }
 
+    /// A job was accepted, released, done or cancelled.
+    pub(super) fn on_job_changed(&mut self, id: JobId) {
+        let Some(leader) = &mut self.leader_state else {
+            return;
+        };
+        let Some(cluster) = &mut leader.cluster else {
+            return;
+        };
+        let mut affected = vec![id];
+        let mut released = false;
+        match self.registry.get(id) {
+            Some(RegisteredJob::Live(job)) => {
+                affected.extend(&job.spec.dependencies);
+                // It is enqueued once all that it depends on is done, and weighs nothing before.
+                released = job.dependencies_left == 0 && !cluster.jobs_by_id.contains_key(&id);
+            }
+            Some(RegisteredJob::Ended(..)) => {
+                leader.inherited_urgency.remove(&id);
+                if let Some(&index) = cluster.jobs_by_id.get(&id)
+                    && !cluster.job(index).closed
+                {
+                    cluster.close_job(index);
+                }
+            }
+            Some(RegisteredJob::CancelledByDependency(job)) => {
+                tracing::info!(job = %id, "cancelled with a job that it needs");
+                leader.inherited_urgency.remove(&id);
+                affected.extend(&job.spec.dependencies);
+            }
+            None => {}
+        }
+        if released {
+            self.enqueue_released_job(id);
+        }
+        self.propagate_urgency(affected);
+    }
+
+    /// Enqueues a job of which all dependencies are done.
+    fn enqueue_released_job(&mut self, id: JobId) {
+        let (now, wall) = (self.now, self.wall_ms);
+        let Some(live) = self.registry.live_job(id) else {
+            return;
+        };
+        let Some(leader) = &mut self.leader_state else {
+            return;
+        };
+        let Some(cluster) = &mut leader.cluster else {
+            return;
+        };
+        let times = (live.submitted_at_ms, live.released_at_ms);
+        let Some(index) = cluster.add_released_job(&live.spec, times, now) else {
+            return tracing::error!(job = %id, "no such team");
+        };
+        if let Some(urgency) = leader.inherited_urgency.get(&id) {
+            cluster.inherit_urgency(index, urgency, now);
+        }
+        let job = cluster.job(index);
+        if job.kind == JobKind::Service {
+            let (need, tasks) = (job.requested, job.tasks.len());
+            leader.provisioning.autoscaler.record_service_arrival(
+                need,
+                tasks,
+                live.submitted_at_ms,
+            );
+        }
+        if !live.spec.dependencies.is_empty() {
+            let turn_ms = job.placement_deadline_ms.saturating_sub(wall);
+            tracing::info!(job = %id, priority = ?job.priority, turn_ms, "released");
+        }
+    }
+
     /// Lets the books follow what jobs are made of by those that need them.
     pub(super) fn propagate_urgency(&mut self, jobs: Vec<JobId>) {
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
-        if let Some(cluster) = &mut leading.cluster {
+        if let Some(cluster) = &mut leader.cluster {
             propagate_urgency(
                 &self.registry,
-                &mut leading.inherited_urgency,
+                &mut leader.inherited_urgency,
                 cluster,
                 jobs,
                 self.now,
--- /dev/null
+++ b/src/coordination/leader/cycle.rs
@@ -0,0 +1,162 @@
+//! The leader's periodic duties, scheduling and preemption among them.
+
+use crate::{
+    cluster::ClusterState,
+    coordination::Node,
+    scheduling::{self, PreemptionScope, PreemptionVictim},
+    time::Millis,
+};
+
+/// Heartbeats come by the hundred a second: a cycle takes in what several have changed.
+const SCHEDULING_INTERVAL_MS: Millis = 40;
+/// The interval while nothing has changed.
+const IDLE_SCHEDULING_INTERVAL_MS: Millis = 1000;
+const QUEUE_REFRESH_INTERVAL_MS: Millis = 250;
+const PREEMPTION_INTERVAL_MS: Millis = 10_000;
+/// How long room is held for the job that others were preempted for: a stop, its report and a cycle.
+const PREEMPTED_ROOM_HOLD_MS: Millis = 3000;
+/// Users wait for services: tasks are preempted for them sooner.
+const SERVICE_PREEMPTION_INTERVAL_MS: Millis = 200;
+/// The same for jobs with an objective: 10 s are longer than some may wait.
+const OBJECTIVE_PREEMPTION_INTERVAL_MS: Millis = 1000;
+
+/// When the parts of scheduling were last run.
+pub(super) struct SchedulingTimers {
+    cycle_at: Millis,
+    queues_refreshed_at: Millis,
+    /// By [`PreemptionScope`].
+    preempted_at: [Millis; 3],
+}
+
+impl SchedulingTimers {
+    /// The first cycle is due at once, the first preemptions an interval after `now`.
+    pub(super) fn new(now: Millis) -> Self {
+        SchedulingTimers {
+            cycle_at: 0,
+            queues_refreshed_at: 0,
+            preempted_at: [now; 3],
+        }
+    }
+
+    /// Runs a scheduling cycle when one is due.
+    fn place_waiting_tasks(&mut self, cluster: &mut ClusterState, now: Millis) {
+        let interval_ms = if cluster.scheduling_needed {
+            SCHEDULING_INTERVAL_MS
+        } else {
+            IDLE_SCHEDULING_INTERVAL_MS
+        };
+        if self.cycle_at + interval_ms > now {
+            return;
+        }
+        self.cycle_at = now;
+        cluster.scheduling_needed = false;
+        let placed = scheduling::run_scheduling_cycle(cluster, now);
+        if placed > 0 {
+            tracing::debug!(placed, "round");
+        }
+    }
+
+    /// The widest scope for which preemption is due, if any, and takes it for done.
+    fn due_preemption(&mut self, now: Millis) -> Option<PreemptionScope> {
+        let intervals = [
+            (PreemptionScope::All, PREEMPTION_INTERVAL_MS),
+            (
+                PreemptionScope::WithObjective,
+                OBJECTIVE_PREEMPTION_INTERVAL_MS,
+            ),
+            (PreemptionScope::Services, SERVICE_PREEMPTION_INTERVAL_MS),
+        ];
+        let (scope, _) = intervals
+            .into_iter()
+            .find(|&(scope, interval_ms)| self.preempted_at[scope as usize] + interval_ms <= now)?;
+        // A wide scope includes the narrower ones.
+        self.preempted_at[..=scope as usize].fill(now);
+        Some(scope)
+    }
+}
+
+impl Node {
+    /// Runs the leader's duties, in the order in which their effects must come.
+    pub(in crate::coordination) fn run_leader_cycle(&mut self) {
+        self.renew_leader_lease();
+        if !self.has_current_cluster_state() {
+            return;
+        }
+        self.check_machines();
+        self.run_quota_cycle();
+        let quotas_known = self
+            .leader_state
+            .as_ref()
+            .is_some_and(|leader| leader.has_loaded_quotas());
+        if quotas_known && self.can_start_tasks() {
+            self.run_scheduling();
+        }
+        self.retry_unconfirmed_checks();
+        self.write_log();
+        self.write_snapshots();
+        self.store_outcomes();
+        self.store_images();
+        self.raise_term();
+        self.collect_finished_jobs();
+        self.run_provisioning();
+        self.send_orders();
+        self.announce_progress();
+    }
+
+    /// Whether the cluster state has been rebuilt and a read barrier that began after the takeover has
+    /// come back: only then are all jobs known.
+    fn has_current_cluster_state(&self) -> bool {
+        let is_rebuilt = self
+            .leader_state
+            .as_ref()
+            .is_some_and(|leader| leader.cluster.is_some());
+        is_rebuilt && self.read_barrier.confirmed_at.is_some()
+    }
+
+    fn run_scheduling(&mut self) {
+        let now = self.now;
+        let Some(leader) = &mut self.leader_state else {
+            return;
+        };
+        let Some(cluster) = &mut leader.cluster else {
+            return;
+        };
+        let timers = &mut leader.scheduling;
+        if timers.queues_refreshed_at + QUEUE_REFRESH_INTERVAL_MS <= now {
+            timers.queues_refreshed_at = now;
+            cluster.set_time_of_day(now, self.wall_ms);
+            cluster.refresh_placement_deadlines(now);
+        }
+        timers.place_waiting_tasks(cluster, now);
+        if let Some(scope) = timers.due_preemption(now) {
+            for victim in scheduling::select_preemptions(cluster, now, scope) {
+                preempt(cluster, &victim, now);
+            }
+        }
+    }
+}
+
+/// Stops a victim's attempt and holds its room for the job that it gives way to.
+fn preempt(cluster: &mut ClusterState, victim: &PreemptionVictim, now: Millis) {
+    let attempt = &cluster.machines[victim.machine.as_usize()].attempts[victim.attempt_index];
+    let job = cluster.job(attempt.job);
+    let grace_s = if job.checkpoint_s > 0.0 {
+        job.save_s
+    } else {
+        0.0
+    };
+    let ran_s = attempt
+        .running_since
+        .map_or(0, |since| now.saturating_sub(since) / 1000);
+    let (task, beneficiary) = (
+        job.task_id(attempt.task),
+        cluster.job(victim.beneficiary).id,
+    );
+    tracing::info!(%task, to = %beneficiary, reason = ?victim.reason, ran_s, "gives way");
+    let class = cluster.workload_class(attempt.job);
+    cluster.fair_share.status_mut(class).attempts_preempted += 1;
+    cluster.request_stop(victim.machine, victim.attempt_index, grace_s);
+    let held_until = now + PREEMPTED_ROOM_HOLD_MS + (grace_s * 1000.0) as Millis;
+    cluster.machines[victim.machine.as_usize()].reserved_for =
+        Some((victim.beneficiary, held_until));
+}
--- /dev/null
+++ b/src/coordination/leader/election.rs
@@ -0,0 +1,280 @@
+//! Leader election: whoever puts the leader's key on a lease of the state service leads.
+
+use super::{
+    LeaderState,
+    lease::{LEADER_LEASE_TTL_MS, LeaderLease},
+};
+use crate::{
+    coordination::{Effect, Node, StateTag, write_outcome::TXN_TIMEOUT_MS},
+    protocol::state::{Condition, StateError, StateReply, StateRequest, Txn, Urgency, Write},
+    storage::{self, LeaderRecord, TermRecord},
+    time::Millis,
+};
+
+const ELECTION_RETRY_MS: Millis = 300;
+/// A process younger than this lets older ones become the leader: it may be one that crashes every
+/// few seconds, and its predecessor may have led.
+const YOUNG_PROCESS_AGE_MS: Millis = 10_000;
+/// It waits so long for them; they need a few round trips to the state service.
+const YOUNG_ELECTION_DELAY_MS: Millis = 250;
+
+/// How far this node is in becoming the leader.
+#[derive(Debug, Default)]
+pub struct Election {
+    step: ElectionStep,
+    retry_at: Millis,
+    /// The lease of a predecessor under the same label that was released.
+    released_lease: Option<u64>,
+    /// Since when nobody leads, as far as this node knows.
+    vacant_since: Option<Millis>,
+}
+
+#[derive(Debug, Default, PartialEq, Eq)]
+enum ElectionStep {
+    #[default]
+    Idle,
+    /// A lease has been requested.
+    AwaitingLease,
+    /// The leader's key is being put on a lease.
+    AcquiringLeadership {
+        lease: u64,
+        /// When the lease was requested.
+        granted_at: Millis,
+        term: u64,
+    },
+}
+
+impl Election {
+    /// Lets other nodes go first until then.
+    pub(in crate::coordination) fn defer_until(&mut self, until: Millis) {
+        self.retry_at = until;
+    }
+}
+
+impl Node {
+    /// Follows the leader's key as the registry shows it.
+    pub(in crate::coordination) fn on_leader_changed(&mut self) {
+        match (&self.registry.leader, &self.leader_state) {
+            (Some((record, version)), Some(leader)) if *version > leader.leader_key_version => {
+                tracing::warn!(leader = record.node, "another node leads");
+                self.step_down();
+            }
+            (None, Some(_)) => {
+                tracing::warn!("the leader's key is gone");
+                self.step_down();
+            }
+            (Some((record, _)), None) => {
+                tracing::info!(leader = record.node, term = record.term, "following");
+            }
+            _ => {}
+        }
+    }
+
+    /// Stops leading at once. The lease is left to expire.
+    pub(in crate::coordination) fn step_down(&mut self) {
+        if let Some(leader) = self.leader_state.take() {
+            tracing::warn!(term = leader.term, "no longer the leader");
+            self.effects.push(Effect::SetLeadership(false));
+            self.election = Election {
+                retry_at: self.now + ELECTION_RETRY_MS,
+                ..Election::default()
+            };
+            self.request_read_barrier();
+        }
+    }
+
+    /// Tries to become the leader when there is none.
+    pub(in crate::coordination) fn run_election(&mut self) {
+        if self.leader_state.is_some()
+            || !self.is_ready()
+            || self.election.step != ElectionStep::Idle
+            || self.election.retry_at > self.now
+        {
+            return;
+        }
+        if let Some((record, _)) = &self.registry.leader {
+            // A process that had this label before has ended for good: its lease need not expire.
+            let predecessor = (record.node == self.config.label).then_some(record.lease);
+            self.election.vacant_since = None;
+            return self.release_predecessor_lease(predecessor);
+        }
+        let vacant = *self.election.vacant_since.get_or_insert(self.now);
+        if self.now < YOUNG_PROCESS_AGE_MS
+            && self.now < vacant + YOUNG_ELECTION_DELAY_MS
+            && self.has_older_peer()
+        {
+            return;
+        }
+        self.election.step = ElectionStep::AwaitingLease;
+        self.call_state_service(
+            StateTag::GrantLeaderLease,
+            StateRequest::Grant {
+                ttl_ms: LEADER_LEASE_TTL_MS,
+            },
+            Urgency::Vital,
+            TXN_TIMEOUT_MS,
+        );
+    }
+
+    fn release_predecessor_lease(&mut self, lease: Option<u64>) {
+        let Some(lease) = lease else { return };
+        if self.election.released_lease == Some(lease) {
+            return;
+        }
+        self.election.released_lease = Some(lease);
+        self.call_state_service(
+            StateTag::ReleaseLeaderLease,
+            StateRequest::Release { lease },
+            Urgency::Vital,
+            TXN_TIMEOUT_MS,
+        );
+    }
+
+    /// Whether another node holds a standby renewer's key that is older than this one's, as far as is
+    /// known: its process, or one that has just ended, has lived for longer.
+    fn has_older_peer(&self) -> bool {
+        let own_version = self.lease_renewer.held_key_version().unwrap_or(u64::MAX);
+        let mut renewers = self.registry.lease_renewers.iter();
+        renewers.any(|(label, version)| *label != self.config.label && *version < own_version)
+    }
+
+    fn on_election_failed(&mut self) {
+        self.election.step = ElectionStep::Idle;
+        self.election.retry_at = self.now + ELECTION_RETRY_MS;
+    }
+
+    /// Handles the grant of a lease: puts the leader's key on it, if there is none, and raises the term.
+    pub(in crate::coordination) fn on_leader_lease_granted(
+        &mut self,
+        sent_at: Millis,
+        result: Result<StateReply, StateError>,
+    ) {
+        let Ok(StateReply::Granted(lease)) = result else {
+            return self.on_election_failed();
+        };
+        let term = self.registry.term + 1;
+        self.election.step = ElectionStep::AcquiringLeadership {
+            lease,
+            granted_at: sent_at,
+            term,
+        };
+        let txn = self.acquisition_txn(lease, term);
+        self.call_state_service(
+            StateTag::AcquireLeadership { lease },
+            StateRequest::Txn(txn),
+            Urgency::Vital,
+            TXN_TIMEOUT_MS,
+        );
+    }
+
+    /// Puts the leader's key where there is none, and raises the term from the one that is known.
+    fn acquisition_txn(&self, lease: u64, term: u64) -> Txn {
+        Txn {
+            conditions: vec![
+                Condition {
+                    key: storage::LEADER_KEY.into(),
+                    version: 0,
+                },
+                Condition {
+                    key: storage::TERM_KEY.into(),
+                    version: self.registry.term_version,
+                },
+            ],
+            writes: vec![
+                Write::Put {
+                    key: storage::LEADER_KEY.into(),
+                    value: storage::to_value(&LeaderRecord {
+                        node: self.config.label.clone(),
+                        lease,
+                        term,
+                    }),
+                    lease: Some(lease),
+                },
+                Write::Put {
+                    key: storage::TERM_KEY.into(),
+                    value: storage::to_value(&TermRecord { term }),
+                    lease: None,
+                },
+            ],
+        }
+    }
+
+    /// Handles the answer to the acquisition of leadership.
+    pub(in crate::coordination) fn on_acquire_response(
+        &mut self,
+        lease: u64,
+        result: Result<StateReply, StateError>,
+    ) {
+        match result {
+            Ok(StateReply::Committed(version)) => self.become_leader(lease, version),
+            Err(StateError::NoAnswer) => self.call_state_service(
+                StateTag::CheckLeadership { lease },
+                StateRequest::Get {
+                    key: storage::LEADER_KEY.into(),
+                },
+                Urgency::Vital,
+                TXN_TIMEOUT_MS,
+            ),
+            _ => {
+                self.on_election_failed();
+                self.request_read_barrier();
+            }
+        }
+    }
+
+    /// Handles what an acquisition that got no answer left behind. If nothing is stored now, the
+    /// acquisition is abandoned: it may be applied later, but its lease is never renewed and expires;
+    /// the next attempt has a new lease.
+    pub(in crate::coordination) fn on_acquire_check(
+        &mut self,
+        lease: u64,
+        result: Result<StateReply, StateError>,
+    ) {
+        if let Ok(StateReply::Row(row)) = result
+            && let Ok(record) = serde_json::from_value::<LeaderRecord>(row.value)
+            && record.lease == lease
+        {
+            return self.become_leader(lease, row.version);
+        }
+        self.on_election_failed();
+        self.request_read_barrier();
+    }
+
+    /// Starts to lead on `lease`; `version` is that of the leader's key.
+    fn become_leader(&mut self, lease: u64, version: u64) {
+        let ElectionStep::AcquiringLeadership {
+            lease: requested,
+            granted_at,
+            term,
+        } = self.election.step
+        else {
+            return;
+        };
+        if requested != lease {
+            return;
+        }
+        self.election.step = ElectionStep::Idle;
+        tracing::info!(term, "leading");
+        self.registry.leader = Some((
+            LeaderRecord {
+                node: self.config.label.clone(),
+                lease,
+                term,
+            },
+            version,
+        ));
+        self.registry.term = term;
+        self.registry.term_version = version;
+        let leader_lease = LeaderLease::granted(granted_at, self.now);
+        let leader = LeaderState::new(lease, leader_lease, version, term, self.now);
+        self.leader_state = Some(Box::new(leader));
+        self.effects.push(Effect::SetLeadership(true));
+        // Jobs accepted or cancelled up to now must be known before the cluster state is rebuilt.
+        self.read_barrier.confirmed_at = None;
+        self.request_read_barrier();
+        self.read_leader_log();
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/coordination/leader/tests.rs
+++ b/src/coordination/leader/election/tests.rs
@@ -89,15 +89,15 @@
             workers_heard: 0,
         };
         node.on_revocation_reply(7, "n1".into(), sent_at, Some(word));
-        let leading = node.leader_state.as_ref().expect("it leads");
-        leading.revocation_replies.len()
+        let leader = node.leader_state.as_ref().expect("it leads");
+        leader.revocation_replies.len()
     };
     assert_eq!(promises(&mut node, 50_000), 1);
     node.now = 51_000;
     node.on_registry_change(RegistryChange::RenewerRegistered("n1".into(), 120));
-    let leading = node.leader_state.as_ref().expect("it leads");
+    let leader = node.leader_state.as_ref().expect("it leads");
     assert!(
-        leading.revocation_replies.is_empty(),
+        leader.revocation_replies.is_empty(),
         "its key was written anew"
     );
     node.now = 52_000;
--- a/src/coordination/leader_log.rs
+++ b/src/coordination/leader_log.rs
@@ -324,13 +324,13 @@
     /// Writes what changed, and the end of jobs whose tasks are all done.
     pub(super) fn write_log(&mut self) {
         let gap = self.log_write_interval();
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
-        let mut txn = Txn::only_if(leading.leadership_condition());
-        let lease = leading.lease;
-        let notes = &leading.log;
-        let Some(cluster) = &leading.cluster else {
+        let mut txn = Txn::only_if(leader.leadership_condition());
+        let lease = leader.lease;
+        let notes = &leader.log;
+        let Some(cluster) = &leader.cluster else {
             return;
         };
         if notes.write_in_flight.is_some()
@@ -347,15 +347,15 @@
             completed_jobs: self.append_completed_jobs(&mut txn),
             completed_at_ms: self.wall_ms,
         };
-        let Some(leading) = self
+        let Some(leader) = self
             .leader_state
             .as_mut()
             .filter(|_| !txn.writes.is_empty())
         else {
             return;
         };
-        leading.log.write_in_flight = Some(flush);
-        leading.log.written_at = self.now;
+        leader.log.write_in_flight = Some(flush);
+        leader.log.written_at = self.now;
         self.call_state_service(
             StateTag::AppendLog { lease },
             StateRequest::Txn(txn),
@@ -372,14 +372,14 @@
         let ops = limits.max_txn_ops as usize;
         let value_bytes = limits.max_value_bytes();
         let mut entries: Vec<LiveRecord> = Vec::new();
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return entries;
         };
         let LeaderState {
             log: notes,
             cluster: Some(cluster),
             ..
-        } = leading.as_mut()
+        } = leader.as_mut()
         else {
             return entries;
         };
@@ -482,11 +482,11 @@
         let Some(fate) = self.write_outcome(lease, result) else {
             return;
         };
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
-        let notes = &mut leading.log;
-        let (Some(flush), Some(cluster)) = (notes.write_in_flight.take(), &mut leading.cluster)
+        let notes = &mut leader.log;
+        let (Some(flush), Some(cluster)) = (notes.write_in_flight.take(), &mut leader.cluster)
         else {
             return;
         };
@@ -567,7 +567,7 @@
         if !self.holds_leadership(lease) {
             return;
         }
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
         let version = match result {
@@ -577,15 +577,15 @@
             // the other for as long as the store is away.
             _ => {
                 let again = self.now + UNANSWERED_RETRY_MS;
-                return leading.log.unconfirmed.push((again, doubt));
+                return leader.log.unconfirmed.push((again, doubt));
             }
         };
-        match (doubt, &mut leading.cluster) {
+        match (doubt, &mut leader.cluster) {
             (UnconfirmedWrite::Slot(slot), _) => {
-                leading.log.slots[slot as usize] = SlotState::Free(version)
+                leader.log.slots[slot as usize] = SlotState::Free(version)
             }
             (UnconfirmedWrite::Images(part), _) => {
-                leading.log.image_slots[part] = SlotState::Free(version)
+                leader.log.image_slots[part] = SlotState::Free(version)
             }
             (UnconfirmedWrite::Snapshot(job, page), Some(cluster)) => {
                 cluster.record_snapshot_version(job, page, version)
@@ -596,11 +596,11 @@
 
     /// Asks again for keys whose state could not be had.
     pub(super) fn retry_unconfirmed_checks(&mut self) {
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
-        let (now, lease) = (self.now, leading.lease);
-        let doubts = &mut leading.log.unconfirmed;
+        let (now, lease) = (self.now, leader.lease);
+        let doubts = &mut leader.log.unconfirmed;
         let due: Vec<UnconfirmedWrite> =
             doubts.iter().filter(|d| d.0 <= now).map(|d| d.1).collect();
         doubts.retain(|(at, _)| *at > now);
@@ -613,12 +613,12 @@
     /// when the ring is nearly full. Forgets entries that count no more.
     pub(super) fn write_snapshots(&mut self) {
         let ops = self.config.settings.state.max_txn_ops as usize;
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
-        let leader = leading.leadership_condition();
-        let notes = &mut leading.log;
-        let Some(cluster) = &mut leading.cluster else {
+        let condition = leader.leadership_condition();
+        let notes = &mut leader.log;
+        let Some(cluster) = &mut leader.cluster else {
             return;
         };
         let full = notes.live_records.len() > SNAPSHOT_ALL_RECORDS;
@@ -632,7 +632,7 @@
         if !notes.needs_compaction() {
             return;
         }
-        let mut txn = Txn::only_if(leader);
+        let mut txn = Txn::only_if(condition);
         let mut paging = SnapshotWrite {
             ranges: Vec::new(),
             covers_seq: notes.next_seq - 1,
@@ -673,7 +673,7 @@
             return;
         }
         notes.snapshot_in_flight = Some(paging);
-        let lease = leading.lease;
+        let lease = leader.lease;
         self.call_state_service(
             StateTag::WriteSnapshots { lease },
             StateRequest::Txn(txn),
@@ -690,11 +690,11 @@
         let Some(fate) = self.write_outcome(lease, result) else {
             return;
         };
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
         let (Some(paging), Some(cluster)) =
-            (leading.log.snapshot_in_flight.take(), &mut leading.cluster)
+            (leader.log.snapshot_in_flight.take(), &mut leader.cluster)
         else {
             return;
         };
@@ -723,20 +723,20 @@
     pub(super) fn store_images(&mut self) {
         let limits = &self.config.settings.state;
         let bytes = ((limits.max_value_kb * 1024.0) as usize).min(MAX_TXN_BYTES);
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
-        if leading.log.images_written_at + IMAGES_INTERVAL_MS > self.now {
+        if leader.log.images_written_at + IMAGES_INTERVAL_MS > self.now {
             return;
         }
-        leading.log.images_written_at = self.now;
-        let (lease, condition) = (leading.lease, leading.leadership_condition());
-        let Some(cluster) = &leading.cluster else {
+        leader.log.images_written_at = self.now;
+        let (lease, condition) = (leader.lease, leader.leadership_condition());
+        let Some(cluster) = &leader.cluster else {
             return;
         };
         let mut writes = Vec::new();
         for (part, record) in storage::images_records(cluster, bytes).iter().enumerate() {
-            let images = &mut leading.log.image_slots;
+            let images = &mut leader.log.image_slots;
             if images.len() == part {
                 images.push(SlotState::Free(0));
             }
@@ -769,8 +769,8 @@
         result: Result<StateReply, StateError>,
     ) {
         match (self.write_outcome(lease, result), &mut self.leader_state) {
-            (Some(WriteOutcome::Stored(version)), Some(leading)) => {
-                leading.log.image_slots[part] = SlotState::Free(version);
+            (Some(WriteOutcome::Stored(version)), Some(leader)) => {
+                leader.log.image_slots[part] = SlotState::Free(version);
             }
             (Some(_), _) => self.check_unconfirmed(lease, UnconfirmedWrite::Images(part)),
             (None, _) => {}
@@ -780,12 +780,12 @@
     /// Removes the notes on jobs that are over and of which nothing can be running.
     pub(super) fn collect_finished_jobs(&mut self) {
         let ops = self.config.settings.state.max_txn_ops as usize;
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
-        let leader = leading.leadership_condition();
-        let notes = &mut leading.log;
-        let Some(cluster) = &mut leading.cluster else {
+        let condition = leader.leadership_condition();
+        let notes = &mut leader.log;
+        let Some(cluster) = &mut leader.cluster else {
             return;
         };
         if notes.collected_at + COLLECTION_INTERVAL_MS > self.now
@@ -806,7 +806,7 @@
                     && entry.task_ranges.iter().all(|c| !c.in_flight)
             })
             .collect();
-        let mut txn = Txn::only_if(leader);
+        let mut txn = Txn::only_if(condition);
         let mut sweeping = Vec::new();
         for index in over {
             let entry = cluster.job(index);
@@ -834,7 +834,7 @@
             return;
         }
         notes.deletions_in_flight = sweeping;
-        let lease = leading.lease;
+        let lease = leader.lease;
         self.call_state_service(
             StateTag::DeleteSnapshots { lease },
             StateRequest::Txn(txn),
@@ -851,12 +851,12 @@
         let Some(fate) = self.write_outcome(lease, result) else {
             return;
         };
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
-        let swept = std::mem::take(&mut leading.log.deletions_in_flight);
+        let swept = std::mem::take(&mut leader.log.deletions_in_flight);
         let mut doubts = Vec::new();
-        let Some(cluster) = &mut leading.cluster else {
+        let Some(cluster) = &mut leader.cluster else {
             return;
         };
         match fate {
--- a/src/coordination/lease_renewer.rs
+++ b/src/coordination/lease_renewer.rs
@@ -184,11 +184,11 @@
             }
             return;
         }
-        if let Some(leading) = &mut self.leader_state {
-            leading
+        if let Some(leader) = &mut self.leader_state {
+            leader
                 .revocation_replies
                 .retain(|(member, _), _| *member != label);
-            leading.renewer_registered_at.insert(label, self.now);
+            leader.renewer_registered_at.insert(label, self.now);
         }
     }
 
@@ -199,8 +199,8 @@
             }
             return;
         }
-        if let Some(leading) = &mut self.leader_state {
-            leading.renewer_lost_at.insert(label, self.now);
+        if let Some(leader) = &mut self.leader_state {
+            leader.renewer_lost_at.insert(label, self.now);
         }
     }
 
--- a/src/coordination/provisioning.rs
+++ b/src/coordination/provisioning.rs
@@ -3,10 +3,12 @@
 use crate::{
     autoscaler::{Autoscaler, InstanceRequest, Offer},
     cluster::{ClusterState, MachineState, MachineTypeIndex},
-    coordination::{CloudTag, Node, fleet::mark_lost},
-    protocol::cloud::{
-        CloudError, CloudReply, CloudRequest, ListedMachine, MachineStatus, RentRequest,
+    coordination::{CloudTag, Node, StateTag, fleet::mark_lost, write_outcome::TXN_TIMEOUT_MS},
+    protocol::{
+        cloud::{CloudError, CloudReply, CloudRequest, ListedMachine, MachineStatus, RentRequest},
+        state::{StateRequest, Txn, Urgency},
     },
+    storage,
     time::{Millis, millis},
 };
 
@@ -20,6 +22,7 @@
 const PLAN_INTERVAL_MS: Millis = 1000;
 const TYPES_INTERVAL_MS: Millis = 30_000;
 const TYPES_RETRY_MS: Millis = 1000;
+const TYPES_STORE_INTERVAL_MS: Millis = 10_000;
 const CLOUD_BACKOFF_MS: Millis = 1500;
 /// Machines that were lost come back when a cut ends; this long is waited for them.
 const LOST_MACHINE_GRACE_MS: Millis = 30_000;
@@ -38,6 +41,8 @@
     listing: bool,
     listed_at: Millis,
     listed_machines: Vec<ListedMachine>,
+    /// When the machine types were last written to the state service; 0: not yet.
+    machine_types_stored_at: Millis,
     deleting: bool,
     deleted_at: Millis,
 }
@@ -65,6 +70,49 @@
         });
     }
 
+    /// Keeps the machine types in the store, for nodes that start while the cloud is down.
+    pub(super) fn store_machine_types(&mut self) {
+        let Some(leader) = &mut self.leader_state else {
+            return;
+        };
+        let same = self
+            .registry
+            .machine_types
+            .as_ref()
+            .is_some_and(|(known, _)| {
+                known.types.len() == self.machine_types.len()
+                    && known.types.iter().zip(&self.machine_types).all(|(a, b)| {
+                        a.name == b.name
+                            && a.cpus == b.cpus
+                            && a.gpus == b.gpus
+                            && a.ram_gb == b.ram_gb
+                            && a.price == b.price
+                            && a.zones == b.zones
+                    })
+            });
+        if same
+            || leader.provisioning.machine_types_stored_at + TYPES_STORE_INTERVAL_MS > self.now
+                && leader.provisioning.machine_types_stored_at > 0
+        {
+            return;
+        }
+        leader.provisioning.machine_types_stored_at = self.now;
+        let condition = leader.leadership_condition();
+        let bytes = self.config.settings.state.max_value_bytes();
+        for (key, value) in storage::machine_types_records(&self.machine_types, bytes) {
+            // A write of this leader's that is applied late must not overwrite a newer one.
+            let known = self.registry.machine_types_versions.get(&key);
+            let mut txn = Txn::only_if(condition.clone());
+            txn.put(key, known.copied().unwrap_or(0), value);
+            self.call_state_service(
+                StateTag::WriteMachineTypes,
+                StateRequest::Txn(txn),
+                Urgency::Normal,
+                TXN_TIMEOUT_MS,
+            );
+        }
+    }
+
     fn call_cloud(&mut self, tag: CloudTag, request: CloudRequest) {
         self.effects.push(crate::coordination::Effect::CallCloud {
             tag,
@@ -111,13 +159,13 @@
 
     pub(super) fn request_instance_list(&mut self) {
         let now = self.now;
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
-        leading.provisioning.listing = true;
-        leading.provisioning.listed_at = now;
-        leading.provisioning.listed_machines.clear();
-        let lease = leading.lease;
+        leader.provisioning.listing = true;
+        leader.provisioning.listed_at = now;
+        leader.provisioning.listed_machines.clear();
+        let lease = leader.lease;
         self.call_cloud(
             CloudTag::ListInstances { lease },
             CloudRequest::List { after: None },
@@ -145,11 +193,11 @@
     fn on_instance_list(&mut self, result: Result<CloudReply, CloudError>) {
         let now = self.now;
         let lag = self.config.settings.cloud.list_lag_s;
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
-        let lease = leading.lease;
-        let renting = &mut leading.provisioning;
+        let lease = leader.lease;
+        let renting = &mut leader.provisioning;
         let Ok(CloudReply::List(list)) = result else {
             renting.listing = false;
             return;
@@ -165,7 +213,7 @@
         }
         renting.listing = false;
         let listed = std::mem::take(&mut renting.listed_machines);
-        let Some(cluster) = &mut leading.cluster else {
+        let Some(cluster) = &mut leader.cluster else {
             return;
         };
         let mut present = vec![false; cluster.machines.len()];
@@ -218,12 +266,12 @@
         let list_lag = millis(self.config.settings.cloud.list_lag_s);
         let silence = self.timeouts.heartbeat_timeout;
         self.store_machine_types();
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
-        let (lease, term) = (leading.lease, leading.first_term);
-        let renting = &mut leading.provisioning;
-        let Some(cluster) = &mut leading.cluster else {
+        let (lease, term) = (leader.lease, leader.first_term);
+        let renting = &mut leader.provisioning;
+        let Some(cluster) = &mut leader.cluster else {
             return;
         };
         let list = !renting.listing
@@ -303,12 +351,12 @@
 
     fn on_instances_provisioned(&mut self, name: &str, result: Result<CloudReply, CloudError>) {
         let now = self.now;
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
-        let lease = leading.lease;
-        let renting = &mut leading.provisioning;
-        let Some(cluster) = &mut leading.cluster else {
+        let lease = leader.lease;
+        let renting = &mut leader.provisioning;
+        let Some(cluster) = &mut leader.cluster else {
             return;
         };
         let Some(at) = renting
@@ -357,15 +405,15 @@
 
     fn on_instances_deleted(&mut self, names: &[String], result: Result<CloudReply, CloudError>) {
         let now = self.now;
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
-        leading.provisioning.deleting = false;
-        let Some(cluster) = &mut leading.cluster else {
+        leader.provisioning.deleting = false;
+        let Some(cluster) = &mut leader.cluster else {
             return;
         };
         if !matches!(result, Ok(CloudReply::Deleted)) {
-            leading.provisioning.backoff_until = now + CLOUD_BACKOFF_MS;
+            leader.provisioning.backoff_until = now + CLOUD_BACKOFF_MS;
             return;
         }
         for name in names {
--- a/src/coordination/quota/mod.rs
+++ b/src/coordination/quota/mod.rs
@@ -553,13 +553,13 @@
             return;
         };
         let now = self.now;
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
-        let quotas = leading
+        let quotas = leader
             .cell_quotas
             .get_or_insert_with(|| CellQuotas::new(cells));
-        let Some(cluster) = &mut leading.cluster else {
+        let Some(cluster) = &mut leader.cluster else {
             return;
         };
         if quotas.is_loaded && quotas.updated_at + QUOTA_INTERVAL_MS <= now {
@@ -582,11 +582,11 @@
     }
 
     fn request_quota_records(&mut self) {
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
-        let lease = leading.lease;
-        let Some(quotas) = &mut leading.cell_quotas else {
+        let lease = leader.lease;
+        let Some(quotas) = &mut leader.cell_quotas else {
             return;
         };
         let reading = &quotas.reading;
@@ -620,7 +620,7 @@
         let Some(quotas) = self
             .leader_state
             .as_mut()
-            .and_then(|leading| leading.cell_quotas.as_mut())
+            .and_then(|leader| leader.cell_quotas.as_mut())
         else {
             return;
         };
@@ -646,11 +646,11 @@
     fn write_quota_records(&mut self, items: Vec<QuotaRecordWrite>) {
         let state = &self.config.settings.state;
         let (most, value_bytes) = (state.max_txn_ops as usize, state.max_value_bytes());
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
-        let (lease, condition) = (leading.lease, leading.leadership_condition());
-        let Some(quotas) = &mut leading.cell_quotas else {
+        let (lease, condition) = (leader.lease, leader.leadership_condition());
+        let Some(quotas) = &mut leader.cell_quotas else {
             return;
         };
         let mut txn = Txn::only_if(condition);
@@ -698,7 +698,7 @@
         let Some(quotas) = self
             .leader_state
             .as_mut()
-            .and_then(|leading| leading.cell_quotas.as_mut())
+            .and_then(|leader| leader.cell_quotas.as_mut())
         else {
             return;
         };
@@ -720,11 +720,11 @@
 
     fn send_cell_reports(&mut self) {
         let now = self.now;
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
-        let lease = leading.lease;
-        let (Some(quotas), Some(cluster)) = (&mut leading.cell_quotas, &leading.cluster) else {
+        let lease = leader.lease;
+        let (Some(quotas), Some(cluster)) = (&mut leader.cell_quotas, &leader.cluster) else {
             return;
         };
         if !quotas.is_loaded {
@@ -766,7 +766,7 @@
         let Some(quotas) = self
             .leader_state
             .as_mut()
-            .and_then(|leading| leading.cell_quotas.as_mut())
+            .and_then(|leader| leader.cell_quotas.as_mut())
         else {
             return;
         };
@@ -785,7 +785,7 @@
         let quotas = self
             .leader_state
             .as_mut()
-            .and_then(|leading| leading.cell_quotas.as_mut());
+            .and_then(|leader| leader.cell_quotas.as_mut());
         let answer = quotas
             .filter(|_| entitled)
             .and_then(|quotas| quotas.answer_cell_report(statement, now));
@@ -794,8 +794,8 @@
 
     /// How quotas stand; `None`: this node does not lead, or cells share none.
     pub(super) fn quota_status(&self) -> Option<QuotaStatus> {
-        let leading = self.leader_state.as_ref()?;
-        let (quotas, cluster) = (leading.cell_quotas.as_ref()?, leading.cluster.as_ref()?);
+        let leader = self.leader_state.as_ref()?;
+        let (quotas, cluster) = (leader.cell_quotas.as_ref()?, leader.cluster.as_ref()?);
         Some(quotas.status(cluster, self.now))
     }
 }
--- a/src/coordination/quota/teams.rs
+++ b/src/coordination/quota/teams.rs
@@ -23,7 +23,7 @@
         let cluster = self
             .leader_state
             .as_mut()
-            .and_then(|leading| leading.cluster.as_mut());
+            .and_then(|leader| leader.cluster.as_mut());
         if let Some(cluster) = cluster {
             add_new_teams(cluster, &teams);
         }
@@ -41,7 +41,7 @@
         let cluster = self
             .leader_state
             .as_ref()
-            .and_then(|leading| leading.cluster.as_ref());
+            .and_then(|leader| leader.cluster.as_ref());
         let teams = cluster.into_iter().flat_map(|cluster| &cluster.teams);
         let booked =
             teams.filter(|team| team.reserved.cpus > 0.0005 || team.reserved.gpus > 0.0005);
--- a/src/coordination/reachability.rs
+++ b/src/coordination/reachability.rs
@@ -66,10 +66,10 @@
         let now = self.now;
         let asked_ms = self.wall_ms;
         let woke = self.just_resumed();
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
-        let Some(cluster) = &leading.cluster else {
+        let Some(cluster) = &leader.cluster else {
             return;
         };
         let up = cluster.machines.iter();
@@ -77,22 +77,22 @@
         let (all, silent) = up.fold((0, 0), |(all, silent), machine| {
             (all + 1, silent + usize::from(machine.unresponsive))
         });
-        let settled = leading.takeover_at + self.timeouts.takeover_settling <= now && !woke;
+        let settled = leader.takeover_at + self.timeouts.takeover_settling <= now && !woke;
         if !settled || self.config.members.is_empty() || silent * SILENT_FLEET_DIVISOR <= all {
-            leading.reachability.mostly_silent_since = None;
+            leader.reachability.mostly_silent_since = None;
             return;
         }
-        leading.reachability.mostly_silent_since.get_or_insert(now);
+        leader.reachability.mostly_silent_since.get_or_insert(now);
         let heard = all - silent;
-        if leading.reachability.should_resign(heard, all, now) {
-            tracing::warn!(heard, all, members = ?leading.reachability.member_reports, "resigns: out of the workers' reach");
+        if leader.reachability.should_resign(heard, all, now) {
+            tracing::warn!(heard, all, members = ?leader.reachability.member_reports, "resigns: out of the workers' reach");
             return self.resign_leadership();
         }
-        if leading.reachability.asked_at + MEMBER_INQUIRY_INTERVAL_MS > now {
+        if leader.reachability.asked_at + MEMBER_INQUIRY_INTERVAL_MS > now {
             return;
         }
-        leading.reachability.asked_at = now;
-        let (lease, term) = (leading.lease, leading.term);
+        leader.reachability.asked_at = now;
+        let (lease, term) = (leader.lease, leader.term);
         for member in &self.config.members {
             self.effects.push(Effect::RequestRevocation {
                 lease,
@@ -108,7 +108,7 @@
 
     /// Gives the leadership up, for others to take at once.
     fn resign_leadership(&mut self) {
-        let Some(lease) = self.leader_state.as_ref().map(|leading| leading.lease) else {
+        let Some(lease) = self.leader_state.as_ref().map(|leader| leader.lease) else {
             return;
         };
         self.step_down();
--- a/src/coordination/status.rs
+++ b/src/coordination/status.rs
@@ -54,11 +54,11 @@
             quotas: self.quota_status(),
             ..NodeStatus::default()
         };
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return status;
         };
         status.is_leader = true;
-        let Some(cluster) = &mut leading.cluster else {
+        let Some(cluster) = &mut leader.cluster else {
             return status;
         };
         status.unlogged_tasks = cluster.unlogged_tasks.len() + cluster.tasks_being_logged.len();
--- a/src/coordination/takeover.rs
+++ b/src/coordination/takeover.rs
@@ -137,11 +137,11 @@
 
 impl Node {
     pub(super) fn read_leader_log(&mut self) {
-        let Some(leading) = &self.leader_state else {
+        let Some(leader) = &self.leader_state else {
             return;
         };
-        let lease = leading.lease;
-        let after = leading.recovered.last_key.clone();
+        let lease = leader.lease;
+        let after = leader.recovered.last_key.clone();
         self.call_state_service(
             StateTag::ReadLeaderLog { lease },
             StateRequest::List {
@@ -162,15 +162,15 @@
         if !self.holds_leadership(lease) {
             return;
         }
-        let Some(leading) = &mut self.leader_state else {
+        let Some(leader) = &mut self.leader_state else {
             return;
         };
         if let Ok(StateReply::Page(page)) = result {
             for row in page.rows {
-                leading.recovered.add_row(row);
+                leader.recovered.add_row(row);
             }
             if !page.more {
-                leading.recovered.complete = true;
+                leader.recovered.complete = true;
                 return self.rebuild_cluster();
             }
         }
@@ -183,9 +183,9 @@
     /// they placed and did not see through may be running.
     pub(super) fn rebuild_cluster(&mut self) {
         let synced = self.read_barrier.confirmed_at;
-        let Some(mut leading) = self.leader_state.take_if(|leading| {
-            let known = synced.is_some_and(|at| at >= leading.takeover_at);
-            leading.cluster.is_none() && leading.recovered.complete && known
+        let Some(mut leader) = self.leader_state.take_if(|leader| {
+            let known = synced.is_some_and(|at| at >= leader.takeover_at);
+            leader.cluster.is_none() && leader.recovered.complete && known
         }) else {
             return;
         };
@@ -210,7 +210,7 @@
                         gpus: job.spec.gpus,
                         ram_gb: job.spec.ram_gb,
                     };
-                    let autoscaler = &mut leading.provisioning.autoscaler;
+                    let autoscaler = &mut leader.provisioning.autoscaler;
                     autoscaler.record_service_arrival(
                         need,
                         job.spec.tasks as usize,
@@ -219,7 +219,7 @@
                 }
             }
         }
-        let mut found = std::mem::take(&mut leading.recovered);
+        let mut found = std::mem::take(&mut leader.recovered);
         for record in std::mem::take(&mut found.images) {
             let ImagesRecord {
                 images,
@@ -265,12 +265,12 @@
                     job
                 }
             };
-            restore_attempts(&mut cluster, job, noted, &leading);
+            restore_attempts(&mut cluster, job, noted, &leader);
         }
         for &(id, page, version, _) in &found.snapshots {
             cluster.record_snapshot_version(id, page, version);
         }
-        leading.log = LeaderLog::inherit(&found.records, &found.image_key_versions, &mut cluster);
+        leader.log = LeaderLog::inherit(&found.records, &found.image_key_versions, &mut cluster);
         for job in closing {
             cluster.close_job(job);
         }
@@ -282,7 +282,7 @@
             .map(|m| m.attempts.len())
             .sum::<usize>();
         tracing::info!(
-            term = leading.term,
+            term = leader.term,
             jobs = cluster.jobs_by_id.len(),
             machines = cluster.machines.len(),
             entries = found.records.len(),
@@ -296,8 +296,8 @@
         for machine in &mut cluster.machines {
             machine.lease_until = until;
         }
-        leading.cluster = Some(cluster);
-        self.leader_state = Some(leading);
+        leader.cluster = Some(cluster);
+        self.leader_state = Some(leader);
         self.propagate_urgency(needed);
         self.request_instance_list();
     }
@@ -342,7 +342,7 @@
     cluster: &mut ClusterState,
     job: JobIndex,
     noted: RecoveredJob,
-    leading: &LeaderState,
+    leader: &LeaderState,
 ) {
     for (index, latest) in noted.tasks {
         if index as usize >= cluster.job(job).tasks.len() {
@@ -357,7 +357,7 @@
         };
         let kind = MachineTypeIndex(cluster.type_interner.get(&note.machine_type).unwrap_or(0));
         let zone = cluster.intern_zone(&note.zone);
-        let machine = cluster.add_machine(&note.name, kind, zone, note.spot, leading.takeover_at);
+        let machine = cluster.add_machine(&note.name, kind, zone, note.spot, leader.takeover_at);
         cluster.machines[machine.as_usize()].addr = note.addr.clone();
         cluster.machines[machine.as_usize()].state = MachineState::Up;
         cluster.reserve(
@@ -367,17 +367,17 @@
                 attempt: latest.attempt,
                 phase: Phase::Placed,
                 cause: None,
-                placed_at: leading.takeover_at,
+                placed_at: leader.takeover_at,
                 running_since: None,
                 start_sent: true,
                 recovered: true,
                 direct_start_in_flight: false,
                 started_by_heartbeat: None,
-                fencing_token: leading.first_term,
+                fencing_token: leader.first_term,
                 stop_grace_s: None,
                 stop_sent: false,
                 reconciled: false,
-                direct_start_term: leading.first_term - 1,
+                direct_start_term: leader.first_term - 1,
                 placed_for_fair_share: false,
             },
             machine,
--- a/src/coordination/takeover/tests.rs
+++ b/src/coordination/takeover/tests.rs
@@ -185,8 +185,8 @@
     ];
     read(&mut node, rows);
     synced(&mut node, 1010, vec![accepted()]);
-    let leading = node.leader_state.as_mut().expect("it leads");
-    let cluster = leading.cluster.as_mut().expect("they are made");
+    let leader = node.leader_state.as_mut().expect("it leads");
+    let cluster = leader.cluster.as_mut().expect("they are made");
     assert_eq!(cluster.task_range_len, length);
     let job = cluster.jobs_by_id[&JobId(1)];
     let stands = |task: usize| {
--- a/src/coordination/user_requests.rs
+++ b/src/coordination/user_requests.rs
@@ -456,7 +456,7 @@
     fn job_view(&self, id: JobId) -> JobView {
         let ended = self.registry.get(id).and_then(RegisteredJob::final_status);
         let (done, running) = match &self.leader_state {
-            Some(leading) => leading.task_counts(id),
+            Some(leader) => leader.task_counts(id),
             None => self
                 .job_progress
                 .get(&id)
