--- a/src/coordination/leader/election/tests.rs
+++ b/src/coordination/leader/election/tests.rs
@@ -90,14 +90,15 @@
         };
         node.on_revocation_reply(7, "n1".into(), sent_at, Some(word));
         let leader = node.leader_state.as_ref().expect("it leads");
-        leader.revocation_replies.len()
+        leader.revocations.reply_count()
     };
     assert_eq!(promises(&mut node, 50_000), 1);
     node.now = 51_000;
     node.on_registry_change(RegistryChange::RenewerRegistered("n1".into(), 120));
     let leader = node.leader_state.as_ref().expect("it leads");
-    assert!(
-        leader.revocation_replies.is_empty(),
+    assert_eq!(
+        leader.revocations.reply_count(),
+        0,
         "its key was written anew"
     );
     node.now = 52_000;
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -6,7 +6,7 @@
 
 mod cycle;
 mod election;
-pub(super) mod fencing;
+mod fencing;
 mod lease;
 mod progress;
 
@@ -14,7 +14,7 @@
 
 pub use election::Election;
 
-use super::{fleet::RevocationReply, quota::CellQuotas, takeover::RecoveredState};
+use super::{quota::CellQuotas, takeover::RecoveredState, workers::RenewerRevocations};
 use crate::{
     cluster::{ClusterState, InheritedUrgency},
     coordination::{
@@ -58,14 +58,8 @@
     pub all_orders_checked_at: Millis,
     /// Requests to the cloud.
     pub provisioning: Provisioning,
-    /// Standby renewers whose keys went since the takeover, and when that was seen.
-    pub renewer_lost_at: HashMap<String, Millis>,
-    /// When each standby renewer's key was last seen to be written anew.
-    pub renewer_registered_at: HashMap<String, Millis>,
-    /// What members say about silent machines, by member and machine.
-    pub revocation_replies: HashMap<(String, String), RevocationReply>,
-    /// When the standby renewers were last asked about silent machines.
-    pub renewers_asked_at: Millis,
+    /// What standby renewers say about silent machines.
+    pub revocations: RenewerRevocations,
     /// Whether the workers reach this node.
     pub reachability: WorkerReachability,
     /// Writes of jobs that were cancelled with a job that they depend on.
@@ -102,10 +96,7 @@
             machines_checked_at: 0,
             all_orders_checked_at: 0,
             provisioning: Provisioning::default(),
-            renewer_lost_at: HashMap::new(),
-            renewer_registered_at: HashMap::new(),
-            revocation_replies: HashMap::new(),
-            renewers_asked_at: 0,
+            revocations: RenewerRevocations::default(),
             reachability: WorkerReachability::default(),
             outcomes: JobOutcomes::default(),
             inherited_urgency: HashMap::new(),
--- a/src/coordination/lease_renewer.rs
+++ b/src/coordination/lease_renewer.rs
@@ -13,9 +13,9 @@
     coordination::{
         ApiResponse, Effect, LeaseRenewalAge, LeaseRevocation, Node, RenewalReply, RequestId,
         StateTag,
-        fleet::REPLY_VALIDITY_MS,
         registry::RegisteredJob,
         timeouts::{RENEWER_LEASE_MARGIN_MS, UNREACHABLE_NODE_COST_MS},
+        workers::REPLY_VALIDITY_MS,
     },
     protocol::{
         job::JobStatus,
@@ -185,10 +185,7 @@
             return;
         }
         if let Some(leader) = &mut self.leader_state {
-            leader
-                .revocation_replies
-                .retain(|(member, _), _| *member != label);
-            leader.renewer_registered_at.insert(label, self.now);
+            leader.revocations.on_registered(label, self.now);
         }
     }
 
@@ -200,7 +197,7 @@
             return;
         }
         if let Some(leader) = &mut self.leader_state {
-            leader.renewer_lost_at.insert(label, self.now);
+            leader.revocations.on_gone(label, self.now);
         }
     }
 
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -7,7 +7,6 @@
 pub mod admission;
 mod api;
 mod command;
-mod fleet;
 mod job_graph;
 mod leader;
 mod leader_log;
@@ -23,6 +22,7 @@
 mod takeover;
 mod timeouts;
 mod user_requests;
+mod workers;
 mod write_outcome;
 
 use std::collections::HashMap;
--- a/src/coordination/provisioning.rs
+++ b/src/coordination/provisioning.rs
@@ -3,7 +3,7 @@
 use crate::{
     autoscaler::{Autoscaler, InstanceRequest, Offer},
     cluster::{ClusterState, MachineState, MachineTypeIndex},
-    coordination::{CloudTag, Node, StateTag, fleet::mark_lost, write_outcome::TXN_TIMEOUT_MS},
+    coordination::{CloudTag, Node, StateTag, workers::mark_lost, write_outcome::TXN_TIMEOUT_MS},
     protocol::{
         cloud::{CloudError, CloudReply, CloudRequest, ListedMachine, MachineStatus, RentRequest},
         state::{StateRequest, Txn, Urgency},
--- a/src/coordination/takeover/tests.rs
+++ b/src/coordination/takeover/tests.rs
@@ -207,7 +207,7 @@
     // Over, and nothing of it is left on a machine.
     cluster.close_job(job);
     for machine in 0..cluster.machines.len() as u32 {
-        super::super::fleet::mark_lost(cluster, MachineIndex(machine), 2000);
+        super::super::workers::mark_lost(cluster, MachineIndex(machine), 2000);
     }
     node.now = 2000;
     node.effects.clear();
--- /dev/null
+++ b/src/coordination/workers/reconciliation.rs
@@ -0,0 +1,272 @@
+//! Reconciliation: the cluster state follows what a worker reports of its tasks.
+
+use super::drain_straggler;
+use crate::{
+    cluster::{
+        ClusterState, JobIndex, MachineIndex, Phase, TaskStatus, fault_attribution, straggler,
+    },
+    protocol::{
+        ids::TaskId,
+        worker::{FailureCause, Report, TaskReport, TaskState},
+    },
+    time::Millis,
+};
+
+/// How long a machine that rejected a task is passed over.
+const REFUSAL_COOLDOWN_MS: Millis = 2000;
+
+/// An attempt that a worker reports and the cluster state does not have.
+pub(super) struct UnknownAttempt {
+    pub(super) task: TaskId,
+    pub(super) attempt: u64,
+    pub(super) state: TaskState,
+}
+
+/// The position of an attempt among those of a machine.
+pub(super) fn find_attempt(
+    cluster: &ClusterState,
+    index: MachineIndex,
+    task: TaskId,
+    attempt: u64,
+) -> Option<usize> {
+    let job = *cluster.jobs_by_id.get(&task.job)?;
+    cluster.machine(index).attempts.iter().position(|known| {
+        known.job == job && known.task == task.index && u64::from(known.attempt) == attempt
+    })
+}
+
+/// The worker began a new incarnation: what it does not report any more is gone, and starts sent to an
+/// earlier incarnation are rejected.
+///
+/// What is inherited may have been started in this very incarnation: the report that tells of it may
+/// have been on its way since before that, and denies nothing until the worker has seen this term.
+pub(super) fn end_incarnation(
+    cluster: &mut ClusterState,
+    index: MachineIndex,
+    now: Millis,
+    listed: &[TaskReport],
+) {
+    let machine = &mut cluster.machines[index.as_usize()];
+    for attempt in machine.attempts.iter_mut().filter(|a| !a.recovered) {
+        attempt.direct_start_in_flight = false;
+        attempt.started_by_heartbeat = None;
+        attempt.fencing_token = 0;
+        attempt.direct_start_term = 0;
+    }
+    for position in (0..cluster.machine(index).attempts.len()).rev() {
+        let machine = cluster.machine(index);
+        let attempt = &machine.attempts[position];
+        if machine.has_start_in_flight(attempt) {
+            continue;
+        }
+        let task = cluster.job(attempt.job).task_id(attempt.task);
+        let is_listed = listed
+            .iter()
+            .any(|report| report.task == task && report.attempt == u64::from(attempt.attempt));
+        if !is_listed {
+            cluster.remove_attempt(index, position, now);
+        }
+    }
+}
+
+/// Follows a report that is newer than all before. Returns what it lists and the cluster state does
+/// not have.
+pub(super) fn reconcile_tasks(
+    cluster: &mut ClusterState,
+    index: MachineIndex,
+    report: &Report,
+    now: Millis,
+) -> Vec<UnknownAttempt> {
+    let mut unknown = Vec::new();
+    let mut shown = vec![false; cluster.machine(index).attempts.len()];
+    for listed in &report.tasks {
+        let Some(position) = find_attempt(cluster, index, listed.task, listed.attempt) else {
+            unknown.push(UnknownAttempt {
+                task: listed.task,
+                attempt: listed.attempt,
+                state: listed.state,
+            });
+            continue;
+        };
+        shown[position] = true;
+        let phase = match listed.state {
+            TaskState::Fetching => Phase::Fetching,
+            TaskState::Gathering | TaskState::Running => Phase::Running,
+            TaskState::Saving => Phase::Saving,
+            TaskState::Ended => Phase::Ended,
+        };
+        let attempt = &mut cluster.machines[index.as_usize()].attempts[position];
+        attempt.cause = listed.cause;
+        attempt.start_sent = true;
+        attempt.recovered = false;
+        let before = attempt.phase;
+        cluster.advance_phase(index, position, phase, now);
+        let attempt = &cluster.machine(index).attempts[position];
+        let job = attempt.job;
+        if attempt.phase == Phase::Running
+            && attempt
+                .running_since
+                .is_some_and(|since| since + fault_attribution::PROGRESS_RUN_MS <= now)
+            && !cluster.job(job).recently_failed_on.is_empty()
+        {
+            cluster.on_task_progress(job);
+        }
+        if phase == Phase::Running && before < Phase::Running {
+            record_start(cluster, index, position, now);
+        }
+    }
+    remove_unlisted_attempts(cluster, index, &shown, now);
+    unknown
+}
+
+/// Logs and counts the start of an attempt.
+fn record_start(cluster: &mut ClusterState, index: MachineIndex, position: usize, now: Millis) {
+    let machine = cluster.machine(index);
+    let attempt = &machine.attempts[position];
+    let job = cluster.job(attempt.job);
+    let waited_ms = now.saturating_sub(job.first_seen_at);
+    tracing::debug!(
+        task = %job.task_id(attempt.task),
+        attempt = attempt.attempt,
+        machine = machine.name,
+        queued_ms = attempt.placed_at.saturating_sub(job.first_seen_at),
+        start_ms = now.saturating_sub(attempt.placed_at),
+        "runs"
+    );
+    let class = cluster.workload_class(attempt.job);
+    cluster.start_wait_samples.push(waited_ms);
+    cluster.fair_share.status_mut(class).tasks_started += 1;
+}
+
+/// Removes attempts that a report does not list, unless their starts may still be under way.
+fn remove_unlisted_attempts(
+    cluster: &mut ClusterState,
+    index: MachineIndex,
+    shown: &[bool],
+    now: Millis,
+) {
+    for at in (0..shown.len()).rev() {
+        let machine = cluster.machine(index);
+        let attempt = &machine.attempts[at];
+        if shown[at] || !attempt.start_sent || machine.has_start_in_flight(attempt) {
+            continue;
+        }
+        match attempt.phase {
+            // The start was lost; it is sent again unless the task is to stop.
+            Phase::Placed if attempt.stop_grace_s.is_none() && !attempt.recovered => {}
+            _ => cluster.remove_attempt(index, at, now),
+        }
+    }
+}
+
+/// Deals with attempts that have ended: completes or requeues their tasks.
+pub(super) fn settle_ended_attempts(cluster: &mut ClusterState, index: MachineIndex, now: Millis) {
+    for position in 0..cluster.machine(index).attempts.len() {
+        let machine = cluster.machine(index);
+        let attempt = &machine.attempts[position];
+        if attempt.phase != Phase::Ended || attempt.reconciled {
+            continue;
+        }
+        let (job, task, number) = (attempt.job, attempt.task, attempt.attempt);
+        let cause = attempt.cause.unwrap_or(FailureCause::Other);
+        let closed = cluster.job(job).closed;
+        let latest = cluster.job(job).tasks[task as usize];
+        // Those inherited ran for longer than is known here.
+        let ran_ms = attempt
+            .running_since
+            .filter(|_| attempt.placed_at > cluster.leader_since)
+            .map(|since| now.saturating_sub(since));
+        if cause == FailureCause::Done {
+            let is_current =
+                !closed && latest.status == TaskStatus::Active(index) && latest.attempt == number;
+            settle_completion(cluster, index, position, is_current, ran_ms, now);
+            continue;
+        }
+        // A start that may still arrive would run beside the next attempt.
+        if machine.has_start_in_flight(attempt) {
+            continue;
+        }
+        cluster.machines[index.as_usize()].attempts[position].reconciled = true;
+        if closed {
+            continue;
+        }
+        cluster.requeue(job, task, number);
+        react_to_failure(cluster, index, job, cause, now);
+    }
+}
+
+/// Deals with an attempt that has done its task. `is_current`: no later attempt has taken its place.
+fn settle_completion(
+    cluster: &mut ClusterState,
+    index: MachineIndex,
+    position: usize,
+    is_current: bool,
+    ran_ms: Option<Millis>,
+    now: Millis,
+) {
+    let attempt = &cluster.machine(index).attempts[position];
+    let (job, task) = (attempt.job, attempt.task);
+    if is_current {
+        cluster.complete_task(job, task);
+        let class = cluster.workload_class(job);
+        cluster.fair_share.status_mut(class).tasks_completed += 1;
+        if cluster.job(job).is_complete() {
+            cluster.record_job_completion(job, now);
+        }
+    }
+    let machine = &mut cluster.machines[index.as_usize()];
+    machine.attempts[position].reconciled = true;
+    machine.recent_failures.clear();
+    cluster.on_task_progress(job);
+    let Some(ran_ms) = ran_ms else { return };
+    let is_slow = straggler::record_completion(
+        &mut cluster.jobs[job.as_usize()].mean_runtime_s,
+        &mut cluster.machines[index.as_usize()].mean_slowdown,
+        ran_ms as f64 / 1000.0,
+    );
+    if is_slow {
+        drain_straggler(cluster, index);
+    }
+}
+
+/// Passes over a machine or a job for a while, or counts a failure, as its cause demands.
+fn react_to_failure(
+    cluster: &mut ClusterState,
+    index: MachineIndex,
+    job_index: JobIndex,
+    cause: FailureCause,
+    now: Millis,
+) {
+    let machine = &mut cluster.machines[index.as_usize()];
+    let job = &mut cluster.jobs[job_index.as_usize()];
+    match cause {
+        FailureCause::Done
+        | FailureCause::Stopped
+        | FailureCause::PeersGone
+        | FailureCause::Alone => {}
+        FailureCause::NoRoom | FailureCause::Busy => {
+            machine.avoid_until = now + REFUSAL_COOLDOWN_MS
+        }
+        FailureCause::Unknown => job.backoff_until = now + REFUSAL_COOLDOWN_MS,
+        FailureCause::Error | FailureCause::Other => {
+            tracing::debug!(job = %job.id, machine = machine.name, "a task failed");
+            cluster.on_task_failed(job_index, index, now);
+        }
+    }
+}
+
+/// Whether the tasks that run on the machine take far longer than others of their jobs did.
+pub(super) fn is_straggler(cluster: &ClusterState, index: MachineIndex, now: Millis) -> bool {
+    let running = cluster
+        .machine(index)
+        .attempts
+        .iter()
+        .filter_map(|attempt| {
+            let since = attempt
+                .running_since
+                .filter(|_| attempt.phase == Phase::Running)?;
+            let ran_s = now.saturating_sub(since) as f64 / 1000.0;
+            Some((&cluster.job(attempt.job).mean_runtime_s, ran_s))
+        });
+    straggler::is_straggling(running)
+}
--- a/src/coordination/fleet/tests.rs
+++ b/src/coordination/workers/tests.rs
@@ -1,9 +1,23 @@
-use super::*;
+use std::collections::{BTreeMap, HashMap};
+
+use serde_json::json;
+
+use super::{
+    failure_detection::{RevocationReply, is_unrenewed_everywhere},
+    heartbeat::heartbeat_orders,
+    reconciliation::end_incarnation,
+    *,
+};
 use crate::{
-    cluster::JobIndex, config::Settings, coordination::takeover::add_finished_job,
-    protocol::ids::JobId, storage::JobSummary,
+    cluster::{Attempt, JobIndex, MachineTypeIndex, Phase},
+    config::Settings,
+    coordination::takeover::add_finished_job,
+    protocol::{
+        ids::JobId,
+        worker::{FailureCause, Order},
+    },
+    storage::JobSummary,
 };
-use serde_json::json;
 
 /// An inquiry binds nobody: a deputy that has answered one may renew the machine right after.
 #[test]
