--- a/src/coordination/admission/tests.rs
+++ b/src/coordination/admission/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::{
-    coordination::{ApiRequest, ClockReading, Command, registry},
+    coordination::{ApiRequest, ClockReading, Command, watch_cache::RegistryLoad},
     protocol::{job::JobKind, state::Changes},
     storage::JobRecord,
 };
@@ -23,7 +23,7 @@
     }));
     let mut node = Node::new(config.expect("valid settings"));
     node.registry.mark_loaded_for_test();
-    node.registry_load = registry::RegistryLoad::Done;
+    node.registry_load = RegistryLoad::Done;
     let kind = json!({"sku": "c16", "cpus": 16.0, "ram_gb": 64.0, "hourly": 1.0,
         "ready_s": 10.0, "pull_gb_per_s": 1.0, "local_gb": 50.0, "yards": ["a"]});
     node.machine_types = vec![serde_json::from_value(kind).expect("a machine type")];
--- a/src/coordination/leader/election/tests.rs
+++ b/src/coordination/leader/election/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::coordination::{
-    ClockReading, Command, LeaseRenewalAge, RenewalReply,
-    registry::{self, RegistryChange},
+    ClockReading, Command, LeaseRenewalAge, RenewalReply, registry::RegistryChange,
+    watch_cache::RegistryLoad,
 };
 
 fn node(older: bool) -> Node {
@@ -18,7 +18,7 @@
     }));
     let mut node = Node::new(config.expect("valid settings"));
     node.registry.mark_loaded_for_test();
-    node.registry_load = registry::RegistryLoad::Done;
+    node.registry_load = RegistryLoad::Done;
     if older {
         node.registry.lease_renewers.insert("n1".into(), 3);
     }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -22,6 +22,7 @@
 mod takeover;
 mod timeouts;
 mod user_requests;
+mod watch_cache;
 mod workers;
 mod write_outcome;
 
@@ -75,11 +76,11 @@
     resumed_at: Option<Millis>,
     effects: Vec<Effect>,
     registry: JobRegistry,
-    registry_load: registry::RegistryLoad,
+    registry_load: watch_cache::RegistryLoad,
     /// Counts reloads; answers to requests of an earlier generation are dropped.
     load_generation: u64,
-    watch: registry::RegistryWatch,
-    read_barrier: registry::ReadBarrier,
+    watch: watch_cache::RegistryWatch,
+    read_barrier: watch_cache::ReadBarrier,
     pending_requests: HashMap<RequestId, user_requests::PendingRequest>,
     relay: user_requests::RelayState,
     machine_types: Vec<MachineType>,
@@ -106,10 +107,10 @@
             resumed_at: None,
             effects: Vec::new(),
             registry: JobRegistry::default(),
-            registry_load: registry::RegistryLoad::Needed { after: 0 },
+            registry_load: watch_cache::RegistryLoad::Needed { after: 0 },
             load_generation: 0,
-            watch: registry::RegistryWatch::default(),
-            read_barrier: registry::ReadBarrier::default(),
+            watch: watch_cache::RegistryWatch::default(),
+            read_barrier: watch_cache::ReadBarrier::default(),
             pending_requests: HashMap::new(),
             relay: user_requests::RelayState::default(),
             machine_types: Vec::new(),
--- a/src/coordination/user_requests.rs
+++ b/src/coordination/user_requests.rs
@@ -69,6 +69,15 @@
         self.effects.push(Effect::Respond(id, answer));
     }
 
+    /// Has a request answered after the next read barrier.
+    fn answer_after_barrier(&mut self, id: RequestId, pending: PendingRequest) {
+        self.pending_requests.insert(id, pending);
+        if self.read_barrier.is_unanswered {
+            return self.relay_or_refuse(id);
+        }
+        self.read_barrier.wait_for_next(id);
+    }
+
     pub(super) fn handle_user_request(&mut self, id: RequestId, mut ask: ApiRequest) {
         if let ApiRequest::Relayed(inner) = ask {
             self.relay.relayed_in.insert(id);
