--- a/src/coordination/quota/mod.rs
+++ b/src/coordination/quota/mod.rs
@@ -581,6 +581,11 @@
         self.send_cell_reports();
     }
 
+    /// The quotas that cells share, if this node leads and cells share any.
+    fn leader_quotas_mut(&mut self) -> Option<&mut CellQuotas> {
+        self.leader_state.as_mut()?.cell_quotas.as_mut()
+    }
+
     fn request_quota_records(&mut self) {
         let Some(leader) = &mut self.leader_state else {
             return;
@@ -617,11 +622,7 @@
             return;
         }
         let now = self.now;
-        let Some(quotas) = self
-            .leader_state
-            .as_mut()
-            .and_then(|leader| leader.cell_quotas.as_mut())
-        else {
+        let Some(quotas) = self.leader_quotas_mut() else {
             return;
         };
         quotas.reading.in_flight = false;
@@ -695,11 +696,7 @@
             return;
         };
         let now = self.now;
-        let Some(quotas) = self
-            .leader_state
-            .as_mut()
-            .and_then(|leader| leader.cell_quotas.as_mut())
-        else {
+        let Some(quotas) = self.leader_quotas_mut() else {
             return;
         };
         if write != quotas.write_number {
@@ -763,11 +760,7 @@
             return;
         }
         let now = self.now;
-        let Some(quotas) = self
-            .leader_state
-            .as_mut()
-            .and_then(|leader| leader.cell_quotas.as_mut())
-        else {
+        let Some(quotas) = self.leader_quotas_mut() else {
             return;
         };
         if let Some(exchange) = quotas.peers.get_mut(cell) {
@@ -781,13 +774,10 @@
     /// Another cell's statement. A node that does not lead does not answer it.
     pub(super) fn handle_cell_report(&mut self, id: RequestId, statement: &CellReport) {
         let now = self.now;
-        let entitled = self.can_start_tasks();
-        let quotas = self
-            .leader_state
-            .as_mut()
-            .and_then(|leader| leader.cell_quotas.as_mut());
-        let answer = quotas
-            .filter(|_| entitled)
+        let may_start = self.can_start_tasks();
+        let answer = self
+            .leader_quotas_mut()
+            .filter(|_| may_start)
             .and_then(|quotas| quotas.answer_cell_report(statement, now));
         self.effects.push(Effect::RespondCellReport(id, answer));
     }
--- a/src/coordination/takeover/tests.rs
+++ b/src/coordination/takeover/tests.rs
@@ -4,7 +4,9 @@
 use crate::{
     cluster::{MachineIndex, TaskStatus},
     coordination::Effect,
+    protocol::state::Row,
     protocol::state::{Changes, Event, Page, Write},
+    storage::{LogRecord, MachineRecord, SnapshotNumber, SnapshotRecord, TaskRecord},
 };
 
 fn log_row(seq: u64, first: u64, notes: &[TaskRecord]) -> (u32, u64, LogRecord) {
