--- /dev/null
+++ b/src/coordination/user_requests/mod.rs
@@ -0,0 +1,254 @@
+//! Users' requests. Any node takes them: what counts is the job's key in the state service.
+
+mod feasibility;
+mod relay;
+mod submission;
+
+pub use relay::RelayState;
+
+use crate::{
+    coordination::{
+        ApiRequest, ApiResponse, Effect, Node, RequestId, StateTag,
+        admission::load_shedding::RequestPriority, registry::RegisteredJob,
+    },
+    protocol::{
+        ids::JobId,
+        job::{JobStatus, JobView, Submission},
+        state::{StateError, StateReply, StateRequest, Txn},
+    },
+    storage::JobRecord,
+};
+use feasibility::Feasibility;
+
+const TXN_TIMEOUT_MS: u64 = 2000;
+/// How often a cancellation is tried against a record that keeps changing.
+const MAX_CANCEL_ATTEMPTS: u32 = 4;
+
+/// A user's request that waits for the state service.
+#[derive(Debug)]
+pub enum PendingRequest {
+    /// Tell the status of a job.
+    Poll(JobId),
+    /// Accept a job.
+    Submit(Box<Submission>),
+    /// Cancel a job.
+    Cancel {
+        /// The job.
+        id: JobId,
+        /// How often that was tried.
+        attempts: u32,
+    },
+}
+
+impl PendingRequest {
+    fn job_id(&self) -> JobId {
+        match self {
+            PendingRequest::Poll(id) | PendingRequest::Cancel { id, .. } => *id,
+            PendingRequest::Submit(submission) => submission.id,
+        }
+    }
+}
+
+fn state_service_unavailable() -> ApiResponse {
+    ApiResponse::unavailable("the state service does not answer", 1)
+}
+
+impl Node {
+    /// Answers a request.
+    pub(super) fn respond(&mut self, id: RequestId, response: ApiResponse) {
+        self.relay.relayed_in.remove(&id);
+        self.effects.push(Effect::Respond(id, response));
+    }
+
+    /// Has a request answered after the next read barrier.
+    fn answer_after_barrier(&mut self, id: RequestId, pending: PendingRequest) {
+        self.pending_requests.insert(id, pending);
+        if self.read_barrier.is_unanswered {
+            return self.relay_or_refuse(id);
+        }
+        self.read_barrier.wait_for_next(id);
+    }
+
+    /// Handles a request of a user or the load balancer.
+    pub(super) fn handle_user_request(&mut self, id: RequestId, mut request: ApiRequest) {
+        if let ApiRequest::Relayed(inner) = request {
+            self.relay.relayed_in.insert(id);
+            request = *inner;
+        }
+        if matches!(request, ApiRequest::Readiness) {
+            let response = if self.is_ready() {
+                ApiResponse::json(200, &serde_json::json!({ "node": self.config.label }))
+            } else {
+                ApiResponse::error(503, "starting")
+            };
+            return self.respond(id, response);
+        }
+        if !self.is_ready() {
+            return self.respond(id, ApiResponse::unavailable("starting", 1));
+        }
+        match request {
+            ApiRequest::Submit(submission) => match self.registry.get(submission.id) {
+                Some(_) => self.answer_from_registry(id, PendingRequest::Submit(submission)),
+                // What users have been told of its dependencies has to be known: accepted as one that
+                // waits, though a dependency is cancelled, it would be called pending.
+                None if !submission.dependencies.is_empty() => {
+                    self.answer_after_barrier(id, PendingRequest::Submit(submission));
+                }
+                None => match self.check_feasibility(&submission) {
+                    Feasibility::Feasible => self.submit_job(id, submission, false),
+                    // It may have been accepted elsewhere, when things looked different.
+                    Feasibility::Infeasible(_) => {
+                        self.answer_after_barrier(id, PendingRequest::Submit(submission))
+                    }
+                    Feasibility::Undecided => {
+                        self.respond(id, ApiResponse::unavailable("starting", 1))
+                    }
+                },
+            },
+            ApiRequest::Poll(job) => {
+                let priority = self.poll_priority(job);
+                if priority.is_none_or(|priority| self.admit_by_lateness(id, priority)) {
+                    self.answer_from_registry(id, PendingRequest::Poll(job));
+                }
+            }
+            ApiRequest::Cancel(job) => self.answer_from_registry(
+                id,
+                PendingRequest::Cancel {
+                    id: job,
+                    attempts: 0,
+                },
+            ),
+            ApiRequest::Heartbeat(_) | ApiRequest::Readiness | ApiRequest::Relayed(_) => {
+                self.respond(id, ApiResponse::error(400, "not a user's request"))
+            }
+        }
+    }
+
+    /// The priority of a poll; `None`: it is answered from memory, which costs nothing worth saving.
+    fn poll_priority(&self, job: JobId) -> Option<RequestPriority> {
+        let entry = self.registry.get(job);
+        if entry.and_then(RegisteredJob::final_status).is_some() {
+            return None;
+        }
+        let view = self.job_view(job);
+        let is_idle = entry.is_some() && view.running == 0 && view.done == 0;
+        Some(if is_idle {
+            RequestPriority::IdlePoll
+        } else {
+            RequestPriority::Poll
+        })
+    }
+
+    /// Final states are answered from memory, everything else after a read barrier. A cancellation of a
+    /// job that is known to be live goes straight to its key, which decides.
+    fn answer_from_registry(&mut self, id: RequestId, pending: PendingRequest) {
+        let known = self.registry.get(pending.job_id());
+        let cancel = matches!(pending, PendingRequest::Cancel { .. });
+        if known.is_some_and(|entry| cancel || entry.final_status().is_some()) {
+            self.pending_requests.insert(id, pending);
+            self.resolve_request(id);
+        } else {
+            self.answer_after_barrier(id, pending);
+        }
+    }
+
+    /// Answers a request now that the registry is new enough.
+    pub(super) fn resolve_request(&mut self, id: RequestId) {
+        let Some(pending) = self.pending_requests.remove(&id) else {
+            return;
+        };
+        let job = pending.job_id();
+        let known = self.registry.get(job).cloned();
+        match (known, pending) {
+            (Some(RegisteredJob::Live(_)), PendingRequest::Poll(_) | PendingRequest::Submit(_))
+            | (Some(RegisteredJob::CancelledByDependency(_) | RegisteredJob::Ended(..)), _) => {
+                self.admission.on_accepted(job, true, self.now);
+                self.respond(id, ApiResponse::json(200, &self.job_view(job)));
+            }
+            (Some(RegisteredJob::Live(live)), PendingRequest::Cancel { id: job, attempts }) => {
+                if attempts >= MAX_CANCEL_ATTEMPTS {
+                    return self.respond(id, ApiResponse::unavailable("busy", 1));
+                }
+                self.pending_requests.insert(
+                    id,
+                    PendingRequest::Cancel {
+                        id: job,
+                        attempts: attempts + 1,
+                    },
+                );
+                let mut txn = Txn::default();
+                live.append_outcome(job, &JobRecord::Cancelled, &mut txn);
+                self.call_state_service(
+                    StateTag::CancelJob(id),
+                    StateRequest::Txn(txn),
+                    RequestPriority::Cancellation.urgency(),
+                    TXN_TIMEOUT_MS,
+                );
+            }
+            (None, PendingRequest::Submit(submission)) => match self.check_feasibility(&submission)
+            {
+                Feasibility::Feasible => self.submit_job(id, submission, true),
+                Feasibility::Infeasible(reason) => {
+                    self.respond(id, ApiResponse::error(422, reason))
+                }
+                Feasibility::Undecided => self.respond(id, ApiResponse::unavailable("starting", 1)),
+            },
+            (None, _) => self.respond(id, ApiResponse::error(404, "no such job")),
+        }
+    }
+
+    /// Handles the answer to a cancellation.
+    pub(super) fn on_cancel_response(
+        &mut self,
+        id: RequestId,
+        result: Result<StateReply, StateError>,
+    ) {
+        match result {
+            Ok(StateReply::Committed(version)) => {
+                let Some(pending) = self.pending_requests.remove(&id) else {
+                    return;
+                };
+                let job = pending.job_id();
+                tracing::info!(%job, "cancelled");
+                let change = self
+                    .registry
+                    .put_job_record(job, JobRecord::Cancelled, version);
+                self.on_registry_change(change);
+                self.respond(id, ApiResponse::json(200, &self.job_view(job)));
+            }
+            Ok(StateReply::Conflict(_)) | Err(StateError::NoAnswer) => self.retry_after_barrier(id),
+            _ => self.relay_or_refuse(id),
+        }
+    }
+
+    /// Answers a request anew after the next read barrier.
+    fn retry_after_barrier(&mut self, id: RequestId) {
+        if let Some(pending) = self.pending_requests.remove(&id) {
+            self.answer_after_barrier(id, pending);
+        }
+    }
+
+    /// What is known of a job, for its user.
+    fn job_view(&self, id: JobId) -> JobView {
+        let ended = self.registry.get(id).and_then(RegisteredJob::final_status);
+        let (done, running) = match &self.leader_state {
+            Some(leader) => leader.task_counts(id),
+            None => self
+                .job_progress
+                .get(&id)
+                .map(|progress| (progress.done, progress.running)),
+        }
+        .unwrap_or_default();
+        let status = ended.unwrap_or(if running > 0 {
+            JobStatus::Running
+        } else {
+            JobStatus::Pending
+        });
+        JobView {
+            id,
+            status,
+            done,
+            running,
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/user_requests/submission.rs
@@ -0,0 +1,137 @@
+//! Submissions: a job is accepted once its record is stored.
+
+use super::{PendingRequest, TXN_TIMEOUT_MS};
+use crate::{
+    coordination::{
+        ApiResponse, Node, RequestId, StateTag, admission::load_shedding::RequestPriority,
+    },
+    protocol::{
+        job::Submission,
+        state::{StateError, StateReply, StateRequest, Txn, Urgency, Write},
+    },
+    storage::{self, JobRecord},
+};
+
+const CHECK_TIMEOUT_MS: u64 = 1500;
+
+impl Node {
+    /// Stores a job, if it is admitted. `is_current`: the registry is as new as the request.
+    pub(super) fn submit_job(
+        &mut self,
+        id: RequestId,
+        submission: Box<Submission>,
+        is_current: bool,
+    ) {
+        // What a member relays has been admitted there.
+        let is_relayed = self.relay.relayed_in.contains(&id);
+        let priority = if is_relayed {
+            RequestPriority::SubmissionWithinShare
+        } else {
+            match self.admit_submission(id, &submission) {
+                Some(priority) => priority,
+                None => return,
+            }
+        };
+        let limits = &self.config.settings.state;
+        let (record, texts) =
+            storage::live_job_record(self.wall_ms, &submission, limits.max_value_bytes());
+        let job = submission.id;
+        if texts.len() >= limits.max_txn_ops as usize {
+            // It may have been accepted when the state service took more.
+            return if is_current {
+                self.respond(id, ApiResponse::error(400, "too many names"))
+            } else {
+                self.answer_after_barrier(id, PendingRequest::Submit(submission))
+            };
+        }
+        let mut txn = Txn::default();
+        txn.put(storage::job_key(job), 0, storage::to_value(&record));
+        for (text, part) in texts.iter().zip(0..) {
+            txn.writes.push(Write::Put {
+                key: storage::job_part_key(job, part),
+                value: storage::to_value(text),
+                lease: None,
+            });
+        }
+        self.pending_requests
+            .insert(id, PendingRequest::Submit(submission));
+        if self.read_barrier.is_unanswered {
+            return self.relay_or_refuse(id);
+        }
+        self.call_state_service(
+            StateTag::PutJob {
+                id,
+                single_key: texts.is_empty(),
+            },
+            StateRequest::Txn(txn),
+            priority.urgency(),
+            TXN_TIMEOUT_MS,
+        );
+    }
+
+    /// Handles the answer to the storing of a job.
+    pub(in crate::coordination) fn on_submit_response(
+        &mut self,
+        id: RequestId,
+        single_key: bool,
+        result: Result<StateReply, StateError>,
+    ) {
+        match result {
+            // What is kept under several keys is read like everybody else's.
+            Ok(StateReply::Committed(_)) if !single_key => self.retry_after_barrier(id),
+            Ok(StateReply::Committed(version)) => self.on_submission_stored(id, version),
+            // Stored already: by another node, or by an attempt of this one that seemed lost.
+            Ok(StateReply::Conflict(_)) => self.retry_after_barrier(id),
+            Err(StateError::NoAnswer) => {
+                let Some(pending) = self.pending_requests.get(&id) else {
+                    return;
+                };
+                let key = storage::job_key(pending.job_id());
+                self.call_state_service(
+                    StateTag::CheckPutJob(id),
+                    StateRequest::Get { key },
+                    Urgency::Prompt,
+                    CHECK_TIMEOUT_MS,
+                );
+            }
+            Err(StateError::Refused(400)) => {
+                self.shrink_write_limits();
+                self.relay_or_refuse(id);
+            }
+            _ => self.relay_or_refuse(id),
+        }
+    }
+
+    /// A job was stored under one key: it is accepted.
+    fn on_submission_stored(&mut self, id: RequestId, version: u64) {
+        let Some(PendingRequest::Submit(submission)) = self.pending_requests.remove(&id) else {
+            return;
+        };
+        let job = submission.id;
+        self.admission.on_accepted(job, true, self.now);
+        tracing::info!(%job, kind = ?submission.kind, class = submission.class, team = submission.team,
+            tasks = submission.tasks, cpus = submission.cpus, gpus = submission.gpus,
+            estimate_s = submission.estimate_s, awaits = ?submission.dependencies, due_s = submission.deadline_s,
+            "accepted");
+        let record = JobRecord::Live {
+            at_ms: self.wall_ms,
+            spec: submission,
+        };
+        let change = self.registry.put_job_record(job, record, version);
+        self.on_registry_change(change);
+        self.respond(id, ApiResponse::json(201, &self.job_view(job)));
+    }
+
+    /// Handles what the storing of a job that got no answer left behind.
+    pub(in crate::coordination) fn on_submit_check(
+        &mut self,
+        id: RequestId,
+        result: Result<StateReply, StateError>,
+    ) {
+        match result {
+            Ok(StateReply::Row(_)) => self.retry_after_barrier(id),
+            // Not there yet, and perhaps never: the user has to ask again.
+            _ => self.relay_or_refuse(id),
+        }
+    }
+}
