--- a/src/coordination/quota/tests.rs
+++ b/src/coordination/quota/tests.rs
@@ -2,7 +2,7 @@
 use crate::{
     cells::PeerCell,
     config::Settings,
-    quota::{Account, Grant},
+    quota::{Account, CoordinatorRecord, Grant, ParticipantRecord},
 };
 
 /// Teams whose homes are the first and the second of the cells a, b and c.
