--- a/src/coordination/leader/tests.rs
+++ b/src/coordination/leader/election/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::coordination::{
-    ClockReading, Command, LeaseRenewalAge, RenewalReply,
-    registry::{self, RegistryChange},
+    ClockReading, Command, LeaseRenewalAge, RenewalReply, registry::RegistryChange,
+    watch_cache::RegistryLoad,
 };
 
 fn node(older: bool) -> Node {
@@ -18,7 +18,7 @@
     }));
     let mut node = Node::new(config.expect("valid settings"));
     node.registry.mark_loaded_for_test();
-    node.registry_load = registry::RegistryLoad::Done;
+    node.registry_load = RegistryLoad::Done;
     if older {
         node.registry.lease_renewers.insert("n1".into(), 3);
     }
@@ -89,15 +89,16 @@
             workers_heard: 0,
         };
         node.on_revocation_reply(7, "n1".into(), sent_at, Some(word));
-        let leading = node.leader_state.as_ref().expect("it leads");
-        leading.revocation_replies.len()
+        let leader = node.leader_state.as_ref().expect("it leads");
+        leader.revocations.reply_count()
     };
     assert_eq!(promises(&mut node, 50_000), 1);
     node.now = 51_000;
     node.on_registry_change(RegistryChange::RenewerRegistered("n1".into(), 120));
-    let leading = node.leader_state.as_ref().expect("it leads");
-    assert!(
-        leading.revocation_replies.is_empty(),
+    let leader = node.leader_state.as_ref().expect("it leads");
+    assert_eq!(
+        leader.revocations.reply_count(),
+        0,
         "its key was written anew"
     );
     node.now = 52_000;
--- a/src/coordination/lease_renewer.rs
+++ b/src/coordination/lease_renewer.rs
@@ -13,9 +13,9 @@
     coordination::{
         ApiResponse, Effect, LeaseRenewalAge, LeaseRevocation, Node, RenewalReply, RequestId,
         StateTag,
-        fleet::REPLY_VALIDITY_MS,
         registry::RegisteredJob,
         timeouts::{RENEWER_LEASE_MARGIN_MS, UNREACHABLE_NODE_COST_MS},
+        workers::REPLY_VALIDITY_MS,
     },
     protocol::{
         job::JobStatus,
@@ -184,11 +184,8 @@
             }
             return;
         }
-        if let Some(leading) = &mut self.leader_state {
-            leading
-                .revocation_replies
-                .retain(|(member, _), _| *member != label);
-            leading.renewer_registered_at.insert(label, self.now);
+        if let Some(leader) = &mut self.leader_state {
+            leader.revocations.on_registered(label, self.now);
         }
     }
 
@@ -199,8 +196,8 @@
             }
             return;
         }
-        if let Some(leading) = &mut self.leader_state {
-            leading.renewer_lost_at.insert(label, self.now);
+        if let Some(leader) = &mut self.leader_state {
+            leader.revocations.on_gone(label, self.now);
         }
     }
 
--- a/src/coordination/takeover/tests.rs
+++ b/src/coordination/takeover/tests.rs
@@ -4,7 +4,9 @@
 use crate::{
     cluster::{MachineIndex, TaskStatus},
     coordination::Effect,
+    protocol::state::Row,
     protocol::state::{Changes, Event, Page, Write},
+    storage::{LogRecord, MachineRecord, SnapshotNumber, SnapshotRecord, TaskRecord},
 };
 
 fn log_row(seq: u64, first: u64, notes: &[TaskRecord]) -> (u32, u64, LogRecord) {
@@ -185,8 +187,8 @@
     ];
     read(&mut node, rows);
     synced(&mut node, 1010, vec![accepted()]);
-    let leading = node.leader_state.as_mut().expect("it leads");
-    let cluster = leading.cluster.as_mut().expect("they are made");
+    let leader = node.leader_state.as_mut().expect("it leads");
+    let cluster = leader.cluster.as_mut().expect("they are made");
     assert_eq!(cluster.task_range_len, length);
     let job = cluster.jobs_by_id[&JobId(1)];
     let stands = |task: usize| {
@@ -207,7 +209,7 @@
     // Over, and nothing of it is left on a machine.
     cluster.close_job(job);
     for machine in 0..cluster.machines.len() as u32 {
-        super::super::fleet::mark_lost(cluster, MachineIndex(machine), 2000);
+        super::super::workers::mark_lost(cluster, MachineIndex(machine), 2000);
     }
     node.now = 2000;
     node.effects.clear();
