--- a/src/coordination/leader/cycle.rs
+++ b/src/coordination/leader/cycle.rs
@@ -1,10 +1,12 @@
 //! The leader's periodic duties, scheduling and preemption among them.
 
-use crate::scheduling::fair_share::{FairShareLedger, WorkloadClass};
 use crate::{
     cluster::ClusterState,
     coordination::Node,
-    scheduling::{self, PreemptionScope, PreemptionVictim},
+    scheduling::{
+        self, PreemptionScope, PreemptionVictim,
+        fair_share::{FairShareLedger, WorkloadClass},
+    },
     time::Millis,
 };
 
@@ -164,9 +166,8 @@
         cluster.job(victim.beneficiary).id,
     );
     tracing::info!(%task, to = %beneficiary, reason = ?victim.reason, ran_s, "gives way");
-    fair_share
-        .status_mut(WorkloadClass::of_job(job))
-        .attempts_preempted += 1;
+    let class = WorkloadClass::of_job(job);
+    fair_share.status_mut(class).attempts_preempted += 1;
     cluster.request_stop(victim.machine, victim.attempt_index, grace_s);
     let held_until = now + PREEMPTED_ROOM_HOLD_MS + (grace_s * 1000.0) as Millis;
     cluster.machines[victim.machine.as_usize()].reserved_for =
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -15,7 +15,6 @@
 pub use election::Election;
 
 use super::{quota::CellQuotas, takeover::RecoveredState, workers::RenewerRevocations};
-use crate::scheduling::fair_share::FairShareLedger;
 use crate::{
     cluster::{ClusterState, InheritedUrgency},
     coordination::{
@@ -23,6 +22,7 @@
         reachability::WorkerReachability,
     },
     protocol::{ids::JobId, state::Condition},
+    scheduling::fair_share::FairShareLedger,
     storage,
     time::Millis,
 };
--- a/src/coordination/leader_log/append.rs
+++ b/src/coordination/leader_log/append.rs
@@ -5,9 +5,8 @@
     UnconfirmedWrite, WRITE_OVERHEAD_BYTES, WRITE_RETRY_MS,
     ring::{LiveRecord, LogRing},
 };
-use crate::cluster::records;
 use crate::{
-    cluster::{ClusterState, JobIndex},
+    cluster::{ClusterState, JobIndex, records},
     coordination::{
         LeaderState, Node, StateTag,
         write_outcome::{TXN_TIMEOUT_MS, WriteOutcome},
--- a/src/coordination/leader_log/images.rs
+++ b/src/coordination/leader_log/images.rs
@@ -1,9 +1,8 @@
 //! Which machines hold which images, stored for a successor.
 
 use super::{MAX_TXN_BYTES, SlotState, UnconfirmedWrite};
-use crate::cluster::records;
 use crate::{
-    cluster::ClusterState,
+    cluster::{ClusterState, records},
     coordination::{
         Node, StateTag,
         write_outcome::{TXN_TIMEOUT_MS, WriteOutcome},
--- a/src/coordination/leader_log/snapshots.rs
+++ b/src/coordination/leader_log/snapshots.rs
@@ -6,9 +6,8 @@
     LoggedTask, MAX_RELOGGED_JOB_TASKS, MAX_TXN_BYTES, TXN_OVERHEAD_BYTES, UnconfirmedWrite,
     WRITE_OVERHEAD_BYTES, is_still_needed, jobs_possibly_running, ring::LogRing,
 };
-use crate::cluster::records;
 use crate::{
-    cluster::{ClusterState, JobIndex},
+    cluster::{ClusterState, JobIndex, records},
     coordination::{
         Node, StateTag,
         write_outcome::{TXN_TIMEOUT_MS, WriteOutcome},
--- a/src/coordination/workers/reconciliation.rs
+++ b/src/coordination/workers/reconciliation.rs
@@ -1,7 +1,6 @@
 //! Reconciliation: the cluster state follows what a worker reports of its tasks.
 
 use super::drain_straggler;
-use crate::scheduling::fair_share::{FairShareLedger, WorkloadClass};
 use crate::{
     cluster::{
         ClusterState, JobIndex, MachineIndex, Phase, TaskStatus, fault_attribution, straggler,
@@ -10,6 +9,7 @@
         ids::TaskId,
         worker::{FailureCause, Report, TaskReport, TaskState},
     },
+    scheduling::fair_share::{FairShareLedger, WorkloadClass},
     time::Millis,
 };
 
