--- a/crates/emulators/src/state_service.rs
+++ b/crates/emulators/src/state_service.rs
@@ -281,6 +281,7 @@
         answer
     }
 
+    #[expect(clippy::too_many_lines, reason = "still to be split")]
     fn routes(
         self,
     ) -> impl Filter<Extract = (Response<Bytes>,), Error = warp::Rejection> + Clone + Send + Sync + 'static
--- a/crates/emulators/src/state_store.rs
+++ b/crates/emulators/src/state_store.rs
@@ -1,5 +1,7 @@
 //! A pure model of the state service: what it stores and what it answers.
 
+#![expect(missing_docs, reason = "its items are still to be documented")]
+
 use std::{
     collections::{BTreeMap, VecDeque},
     ops::Bound,
@@ -133,6 +135,7 @@
     }
 
     /// `None`: a watch that has to wait.
+    #[expect(clippy::too_many_lines, reason = "still to be split")]
     pub fn execute(&mut self, request: &StateRequest, now: u64) -> Option<StateReply> {
         Some(match request {
             StateRequest::Get { key } => self.row(key).map_or(StateReply::Missing, StateReply::Row),
--- a/crates/load-test/src/settings.rs
+++ b/crates/load-test/src/settings.rs
@@ -387,6 +387,7 @@
         nodes * CONTROLLER_BYTES + (nodes + self.regions as u64) * per_region
     }
 
+    #[expect(clippy::too_many_lines, reason = "still to be split")]
     fn validation_errors(&self, place: &str) -> Vec<String> {
         let mut found = Vec::new();
         let mut check = |holds: bool, what: &str| {
--- a/crates/service-report/src/main.rs
+++ b/crates/service-report/src/main.rs
@@ -34,6 +34,7 @@
     Ok((team.to_owned(), units))
 }
 
+#[expect(clippy::too_many_lines, reason = "still to be split")]
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     let mut run = log::LogSummary::default();
--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -1,5 +1,7 @@
 //! Which machines to rent and which to return.
 
+#![expect(missing_docs, reason = "its items are still to be documented")]
+
 use std::collections::HashMap;
 
 use crate::{
@@ -174,6 +176,7 @@
     }
 
     /// What to rent now, given what is under way.
+    #[expect(clippy::too_many_lines, reason = "still to be split")]
     pub fn plan_scaling(
         &mut self,
         cluster: &ClusterState,
--- a/src/cluster/straggler.rs
+++ b/src/cluster/straggler.rs
@@ -1,6 +1,8 @@
 //! Which machines are slow. Estimates are of the users' making and tasks of one job differ, so a
 //! machine's tasks are compared with what other tasks of their jobs took, and several must agree.
 
+#![expect(missing_docs, reason = "its items are still to be documented")]
+
 /// Completed tasks of a job from which on they are a norm.
 const MIN_JOB_SAMPLES: u32 = 6;
 /// TaskModel of a machine that must have been compared.
--- a/src/cluster/submission.rs
+++ b/src/cluster/submission.rs
@@ -102,6 +102,7 @@
     }
 
     /// A job none of whose tasks was ever placed, without its place in the queue.
+    #[expect(clippy::too_many_lines, reason = "still to be split")]
     fn new_job(
         &mut self,
         spec: &Submission,
--- a/src/coordination/admission/controller.rs
+++ b/src/coordination/admission/controller.rs
@@ -7,6 +7,8 @@
 //! have one is told so at once. Who comes back in time goes before newcomers of his class, at any node: turns are
 //! told with the words that members exchange.
 
+#![expect(missing_docs, reason = "its items are still to be documented")]
+
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use crate::{
@@ -164,6 +166,7 @@
     }
 
     /// A submission that is not known yet asks to be let in.
+    #[expect(clippy::too_many_lines, reason = "still to be split")]
     pub fn decide(
         &mut self,
         class: &WorkloadClassName,
--- a/src/coordination/admission/load_shedding.rs
+++ b/src/coordination/admission/load_shedding.rs
@@ -7,6 +7,8 @@
 //! | sockets | connections that nobody needs just now are closed, polls' first (`transport/sockets.rs`) |
 //! | a node's part of what is let in | newcomers beyond their class's due wait for their turn (`door.rs`) |
 
+#![expect(missing_docs, reason = "its items are still to be documented")]
+
 use crate::protocol::state::Urgency;
 
 /// Who asks, the first to give way first.
--- a/src/coordination/admission/mod.rs
+++ b/src/coordination/admission/mod.rs
@@ -4,6 +4,8 @@
 //! `table` is the agreement, `door` what one node does by it, `order` what gives way first. Here they meet the
 //! node: submissions ask at the door, nodes tell the leader what comes to them, and it stores the next table.
 
+#![expect(missing_docs, reason = "its items are still to be documented")]
+
 mod controller;
 pub mod load_shedding;
 pub mod quotas;
--- a/src/coordination/admission/quotas.rs
+++ b/src/coordination/admission/quotas.rs
@@ -7,6 +7,8 @@
 //! any moment every node follows at most what one and the same table gives it, the sum never exceeds that
 //! table's whole, and nobody has to ask who has read what.
 
+#![expect(missing_docs, reason = "its items are still to be documented")]
+
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
@@ -154,6 +156,7 @@
 
 /// Splits what the nodes take over classes, equally by what each still wants, and each class's part over the nodes
 /// where it comes, first where least else does. Each node keeps its `floor`; what nobody asked for is for whoever comes.
+#[expect(clippy::too_many_lines, reason = "still to be split")]
 pub fn allocate_quotas(
     demands: &BTreeMap<String, NodeDemand>,
     floor: f64,
--- a/src/coordination/admission/quotas/tests.rs
+++ b/src/coordination/admission/quotas/tests.rs
@@ -153,6 +153,7 @@
 
 /// Three nodes that miss syncs and tables for any time, leaders that change, writes that are applied late: at
 /// no moment do they follow more than a whole that was agreed on.
+#[expect(clippy::too_many_lines, reason = "still to be split")]
 #[test]
 fn sum_of_followed_quotas_stays_within_total_after_missed_updates() {
     const TAKES: f64 = 20.0;
--- a/src/coordination/provisioning.rs
+++ b/src/coordination/provisioning.rs
@@ -190,6 +190,7 @@
         }
     }
 
+    #[expect(clippy::too_many_lines, reason = "still to be split")]
     fn on_instance_list(&mut self, result: Result<CloudReply, CloudError>) {
         let now = self.now;
         let lag = self.config.settings.cloud.list_lag_s;
@@ -259,6 +260,7 @@
     }
 
     /// Asks the cloud for what the books call for, and returns what they don't.
+    #[expect(clippy::too_many_lines, reason = "still to be split")]
     pub(super) fn run_provisioning(&mut self) {
         let now = self.now;
         let wall = self.wall_ms;
--- a/src/coordination/rate_limit_shares.rs
+++ b/src/coordination/rate_limit_shares.rs
@@ -1,5 +1,7 @@
 //! QuotaShares of the services' limits: the leader writes what it does and asks the cloud, followers write for users only.
 
+#![expect(missing_docs, reason = "its items are still to be documented")]
+
 /// What is kept free of the services' limits, for clocks that differ.
 const USABLE_FRACTION: f64 = 0.92;
 /// The leader's parts. Followers ask the cloud for nothing but its machine types when they start.
--- a/src/coordination/registry/tests.rs
+++ b/src/coordination/registry/tests.rs
@@ -38,6 +38,7 @@
 
 /// Pipelines of any shape, whose records come in any order: whoever has read them all says the same,
 /// and what it says is what follows from them.
+#[expect(clippy::too_many_lines, reason = "still to be split")]
 #[test]
 fn dependency_outcomes_do_not_depend_on_read_order() {
     for seed in 0..300 {
--- a/src/coordination/status.rs
+++ b/src/coordination/status.rs
@@ -1,5 +1,7 @@
 //! What a node says of itself to whoever watches it.
 
+#![expect(missing_docs, reason = "its items are still to be documented")]
+
 use super::{AdmissionCounts, Node, QuotaStatus, WorkloadClassName};
 use crate::{
     cluster::MachineState, coordination::registry::LiveJob, protocol::ids::JobId,
--- a/src/coordination/tags.rs
+++ b/src/coordination/tags.rs
@@ -3,6 +3,8 @@
 //! A tag of a leader's request carries the lease under which the node led when it asked, and a tag of
 //! a registry request the load generation, so that a late answer is recognised and dropped.
 
+#![expect(missing_docs, reason = "its items are still to be documented")]
+
 use super::{RequestId, leader_log::UnconfirmedWrite};
 use crate::protocol::ids::TaskId;
 
--- a/src/coordination/takeover/tests.rs
+++ b/src/coordination/takeover/tests.rs
@@ -154,6 +154,7 @@
 
 /// Pages of the version before, which counted them by 99 tasks, and of this one, by 9, tell of the
 /// same tasks. Both count, neither is written for the other, and both go when the job is over.
+#[expect(clippy::too_many_lines, reason = "still to be split")]
 #[test]
 fn snapshots_of_every_range_length_are_read_and_deleted() {
     let mut node = successor();
--- a/src/transport/mesh/mod.rs
+++ b/src/transport/mesh/mod.rs
@@ -14,6 +14,11 @@
 pub use service::{MeshService, serve};
 
 /// The messages and services that are generated from `proto/`.
+#[expect(
+    missing_docs,
+    clippy::too_many_lines,
+    reason = "generated from proto/mesh.proto, which documents the messages"
+)]
 pub mod proto {
     tonic::include_proto!("dalelb.mesh.v1");
 }
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -1,6 +1,11 @@
 //! Several cells that share teams' quotas: one controller each, with a state service, machines and links between them
 //! that are slow, cut or mended. At every start the team's use over all cells is held to its limit.
 
+#![expect(
+    clippy::unwrap_used,
+    reason = "its panics are still to be given their invariants"
+)]
+
 #[path = "wire/mod.rs"]
 mod wire;
 
@@ -408,6 +413,7 @@
         }
     }
 
+    #[expect(clippy::too_many_lines, reason = "still to be split")]
     fn execute_effect(&mut self, cell: usize, effect: Effect) {
         let message = Sent::of(&effect);
         let life = self.cells[cell].incarnation;
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -144,6 +144,7 @@
         .await;
 }
 
+#[expect(clippy::too_many_lines, reason = "still to be split")]
 async fn run_full_scenario() {
     let ports: Vec<(u16, u16)> = (0..2).map(|_| (free_port(), free_port())).collect();
     let state = start_state_service();
@@ -336,6 +337,7 @@
 
 /// Processes are killed under load and started again within 50 ms, one by one and both: their addresses are
 /// still in use by connections that nobody has closed, and what was accepted is done.
+#[expect(clippy::too_many_lines, reason = "still to be split")]
 async fn run_restart_scenario() {
     const USERS: usize = 24;
     let ports: Vec<(u16, u16)> = (0..2).map(|_| (free_port(), free_port())).collect();
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -1,5 +1,10 @@
 //! Wire formats under generated inputs.
 
+#![expect(
+    clippy::unwrap_used,
+    reason = "its panics are still to be given their invariants"
+)]
+
 use dalelb::{
     protocol::{
         self, DecodeError,
--- a/tests/histories/cluster.rs
+++ b/tests/histories/cluster.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl SimulatedCluster {
+    #[expect(clippy::too_many_lines, reason = "still to be split")]
     pub(crate) fn new(seed: u64) -> Self {
         let mut world = SimulatedCluster {
             now: 0,
--- a/tests/histories/combined_faults.rs
+++ b/tests/histories/combined_faults.rs
@@ -158,6 +158,7 @@
 /// Of one kind of write after the other each is carried out at once and its answer lost, while users of all nodes look
 /// closely at what it wrote; in the middle the leader ends. Nothing is told, started or given away on the belief that
 /// it failed, and all jobs end.
+#[expect(clippy::too_many_lines, reason = "still to be split")]
 #[test]
 fn writes_with_lost_replies_are_neither_undone_nor_repeated() {
     // Each kind of transaction that a node sends.
@@ -274,6 +275,7 @@
 /// A team is at its limit, and one job of its is called off while some of the machines that run it are cut off, hang, hear
 /// nothing or reach nobody, for less than a lease and for longer; the leader ends in that spell. What they take of the
 /// limit is nobody's until they are surely gone (each start is checked), then it is used.
+#[expect(clippy::too_many_lines, reason = "still to be split")]
 #[test]
 fn cancelled_tasks_on_unreachable_machines_hold_quota_until_lease_expiry() {
     for seed in HISTORY_SEEDS {
@@ -1109,6 +1111,7 @@
 /// Odd requests at a leading, a following and a refused node, also while answers are lost and writes come late: jobs that can never
 /// run, submissions of known jobs again with the same and with another body, cancellations of what is done or cancelled, and
 /// whatever is asked of jobs that nobody submitted. Each is answered as the protocol says, and none leaves a trace.
+#[expect(clippy::too_many_lines, reason = "still to be split")]
 #[test]
 fn malformed_requests_get_protocol_responses_under_faults() {
     for seed in [0, 8, 10] {
--- a/tests/histories/effects.rs
+++ b/tests/histories/effects.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl SimulatedCluster {
+    #[expect(clippy::too_many_lines, reason = "still to be split")]
     pub(crate) fn execute_effect(&mut self, index: usize, life: u64, effect: Effect) {
         let sent = self.now - self.booted_at[index];
         format!("{effect:?}").hash(&mut self.trace);
--- a/tests/histories/events.rs
+++ b/tests/histories/events.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl SimulatedCluster {
+    #[expect(clippy::too_many_lines, reason = "still to be split")]
     pub(crate) fn handle_event(&mut self, what: SimulationEvent) {
         // What came meanwhile and what has timed out come all at once, in any order.
         if let Some(index) = Self::node_of_event(&what)
--- a/tests/histories/failover.rs
+++ b/tests/histories/failover.rs
@@ -305,6 +305,7 @@
 /// cancelled is gone in time all the same (checked every 25 ms), wherever in that sequence the outage begins: before
 /// the refused leader's lease ends, when there is no successor, as one takes over, while it reads the notes, and later.
 /// A successor that was reading them renewed workers without a word of what was cancelled, for as long as it might.
+#[expect(clippy::too_many_lines, reason = "still to be split")]
 #[test]
 fn confirmed_cancellations_survive_failover_and_state_service_outage() {
     logging();
--- a/tests/histories/history.rs
+++ b/tests/histories/history.rs
@@ -66,6 +66,7 @@
 }
 
 /// Plays a history.
+#[expect(clippy::too_many_lines, reason = "still to be split")]
 pub(crate) fn run_history(seed: u64) -> Played {
     let mut world = SimulatedCluster::new(seed);
     let mut number = 0;
--- a/tests/histories/invariants.rs
+++ b/tests/histories/invariants.rs
@@ -4,6 +4,7 @@
 
 impl SimulatedCluster {
     /// What happens by itself every 25 ms.
+    #[expect(clippy::too_many_lines, reason = "still to be split")]
     pub(crate) fn run_background(&mut self) {
         if self.limit_drop.0 <= self.now {
             self.store.limits = self.limit_drop.1;
--- a/tests/histories/random_faults.rs
+++ b/tests/histories/random_faults.rs
@@ -23,6 +23,7 @@
     }
 }
 
+#[expect(clippy::too_many_lines, reason = "still to be split")]
 #[test]
 fn invariants_hold_under_random_faults() {
     logging();
--- a/tests/histories/users.rs
+++ b/tests/histories/users.rs
@@ -50,6 +50,7 @@
     }
 
     /// What users are told: the rules about answers.
+    #[expect(clippy::too_many_lines, reason = "still to be split")]
     pub(crate) fn record_user_view(
         &mut self,
         id: JobId,
--- a/tests/histories/workers.rs
+++ b/tests/histories/workers.rs
@@ -100,6 +100,7 @@
     }
 
     /// A task has its image: the rules about starting.
+    #[expect(clippy::too_many_lines, reason = "still to be split")]
     pub(crate) fn on_task_started(&mut self, at: usize, task: TaskId, spec: &Submission) {
         self.starts += 1;
         *self.starts_by_task.entry(task).or_default() += 1;
@@ -196,6 +197,7 @@
         found
     }
 
+    #[expect(clippy::too_many_lines, reason = "still to be split")]
     pub(crate) fn execute_orders(&mut self, at: usize, orders: &[Order]) {
         for order in orders {
             match *order {
--- a/tests/quota_escrow.rs
+++ b/tests/quota_escrow.rs
@@ -518,6 +518,7 @@
 }
 
 /// Each write of a transfer, with the end of either leader after it, with and without an answer.
+#[expect(clippy::too_many_lines, reason = "still to be split")]
 #[test]
 fn leader_crash_between_any_two_writes_neither_loses_nor_duplicates_units() {
     let calm = [
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -98,6 +98,7 @@
     );
 }
 
+#[expect(clippy::too_many_lines, reason = "still to be split")]
 #[test]
 fn random_load_never_violates_limits_capacity_zones_or_spot_constraints() {
     for seed in 0..40 {
--- a/tests/wire/mod.rs
+++ b/tests/wire/mod.rs
@@ -73,6 +73,7 @@
         Sent::new(channel, head, request.body)
     }
 
+    #[expect(clippy::too_many_lines, reason = "still to be split")]
     pub fn of(effect: &Effect) -> Self {
         match effect {
             Effect::Respond(id, answer) => {
