--- a/src/storage/keys.rs
+++ b/src/storage/keys.rs
@@ -69,7 +69,7 @@
 /// known. Versions that only counted, up to 100,000, read these snapshots as well, and never write them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SnapshotNumber(
-    /// The length times [`SNAPSHOT_LENGTH_FACTOR`], plus the range's index.
+    /// The length times 1,000,000, plus the range's index.
     pub u32,
 );
 
