--- a/crates/emulators/src/worker_emulator.rs
+++ b/crates/emulators/src/worker_emulator.rs
@@ -100,7 +100,7 @@
         self.fencing_token
     }
 
-    /// TaskModel that are on it.
+    /// Tasks that are on it.
     pub fn running_count(&self) -> usize {
         self.tasks.values().filter(|task| task.is_running()).count()
     }
--- a/crates/emulators/src/worker_emulator/tests.rs
+++ b/crates/emulators/src/worker_emulator/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-/// TaskModel of 4 CPUs that run for a second; what happens to them is kept.
+/// Tasks of 4 CPUs that run for a second; what happens to them is kept.
 #[derive(Default)]
 struct Told(Mutex<Vec<TaskEvent>>);
 
--- a/crates/emulators/src/worker_fleet.rs
+++ b/crates/emulators/src/worker_fleet.rs
@@ -183,7 +183,7 @@
         workers.map(|worker| worker.name.clone()).collect()
     }
 
-    /// TaskModel that are on the workers.
+    /// Tasks that are on the workers.
     pub fn running_count(&self) -> usize {
         let workers = self.workers.iter();
         workers
--- a/crates/load-test/src/drill.rs
+++ b/crates/load-test/src/drill.rs
@@ -49,7 +49,7 @@
     pub name: String,
     /// How long it was.
     pub seconds: f64,
-    /// TaskModel that started each second.
+    /// Tasks that started each second.
     pub starts: f64,
     /// From acceptance to the start command, urgent work.
     pub urgent: StartLatencies,
--- a/crates/load-test/src/experiment.rs
+++ b/crates/load-test/src/experiment.rs
@@ -257,7 +257,7 @@
 async fn load_and_measure(run: &mut Run) -> Result<Measurement, RunError> {
     run.load().await?;
     let warm_up = Duration::from_secs_f64(run.experiment.warm_up_s);
-    // TaskModel have to end as often as they start before anything is at rest.
+    // Tasks have to end as often as they start before anything is at rest.
     let first_ends = Duration::from_secs_f64(run.experiment.run_s);
     run.run_for(warm_up + first_ends).await?;
     let reference_ms = tokio::task::spawn_blocking(measure::reference);
--- a/crates/load-test/src/invariants.rs
+++ b/crates/load-test/src/invariants.rs
@@ -33,7 +33,7 @@
 /// How long tasks took from their job's acceptance to the start command at the worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StartLatencies {
-    /// TaskModel.
+    /// Tasks.
     pub count: u64,
     /// Milliseconds.
     pub median_ms: u64,
@@ -58,7 +58,7 @@
     facts: ExpectedJob,
     accepted: Option<Instant>,
     cancelled: Option<Instant>,
-    /// TaskModel that are on a machine.
+    /// Tasks that are on a machine.
     running_tasks: u32,
 }
 
@@ -194,7 +194,7 @@
         }
     }
 
-    /// CandidateCache for tasks of cancelled jobs that go on for too long.
+    /// Looks for tasks of cancelled jobs that go on for too long.
     pub fn check_cancellations(&self) {
         let mut inner = self.lock_state();
         let jobs = inner.jobs.iter();
@@ -215,7 +215,7 @@
         self.lock_state().starts
     }
 
-    /// TaskModel that are on machines.
+    /// Tasks that are on machines.
     pub fn running_count(&self) -> usize {
         self.lock_state().placements.len()
     }
--- a/crates/load-test/src/measure.rs
+++ b/crates/load-test/src/measure.rs
@@ -20,7 +20,7 @@
 
 /// Reports that the reference work encodes and decodes.
 const REFERENCE_REPORTS: usize = 4000;
-/// TaskModel of each of them.
+/// Tasks of each of them.
 const REFERENCE_TASKS: u32 = 8;
 
 /// One run of one experiment.
@@ -90,9 +90,9 @@
     pub mesh_bytes: f64,
     /// Bytes of users' connections.
     pub user_bytes: f64,
-    /// TaskModel that started.
+    /// Tasks that started.
     pub starts: f64,
-    /// TaskModel that ran at the end.
+    /// Tasks that ran at the end.
     pub running: f64,
     /// Submissions that were accepted.
     pub accepted: f64,
--- a/crates/load-test/src/settings.rs
+++ b/crates/load-test/src/settings.rs
@@ -50,7 +50,7 @@
     pub teams: usize,
     /// Array tasks that are to start each second.
     pub starts_per_s: f64,
-    /// TaskModel of an array.
+    /// Tasks of an array.
     pub tasks_per_job: u32,
     /// How long an array's task runs, in seconds.
     pub run_s: f64,
@@ -367,7 +367,7 @@
         self.regions * self.nodes
     }
 
-    /// TaskModel that run at once in a region.
+    /// Tasks that run at once in a region.
     pub fn running_tasks(&self) -> f64 {
         let replicas = if self.replica_cpus > 0.0 {
             self.workers as f64
--- a/crates/service-report/src/log.rs
+++ b/crates/service-report/src/log.rs
@@ -58,7 +58,7 @@
 pub struct Class {
     pub jobs: u64,
     pub tasks: u64,
-    /// TaskModel of jobs that were not cancelled, and of those that were done.
+    /// Tasks of jobs that were not cancelled, and of those that were done.
     requested_tasks: u64,
     finished_tasks: u64,
     service: bool,
@@ -126,7 +126,7 @@
 pub struct LogSummary {
     pub jobs: HashMap<String, Job>,
     classes: BTreeMap<ClassName, Class>,
-    /// TaskModel that ran, by job; only debug lines tell.
+    /// Tasks that ran, by job; only debug lines tell.
     started_tasks: HashMap<String, HashSet<String>>,
     /// When the last line was written.
     pub last_line_at: f64,
--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -42,7 +42,7 @@
 const MAX_INSTANCES_PER_REQUEST: u32 = 50;
 /// Arrivals of services are counted over this time.
 const ARRIVAL_WINDOW_MS: Millis = 120_000;
-/// TaskModel of services that room is kept for on the strength of one burst. What is more has to have come
+/// Tasks of services that room is kept for on the strength of one burst. What is more has to have come
 /// in other parts of the window too: a deployment's start brings thousands at once that nobody follows.
 /// Taken for the most that could ever be wanted, it had one replica in ten wait for a machine on calm days of
 /// 1,213 machines, where 140 come while one boots.
--- a/src/cluster/straggler.rs
+++ b/src/cluster/straggler.rs
@@ -5,11 +5,11 @@
 
 /// Completed tasks of a job from which on they are a norm.
 const MIN_JOB_SAMPLES: u32 = 6;
-/// TaskModel of a machine that must have been compared.
+/// Tasks of a machine that must have been compared.
 const MIN_MACHINE_SAMPLES: u32 = 4;
 /// A mean over this many takes in what is new and forgets what is old.
 const RUNNING_MEAN_SAMPLES: u32 = 8;
-/// How many times longer than elsewhere tasks take on a machine that counts as slow. TaskModel of one job
+/// How many times longer than elsewhere tasks take on a machine that counts as slow. Tasks of one job
 /// differ by half either way; the mean of several does so by far less.
 const STRAGGLER_FACTOR: f64 = 2.2;
 
--- a/src/cluster/straggler/tests.rs
+++ b/src/cluster/straggler/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// TaskModel of a job take 0.6 to 1.5 times its mean, in a fixed order that mixes them.
+/// Tasks of a job take 0.6 to 1.5 times its mean, in a fixed order that mixes them.
 fn spread(n: u32) -> f64 {
     0.6 + 0.9 * f64::from(n * 7 % 10) / 9.0
 }
--- a/src/coordination/rate_limit_shares.rs
+++ b/src/coordination/rate_limit_shares.rs
@@ -1,4 +1,4 @@
-//! QuotaShares of the services' limits: the leader writes what it does and asks the cloud, followers write for users only.
+//! Parts of the services' limits: the leader writes what it does and asks the cloud, followers write for users only.
 
 #![expect(missing_docs, reason = "its items are still to be documented")]
 
--- a/src/coordination/reachability.rs
+++ b/src/coordination/reachability.rs
@@ -18,7 +18,7 @@
 /// A node that has resigned lets others take over for this long: a lease of the state service is gone and
 /// another acquired well within that, whatever the workers do.
 pub(super) const RESIGNATION_BACKOFF_MS: Millis = 8000;
-/// QuotaShares of the fleet: silent machines from which on members are asked, by how much more a member must
+/// Parts of the fleet: silent machines from which on members are asked, by how much more a member must
 /// hear, and what must be heard of it when no member answers.
 const SILENT_FLEET_DIVISOR: usize = 4;
 const BETTER_REACH_DIVISOR: usize = 10;
@@ -60,7 +60,7 @@
 }
 
 impl Node {
-    /// CandidateCache at how many machines are silent, asks the members how many they hear, and resigns where
+    /// Looks at how many machines are silent, asks the members how many they hear, and resigns where
     /// that is right.
     pub(super) fn check_reachability(&mut self) {
         let now = self.now;
--- a/src/coordination/status.rs
+++ b/src/coordination/status.rs
@@ -23,7 +23,7 @@
     pub teams: Vec<(String, usize, f64)>,
     /// How many machines there are in each state.
     pub machines: Vec<(&'static str, usize)>,
-    /// TaskModel whose last change is not stored yet.
+    /// Tasks whose last change is not stored yet.
     pub unlogged_tasks: usize,
     /// How submissions of each class fare at this node.
     pub submissions: Vec<(WorkloadClassName, AdmissionCounts)>,
--- a/src/quota/coordinator.rs
+++ b/src/quota/coordinator.rs
@@ -20,7 +20,7 @@
     received_at: Millis,
 }
 
-/// CellTopology that come down to a lowered limit: what each was told stays until all have, so that none is told to come down
+/// Cells that come down to a lowered limit: what each was told stays until all have, so that none is told to come down
 /// to less and to more in turn.
 #[derive(Clone, Debug, Default)]
 struct LimitReduction {
@@ -271,7 +271,7 @@
         parts[at] + left / self.cells.len() as Units
     }
 
-    /// CellTopology in which the stored version is not in force.
+    /// Cells in which the stored version is not in force.
     pub fn outdated_cells(&self) -> Vec<&str> {
         let behind = self.cells.iter().filter(|cell| {
             let heard = self.last_reports.get(*cell);
--- a/tests/histories/workers.rs
+++ b/tests/histories/workers.rs
@@ -268,7 +268,7 @@
         }
     }
 
-    /// TaskModel that run, each with its attempt and the machine.
+    /// Tasks that run, each with its attempt and the machine.
     pub(crate) fn running(&self) -> BTreeMap<TaskId, (u64, usize)> {
         let all = self.workers.iter().enumerate();
         let tasks = all.flat_map(|(at, worker)| worker.tasks.iter().map(move |t| (at, t)));
--- a/tests/quota_escrow.rs
+++ b/tests/quota_escrow.rs
@@ -64,7 +64,7 @@
     Limit(Units),
     /// So much work waits in a cell.
     Waiting(usize, Units),
-    /// TaskModel start where they may, or end.
+    /// Tasks start where they may, or end.
     Start(usize, Units),
     End(usize, Units),
 }
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -61,7 +61,7 @@
         scheduling::compute_deserved_shares(&cluster, 64.0),
         [40.0, 24.0]
     );
-    // TaskModel end all the time: an array waits a little before work with aims has to give way, or
+    // Tasks end all the time: an array waits a little before work with aims has to give way, or
     // replicas, which have no such times.
     assert!(scheduling::select_preemptions(&cluster, 1000, PreemptionScope::All).is_empty());
     for kind in [JobKind::Service, JobKind::Array] {
