--- a/src/coordination/api.rs
+++ b/src/coordination/api.rs
@@ -2,7 +2,7 @@
 
 use crate::protocol::{self, ids::JobId, job::Submission, worker::Report};
 
-/// Identifies a request from outside that waits for its answer, for the life of the process.
+/// Identifies a request from outside that waits for its answer. Unique for the life of the process.
 pub type RequestId = u64;
 
 /// A request of a user, a worker or the load balancer.
@@ -10,13 +10,13 @@
 pub enum ApiRequest {
     /// Accept a job.
     Submit(Box<Submission>),
-    /// Tell the status of a job.
+    /// Return the status of a job.
     Poll(JobId),
     /// Cancel a job.
     Cancel(JobId),
     /// A worker reports its state and fetches its commands.
     Heartbeat(Box<Report>),
-    /// Whether this node can serve users.
+    /// Return whether this node can serve users.
     Readiness,
     /// A user's request that another member could not answer and relays.
     Relayed(Box<ApiRequest>),
@@ -46,7 +46,7 @@
         ApiResponse::json(status, &serde_json::json!({ "error": error }))
     }
 
-    /// A 503: the node can't tell now, the client should retry in `seconds`.
+    /// A 503 response: the node can't answer now, and the client should retry after `seconds`.
     pub(super) fn unavailable(error: &str, seconds: u32) -> Self {
         ApiResponse {
             retry_after_s: Some(seconds),
--- a/src/coordination/command.rs
+++ b/src/coordination/command.rs
@@ -1,4 +1,5 @@
-//! Commands, which the daemon puts to a node, and the effects that the node asks for in return.
+//! Commands, which the daemon passes to a node, and effects, which the node returns for the daemon to
+//! carry out.
 
 use super::{
     ApiRequest, ApiResponse, CellGrants, CellReport, CloudTag, LeaderAnnouncement, LeaseRevocation,
@@ -17,9 +18,9 @@
 /// An input of [`Node::step`](super::Node::step).
 #[derive(Debug)]
 pub enum Command {
-    /// A request that waits for its answer.
+    /// A request from outside, to be answered with [`Effect::Respond`].
     ApiRequest(RequestId, ApiRequest),
-    /// The answer of the state service.
+    /// The state service's answer to a request.
     StateResponse {
         /// Which request it answers.
         tag: StateTag,
@@ -28,7 +29,7 @@
         /// The reply, or why there is none.
         result: Result<StateReply, StateError>,
     },
-    /// The answer of the cloud.
+    /// The cloud's answer to a request.
     CloudResponse {
         /// Which request it answers.
         tag: CloudTag,
@@ -42,15 +43,16 @@
         /// `None`: no answer.
         result: Option<WorkerReply>,
     },
-    /// The leader announces itself and the progress of jobs.
+    /// The leader's announcement of itself and of the progress of jobs.
     LeaderAnnounced(LeaderAnnouncement),
-    /// A member's status, with which it answers an announcement.
+    /// A member's status, returned in answer to an announcement.
     MemberStatus(Box<MemberStatus>),
-    /// The leader asks which leases this node has renewed, and that it stop renewing them.
+    /// The leader's request to report when this node last renewed some leases, and to stop renewing
+    /// them.
     RevokeLeases(RequestId, LeaseRevocation),
     /// A member's answer to a revocation.
     LeasesRevoked {
-        /// The leader's lease when it asked.
+        /// The leader's lease when it sent the request.
         lease: u64,
         /// The member's label.
         label: String,
@@ -61,7 +63,7 @@
     },
     /// A member's answer to a relayed request; `None`: no answer.
     RelayAnswered(RequestId, Option<ApiResponse>),
-    /// Another cell reports its usage and demand in teams whose home is this cell.
+    /// Another cell's report of its usage and demand in teams whose home is this cell.
     CellReported(RequestId, Box<CellReport>),
     /// Another cell's answer to a report.
     CellGrantsReceived {
@@ -72,55 +74,55 @@
         /// `None`: no answer.
         grants: Option<Box<CellGrants>>,
     },
-    /// The settings file was read again and names these teams.
+    /// The settings file was read again and contains these teams.
     TeamsChanged(Vec<Team>),
-    /// Nothing but the time has changed.
+    /// Only the time has changed.
     Tick,
 }
 
 /// An output of [`Node::step`](super::Node::step), for the daemon to carry out.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Answer a request.
+    /// Answer an [`ApiRequest`].
     Respond(RequestId, ApiResponse),
     /// Send a request to the state service.
     CallStateService {
-        /// Comes back with the answer.
+        /// Returned with the answer.
         tag: StateTag,
         /// The request.
         request: StateRequest,
-        /// Its place in the queue before the rate limit.
+        /// Its priority in the queue of the rate limiter.
         urgency: Urgency,
-        /// After this many milliseconds there is no answer.
+        /// After this many milliseconds the request counts as unanswered.
         timeout_ms: u64,
     },
     /// Send a request to the cloud.
     CallCloud {
-        /// Comes back with the answer.
+        /// Returned with the answer.
         tag: CloudTag,
         /// The request.
         request: CloudRequest,
-        /// After this many milliseconds there is no answer.
+        /// After this many milliseconds the request counts as unanswered.
         timeout_ms: u64,
     },
-    /// Send commands, or a mere probe, to a worker.
+    /// Send commands, or only a probe, to a worker.
     CallWorker {
-        /// Comes back with the answer.
+        /// Returned with the answer.
         tag: WorkerTag,
         /// The worker's address.
         addr: String,
-        /// The commands; `None`: a probe whether it can be reached.
+        /// The commands; `None`: a probe of whether the worker can be reached.
         orders: Option<DirectOrders>,
-        /// After this many milliseconds there is no answer.
+        /// After this many milliseconds the request counts as unanswered.
         timeout_ms: u64,
     },
     /// Announce the leader and the progress of jobs to all members.
     AnnounceProgress(LeaderAnnouncement),
-    /// The status with which this node answers the leader's next announcement.
+    /// Set the status with which the daemon answers the leader's next announcement.
     PublishMemberStatus(Box<MemberStatus>),
-    /// Ask a member to renew some leases no more.
+    /// Ask a member to stop renewing some leases.
     RequestRevocation {
-        /// The leader's lease; comes back with the answer.
+        /// The leader's lease; returned with the answer.
         lease: u64,
         /// The member's label.
         label: String,
@@ -129,18 +131,18 @@
     },
     /// Answer a revocation.
     RespondRevocation(RequestId, RenewalReply),
-    /// Have another member answer a user.
+    /// Relay a user's request to another member.
     RelayRequest {
-        /// The user's request here.
+        /// Identifies the user's request at this node.
         id: RequestId,
         /// The member's label.
         label: String,
-        /// What the user asks.
+        /// The request to relay.
         request: ApiRequest,
     },
     /// Report this cell's usage and demand to another cell.
     SendCellReport {
-        /// The leader's lease; comes back with the answer.
+        /// The leader's lease; returned with the answer.
         lease: u64,
         /// The other cell's name.
         cell: String,
@@ -149,6 +151,6 @@
     },
     /// Answer another cell's report; `None`: this node can't answer for its cell.
     RespondCellReport(RequestId, Option<CellGrants>),
-    /// Whether this node leads, which decides its share of the services' rate limits.
+    /// Set whether this node is the leader, which determines its share of the services' rate limits.
     SetLeadership(bool),
 }
--- a/src/coordination/leader/cycle.rs
+++ b/src/coordination/leader/cycle.rs
@@ -10,29 +10,30 @@
     time::Millis,
 };
 
-/// Heartbeats come by the hundred a second: a cycle takes in what several have changed.
+/// Hundreds of heartbeats arrive each second: one cycle handles the changes of several of them.
 const SCHEDULING_INTERVAL_MS: Millis = 40;
-/// The interval while nothing has changed.
+/// The interval while nothing has changed that affects scheduling.
 const IDLE_SCHEDULING_INTERVAL_MS: Millis = 1000;
 const QUEUE_REFRESH_INTERVAL_MS: Millis = 250;
 const PREEMPTION_INTERVAL_MS: Millis = 10_000;
-/// How long room is held for the job that others were preempted for: a stop, its report and a cycle.
+/// How long freed capacity stays reserved for the job that others were preempted for: the time to stop
+/// the victim, report that in a heartbeat and run a scheduling cycle.
 const PREEMPTED_ROOM_HOLD_MS: Millis = 3000;
-/// Users wait for services: tasks are preempted for them sooner.
+/// Shorter for services, because users wait for them.
 const SERVICE_PREEMPTION_INTERVAL_MS: Millis = 200;
-/// The same for jobs with an objective: 10 s are longer than some may wait.
+/// Shorter for jobs with an objective: some objectives allow a wait of less than 10 s.
 const OBJECTIVE_PREEMPTION_INTERVAL_MS: Millis = 1000;
 
-/// When the parts of scheduling were last run.
+/// When each part of scheduling last ran.
 pub(super) struct SchedulingTimers {
     cycle_at: Millis,
     queues_refreshed_at: Millis,
-    /// By [`PreemptionScope`].
+    /// When preemption last ran, indexed by [`PreemptionScope`].
     preempted_at: [Millis; 3],
 }
 
 impl SchedulingTimers {
-    /// The first cycle is due at once, the first preemptions an interval after `now`.
+    /// The first cycle is due immediately, the first preemption one interval after `now`.
     pub(super) fn new(now: Millis) -> Self {
         SchedulingTimers {
             cycle_at: 0,
@@ -60,11 +61,12 @@
         cluster.scheduling_needed = false;
         let placed = scheduling::run_scheduling_cycle(cluster, fair_share, now);
         if placed > 0 {
-            tracing::debug!(placed, "round");
+            tracing::debug!(placed, "scheduling cycle placed tasks");
         }
     }
 
-    /// The widest scope for which preemption is due, if any, and takes it for done.
+    /// Returns the widest scope for which preemption is due, if any, and restarts the intervals of that
+    /// scope and of the narrower ones.
     fn due_preemption(&mut self, now: Millis) -> Option<PreemptionScope> {
         let intervals = [
             (PreemptionScope::All, PREEMPTION_INTERVAL_MS),
@@ -77,14 +79,14 @@
         let (scope, _) = intervals
             .into_iter()
             .find(|&(scope, interval_ms)| self.preempted_at[scope as usize] + interval_ms <= now)?;
-        // A wide scope includes the narrower ones.
+        // Each scope includes the narrower ones.
         self.preempted_at[..=scope as usize].fill(now);
         Some(scope)
     }
 }
 
 impl Node {
-    /// Runs the leader's duties, in the order in which their effects must come.
+    /// Runs the leader's periodic duties. Their order determines the order of their effects.
     pub(in crate::coordination) fn run_leader_cycle(&mut self) {
         self.renew_leader_lease();
         if !self.has_current_cluster_state() {
@@ -112,7 +114,7 @@
     }
 
     /// Whether the cluster state has been rebuilt and a read barrier that began after the takeover has
-    /// come back: only then are all jobs known.
+    /// succeeded. Only then does the registry contain all jobs accepted before the takeover.
     fn has_current_cluster_state(&self) -> bool {
         let is_rebuilt = self
             .leader_state
@@ -144,7 +146,7 @@
     }
 }
 
-/// Stops a victim's attempt and holds its room for the job that it gives way to.
+/// Stops a victim's attempt and reserves its machine for the job that it was preempted for.
 fn preempt(
     cluster: &mut ClusterState,
     fair_share: &mut FairShareLedger,
@@ -165,7 +167,7 @@
         job.task_id(attempt.task),
         cluster.job(victim.beneficiary).id,
     );
-    tracing::info!(%task, to = %beneficiary, reason = ?victim.reason, ran_s, "gives way");
+    tracing::info!(%task, %beneficiary, reason = ?victim.reason, ran_s, "task preempted");
     let class = WorkloadClass::of_job(job);
     fair_share.status_mut(class).attempts_preempted += 1;
     cluster.request_stop(victim.machine, victim.attempt_index, grace_s);
--- a/src/coordination/leader/election.rs
+++ b/src/coordination/leader/election.rs
@@ -1,4 +1,5 @@
-//! Leader election: whoever puts the leader's key on a lease of the state service leads.
+//! Leader election: the node that writes the leader's key, attached to a lease of the state service,
+//! is the leader.
 
 use super::{
     LeaderState,
@@ -12,20 +13,20 @@
 };
 
 const ELECTION_RETRY_MS: Millis = 300;
-/// A process younger than this lets older ones become the leader: it may be one that crashes every
-/// few seconds, and its predecessor may have led.
+/// A process younger than this lets older ones become the leader first: it may be one that crashes
+/// every few seconds, and the process before it under the same label may have been the leader.
 const YOUNG_PROCESS_AGE_MS: Millis = 10_000;
-/// It waits so long for them; they need a few round trips to the state service.
+/// How long a young process waits for older ones, which need a few round trips to the state service.
 const YOUNG_ELECTION_DELAY_MS: Millis = 250;
 
-/// How far this node is in becoming the leader.
+/// The progress of this node towards becoming the leader.
 #[derive(Debug, Default)]
 pub struct Election {
     step: ElectionStep,
     retry_at: Millis,
-    /// The lease of a predecessor under the same label that was released.
+    /// The lease of an earlier process under the same label, if this node has requested its release.
     released_lease: Option<u64>,
-    /// Since when nobody leads, as far as this node knows.
+    /// When this node first found no leader's key in the registry.
     vacant_since: Option<Millis>,
 }
 
@@ -33,9 +34,9 @@
 enum ElectionStep {
     #[default]
     Idle,
-    /// A lease has been requested.
+    /// A lease for the leader's key has been requested.
     AwaitingLease,
-    /// The leader's key is being put on a lease.
+    /// The transaction that writes the leader's key has been sent.
     AcquiringLeadership {
         lease: u64,
         /// When the lease was requested.
@@ -45,22 +46,22 @@
 }
 
 impl Election {
-    /// Lets other nodes go first until then.
+    /// Starts no election before `until`, so that another node can become the leader.
     pub(in crate::coordination) fn defer_until(&mut self, until: Millis) {
         self.retry_at = until;
     }
 }
 
 impl Node {
-    /// Follows the leader's key as the registry shows it.
+    /// Handles a change of the leader's key in the registry.
     pub(in crate::coordination) fn on_leader_changed(&mut self) {
         match (&self.registry.leader, &self.leader_state) {
             (Some((record, version)), Some(leader)) if *version > leader.leader_key_version => {
-                tracing::warn!(leader = record.node, "another node leads");
+                tracing::warn!(leader = record.node, "lost leadership to another node");
                 self.step_down();
             }
             (None, Some(_)) => {
-                tracing::warn!("the leader's key is gone");
+                tracing::warn!("lost leadership: the leader's key has been deleted");
                 self.step_down();
             }
             (Some((record, _)), None) => {
@@ -70,10 +71,10 @@
         }
     }
 
-    /// Stops leading at once. The lease is left to expire.
+    /// Gives up leadership immediately. The lease is not released but left to expire.
     pub(in crate::coordination) fn step_down(&mut self) {
         if let Some(leader) = self.leader_state.take() {
-            tracing::warn!(term = leader.term, "no longer the leader");
+            tracing::warn!(term = leader.term, "stepped down");
             self.effects.push(Effect::SetLeadership(false));
             self.election = Election {
                 retry_at: self.now + ELECTION_RETRY_MS,
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Tries to become the leader when there is none.
+    /// Starts an election when there is no leader.
     pub(in crate::coordination) fn run_election(&mut self) {
         if self.leader_state.is_some()
             || !self.is_ready()
@@ -93,7 +94,8 @@
             return;
         }
         if let Some((record, _)) = &self.registry.leader {
-            // A process that had this label before has ended for good: its lease need not expire.
+            // An earlier process under this label no longer runs, so its lease is released without
+            // waiting for it to expire.
             let predecessor = (record.node == self.config.label).then_some(record.lease);
             self.election.vacant_since = None;
             return self.release_predecessor_lease(predecessor);
@@ -130,8 +132,8 @@
         );
     }
 
-    /// Whether another node holds a standby renewer's key that is older than this one's, as far as is
-    /// known: its process, or one that has just ended, has lived for longer.
+    /// Whether the registry shows another node's lease renewer key that is older than this node's. The
+    /// process that wrote it, which may have just ended, started earlier than this one.
     fn has_older_peer(&self) -> bool {
         let own_version = self.lease_renewer.held_key_version().unwrap_or(u64::MAX);
         let mut renewers = self.registry.lease_renewers.iter();
@@ -143,7 +145,7 @@
         self.election.retry_at = self.now + ELECTION_RETRY_MS;
     }
 
-    /// Handles the grant of a lease: puts the leader's key on it, if there is none, and raises the term.
+    /// Handles the grant of a lease: tries to write the leader's key on it and to raise the term.
     pub(in crate::coordination) fn on_leader_lease_granted(
         &mut self,
         sent_at: Millis,
@@ -167,7 +169,8 @@
         );
     }
 
-    /// Puts the leader's key where there is none, and raises the term from the one that is known.
+    /// The transaction that writes the leader's key if there is none, and raises the term if it is still
+    /// the one in the registry.
     fn acquisition_txn(&self, lease: u64, term: u64) -> Txn {
         Txn {
             conditions: vec![
@@ -199,7 +202,7 @@
         }
     }
 
-    /// Handles the answer to the acquisition of leadership.
+    /// Handles the answer to the transaction that acquires leadership.
     pub(in crate::coordination) fn on_acquire_response(
         &mut self,
         lease: u64,
@@ -222,9 +225,9 @@
         }
     }
 
-    /// Handles what an acquisition that got no answer left behind. If nothing is stored now, the
-    /// acquisition is abandoned: it may be applied later, but its lease is never renewed and expires;
-    /// the next attempt has a new lease.
+    /// Handles the leader's key as read after an acquisition that got no answer. If the key is not on
+    /// the lease of that acquisition, the acquisition is abandoned: it may be applied later, but its
+    /// lease is never renewed and expires; the next attempt uses a new lease.
     pub(in crate::coordination) fn on_acquire_check(
         &mut self,
         lease: u64,
@@ -240,7 +243,7 @@
         self.request_read_barrier();
     }
 
-    /// Starts to lead on `lease`; `version` is that of the leader's key.
+    /// Becomes the leader on `lease`; `version` is the version of the leader's key.
     fn become_leader(&mut self, lease: u64, version: u64) {
         let ElectionStep::AcquiringLeadership {
             lease: requested,
@@ -269,7 +272,8 @@
         let leader = LeaderState::new(lease, leader_lease, version, term, self.now);
         self.leader_state = Some(Box::new(leader));
         self.effects.push(Effect::SetLeadership(true));
-        // Jobs accepted or cancelled up to now must be known before the cluster state is rebuilt.
+        // The registry must contain all jobs accepted or cancelled up to now before the cluster state
+        // is rebuilt.
         self.read_barrier.confirmed_at = None;
         self.request_read_barrier();
         self.read_leader_log();
--- a/src/coordination/leader/election/tests.rs
+++ b/src/coordination/leader/election/tests.rs
@@ -28,7 +28,7 @@
     node
 }
 
-/// Whether the node asks for a lease to lead on at one of these moments.
+/// Whether the node requests a lease for the leader's key in a step at one of these times.
 fn starts_election(node: &mut Node, times: impl IntoIterator<Item = Millis>) -> bool {
     times.into_iter().any(|steady| {
         let now = ClockReading { monotonic_ms: steady, wall_ms: 0 };
@@ -39,8 +39,9 @@
     })
 }
 
-/// A process that ended every two seconds led each time: its successor gave its lease back and took the
-/// next, before the others had heard that there was none.
+/// A process that crashed every two seconds became the leader each time: the next process under its
+/// label released the old lease and acquired leadership before the other nodes had received the
+/// deletion of the leader's key.
 #[test]
 fn young_process_defers_election_to_older_nodes() {
     let mut young = node(true);
@@ -58,16 +59,20 @@
     ));
     assert!(
         starts_election(&mut young, [100 + YOUNG_ELECTION_DELAY_MS]),
-        "nobody else is there"
+        "no other node became the leader"
     );
     let mut old = node(true);
     assert!(starts_election(&mut old, [YOUNG_PROCESS_AGE_MS]));
     let mut first = node(false);
-    assert!(starts_election(&mut first, [40]), "nobody has lived longer");
+    assert!(
+        starts_election(&mut first, [40]),
+        "no other process is older"
+    );
 }
 
-/// A deputy promised to leave a silent machine alone, ended, and was back at once: its successor under the same
-/// label knew of no promise and renewed the machine, whose tasks the leader started elsewhere.
+/// A lease renewer promised not to renew an unresponsive machine, then restarted. The new process under
+/// the same label had no record of the promise and renewed the machine's lease, while the leader started
+/// the machine's tasks elsewhere.
 #[test]
 fn revocation_promise_is_void_after_renewer_restart() {
     let mut node = node(true);
@@ -99,9 +104,17 @@
     assert_eq!(
         leader.revocations.reply_count(),
         0,
-        "its key was written anew"
+        "the renewer's key was written by a new process"
     );
     node.now = 52_000;
-    assert_eq!(promises(&mut node, 50_900), 0, "asked before that");
-    assert_eq!(promises(&mut node, 51_900), 1, "asked again");
+    assert_eq!(
+        promises(&mut node, 50_900),
+        0,
+        "request sent before the restart"
+    );
+    assert_eq!(
+        promises(&mut node, 51_900),
+        1,
+        "request sent after the restart"
+    );
 }
--- a/src/coordination/leader/fencing.rs
+++ b/src/coordination/leader/fencing.rs
@@ -1,5 +1,5 @@
-//! Fencing: the term is the token that workers obey, and raising it voids commands that are still on
-//! their way.
+//! Fencing: the term is the fencing token of commands to workers. Raising it invalidates commands that
+//! are still on their way.
 
 use crate::{
     coordination::{
@@ -13,11 +13,11 @@
 
 const FENCE_INTERVAL_MS: Millis = 3000;
 
-/// The raising of the term under one leadership.
+/// The state of raising the term during one leadership.
 pub struct Fence {
     term_key_version: u64,
     in_flight: bool,
-    /// The term is to be raised as soon as that is due.
+    /// The term is to be raised as soon as the minimum interval since the last time has passed.
     pub requested: bool,
     /// When the term was last raised; 0: not yet.
     pub raised_at: Millis,
@@ -36,10 +36,9 @@
 }
 
 impl Node {
-    /// Follows the term that the registry shows.
+    /// Handles a change of the term in the registry.
     pub(in crate::coordination) fn on_term_changed(&mut self) {
-        // While this node leads nobody else raises the term: this is a fence of its own whose answer
-        // was lost.
+        // Only the leader raises the term, so this is a raise by this node whose answer was lost.
         if let Some(leader) = &mut self.leader_state
             && self.registry.term > leader.term
         {
@@ -48,8 +47,8 @@
         }
     }
 
-    /// Raises the term when a start that got no answer could still be carried out late: a worker that
-    /// has seen the new term rejects commands of the old one.
+    /// Raises the term if that was requested because a start command got no answer and might still be
+    /// carried out late: a worker that has seen the new term rejects commands of the old one.
     pub(super) fn raise_term(&mut self) {
         let Some(leader) = &mut self.leader_state else {
             return;
@@ -81,7 +80,7 @@
         );
     }
 
-    /// Handles the answer to a raised term.
+    /// Handles the answer to the transaction that raises the term.
     pub(in crate::coordination) fn on_fence_response(
         &mut self,
         lease: u64,
@@ -102,7 +101,10 @@
                 }
                 self.registry.term = leader.term;
                 self.registry.term_version = leader.fence.term_key_version;
-                tracing::info!(term = leader.term, "term raised as a fence");
+                tracing::info!(
+                    term = leader.term,
+                    "raised the term to invalidate earlier commands"
+                );
             }
             WriteOutcome::Unknown => self.call_state_service(
                 StateTag::CheckTerm { lease },
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Handles what a raised term that got no answer left behind; the term is raised once more.
+    /// Handles the term as read after a raise that got no answer. The term is raised once more.
     pub(in crate::coordination) fn on_fence_check(
         &mut self,
         lease: u64,
@@ -137,8 +139,8 @@
             && let Ok(record) = serde_json::from_value::<TermRecord>(row.value)
             && row.version > leader.fence.term_key_version
         {
-            // If another node raised it, this node's lease has expired, and the next conditional
-            // write will show that; a term that is not this node's is not adopted.
+            // Any other term was written by another leader. This node's lease has then expired, and its
+            // next conditional write fails; that term is not adopted.
             if record.term == leader.term + 1 {
                 self.request_read_barrier();
             }
--- a/src/coordination/leader/lease.rs
+++ b/src/coordination/leader/lease.rs
@@ -1,4 +1,4 @@
-//! The leader's lease: its renewal, and what the node may do on the strength of it.
+//! The leader's lease: its renewal, and what the node may do while it is confirmed.
 
 use crate::{
     coordination::{Node, StateTag},
@@ -6,20 +6,22 @@
     time::Millis,
 };
 
-/// The life of the leader's lease: for so long a dead leader is waited for.
+/// The time to live of the leader's lease, and so the time until another node can replace a dead leader.
 pub(super) const LEADER_LEASE_TTL_MS: Millis = 3500;
 const LEASE_RENEWAL_INTERVAL_MS: Millis = 700;
 const LEASE_RENEWAL_TIMEOUT_MS: Millis = 1200;
-/// A renewal that failed is repeated this long after it was sent, or at once if that has passed.
+/// How long after a failed renewal the next one is sent.
 const LEASE_RENEWAL_RETRY_MS: Millis = 200;
-/// No start is sent so shortly before the lease may expire.
+/// No start commands are sent in this last part of the lease.
 const START_MARGIN_MS: Millis = 300;
 
-/// How the leader's lease stands.
+/// The state of the leader's lease.
 pub(super) struct LeaderLease {
-    /// When the last successful renewal was sent: the lease lives for its whole time from then on.
+    /// When the last successful renewal was sent: the lease lasts for at least its time to live from
+    /// then on.
     confirmed_at: Millis,
     renewal_in_flight: bool,
+    /// When the last renewal was sent. Set to an earlier time after a failure, for a sooner retry.
     renewed_at: Millis,
 }
 
@@ -35,31 +37,32 @@
 }
 
 impl Node {
-    /// The time up to which leadership is confirmed: the leader's lease and the view of the registry
-    /// were both renewed by requests sent then or later. A renewed lease alone is not enough: while
-    /// the registry can't be followed, another node may have told a user that a job is cancelled.
+    /// The time up to which leadership is confirmed: both the leader's lease and the registry were
+    /// confirmed by requests sent at that time or later. A renewed lease alone is not enough: while this
+    /// node gets no changes of the registry, another node may have acknowledged the cancellation of a
+    /// job.
     fn leadership_confirmed_at(&self) -> Option<Millis> {
         let leader = self.leader_state.as_ref()?;
         let registry_confirmed_at = self.read_barrier.confirmed_at?;
         Some(leader.leader_lease.confirmed_at.min(registry_confirmed_at))
     }
 
-    /// Whether tasks may be started: only while the lease has surely not expired.
+    /// Whether tasks may be started: only while the lease is certain not to have expired.
     pub(in crate::coordination) fn can_start_tasks(&self) -> bool {
         self.leadership_confirmed_at().is_some_and(|confirmed_at| {
             self.now + START_MARGIN_MS < confirmed_at + LEADER_LEASE_TTL_MS
         })
     }
 
-    /// Whether this node leads on this lease. Tags carry the lease, so that answers meant for an
-    /// earlier leadership are dropped.
+    /// Whether this node is the leader and holds this lease. Tags carry the lease, so that answers to
+    /// requests of an earlier leadership are dropped.
     pub(in crate::coordination) fn holds_leadership(&self, lease: u64) -> bool {
         self.leader_state
             .as_ref()
             .is_some_and(|leader| leader.lease == lease)
     }
 
-    /// Renews the leader's lease when that is due.
+    /// Renews the leader's lease when a renewal is due.
     pub(super) fn renew_leader_lease(&mut self) {
         let Some(leader) = &mut self.leader_state else {
             return;
@@ -79,8 +82,8 @@
         );
     }
 
-    /// Handles the answer to a renewal. The lease is confirmed as of when the renewal was sent: the
-    /// answer may have been long on its way.
+    /// Handles the answer to a renewal. The lease is confirmed as of the time when the renewal was sent,
+    /// because the answer may have taken long to arrive.
     pub(in crate::coordination) fn on_leader_lease_renewed(
         &mut self,
         lease: u64,
@@ -100,7 +103,7 @@
                 renewal.confirmed_at = renewal.confirmed_at.max(sent_at);
             }
             Ok(StateReply::NoLease) => {
-                tracing::warn!("the leader's lease has ended");
+                tracing::warn!("lost leadership: the leader's lease has expired");
                 self.step_down();
             }
             _ => {
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -1,8 +1,9 @@
 //! Leadership: election, lease, fencing, and the leader's duties.
 //!
-//! The leader holds `shared/leader` on a lease of the state service. Its term is the fencing token
-//! that workers obey. All its transactions are conditional on the version of `shared/leader`, so that
-//! one that is applied late, after a takeover, changes nothing.
+//! The leader holds the key `shared/leader` on a lease of the state service. Its term is the fencing
+//! token: workers reject commands with a lower term than they have seen. All its transactions are
+//! conditional on the version of `shared/leader`, so that one that is applied late, after a takeover,
+//! changes nothing.
 
 mod cycle;
 mod election;
@@ -30,26 +31,26 @@
 use fencing::Fence;
 use lease::LeaderLease;
 
-/// What the leader knows and does. It begins with a takeover and ends when the node steps down.
+/// The state of a leader. A node creates it when it becomes the leader and drops it when it steps down.
 pub struct LeaderState {
-    /// The lease of the state service that the node leads on.
+    /// The ID of the state service's lease that holds `shared/leader`.
     pub lease: u64,
     leader_lease: LeaderLease,
     /// The version of `shared/leader`.
     leader_key_version: u64,
     /// The fencing token that commands carry.
     pub term: u64,
-    /// The term at the takeover: a worker that has reported it obeys no earlier leader.
+    /// The term at the takeover. A worker that has reported it rejects commands of earlier leaders.
     pub first_term: u64,
-    /// The raising of the term.
+    /// Raises the term to invalidate commands that may still be on their way.
     pub fence: Fence,
     /// When this node became the leader.
     pub takeover_at: Millis,
-    /// What has been read of the predecessors' log and snapshots.
+    /// The part of the predecessors' log and snapshots that has been read so far.
     pub recovered: RecoveredState,
-    /// Jobs and machines; `None`: not rebuilt yet.
+    /// Jobs and machines; `None` until they have been rebuilt after the takeover.
     pub cluster: Option<ClusterState>,
-    /// What each class of each team is entitled to, and what it got.
+    /// What each workload class of each team is entitled to, and what it has received.
     pub fair_share: FairShareLedger,
     /// The log and snapshots in the state service.
     pub log: LeaderLog,
@@ -59,23 +60,23 @@
     pub machines_checked_at: Millis,
     /// When all machines were last checked for commands that are due.
     pub all_orders_checked_at: Millis,
-    /// Requests to the cloud.
+    /// Requests to the cloud that are pending.
     pub provisioning: Provisioning,
-    /// What standby renewers say about silent machines.
+    /// Replies of the lease renewers about unresponsive machines.
     pub revocations: RenewerRevocations,
-    /// Whether the workers reach this node.
+    /// Whether the workers can reach this node.
     pub reachability: WorkerReachability,
-    /// Writes of jobs that were cancelled with a job that they depend on.
+    /// Writes of the final status of jobs that were cancelled because a dependency was cancelled.
     pub outcomes: JobOutcomes,
-    /// Urgency that jobs inherit from those that depend on them.
+    /// Urgency that jobs inherit from the jobs that depend on them.
     pub inherited_urgency: HashMap<JobId, InheritedUrgency>,
-    /// Quotas that cells share; `None`: this is the only cell.
+    /// Quotas shared with other cells; `None` if this is the only cell.
     pub cell_quotas: Option<CellQuotas>,
 }
 
 impl LeaderState {
-    /// A leadership that begins now. `key_version` is that of both the leader's and the term's key,
-    /// which one transaction has written.
+    /// The state at the start of a leadership. `key_version` is the version of both the leader's and
+    /// the term's key, which were written by the same transaction.
     fn new(
         lease: u64,
         leader_lease: LeaderLease,
@@ -108,14 +109,14 @@
         }
     }
 
-    /// Done and running tasks of a job.
+    /// The numbers of done and running tasks of a job.
     pub fn task_counts(&self, id: JobId) -> Option<(u32, u32)> {
         let cluster = self.cluster.as_ref()?;
         let job = cluster.job(*cluster.jobs_by_id.get(&id)?);
         Some((job.done_count, job.running_count))
     }
 
-    /// The condition that every write of this leadership carries.
+    /// The condition under which every write of this leader is made: it still holds `shared/leader`.
     pub(super) fn leadership_condition(&self) -> Condition {
         Condition {
             key: storage::LEADER_KEY.into(),
--- a/src/coordination/leader/progress.rs
+++ b/src/coordination/leader/progress.rs
@@ -1,4 +1,4 @@
-//! The leader's announcements to the other members.
+//! The leader's periodic announcements to the other members.
 
 use crate::{
     cluster::{ClusterState, MachineState},
@@ -25,7 +25,11 @@
         if tracing::enabled!(tracing::Level::DEBUG) {
             log_cluster_state(cluster);
             let unwritten = cluster.unlogged_tasks.len() + cluster.tasks_being_logged.len();
-            tracing::debug!(unwritten, entries = leader.log.live_record_count(), "log");
+            tracing::debug!(
+                unwritten,
+                records = leader.log.live_record_count(),
+                "leader log"
+            );
         }
         let jobs = cluster
             .jobs_by_id
@@ -48,7 +52,7 @@
     }
 }
 
-/// Logs what waits and what is used.
+/// Logs each team's waiting tasks and reserved units, and the machines in use.
 fn log_cluster_state(cluster: &ClusterState) {
     for team in &cluster.teams {
         let mut waiting = [0; 2];
@@ -58,7 +62,7 @@
         }
         let [arrays, services] = waiting;
         let booked = cluster.accounted_units(&team.reserved);
-        tracing::debug!(team = team.name, booked, arrays, services, "waits");
+        tracing::debug!(team = team.name, booked, arrays, services, "waiting tasks");
     }
     let count = |state| cluster.machines.iter().filter(|m| m.state == state).count();
     let used = cluster
--- a/src/coordination/member_messages.rs
+++ b/src/coordination/member_messages.rs
@@ -1,4 +1,4 @@
-//! What the members of one cell tell each other: job progress and lease revocations.
+//! Messages between the members of a cell: job progress and lease revocations.
 
 use super::admission::ReservationNotice;
 use crate::protocol::ids::JobId;
@@ -14,48 +14,48 @@
     pub running: u32,
 }
 
-/// What the leader tells the other members once a second.
+/// The leader's announcement, sent to the other members once a second.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaderAnnouncement {
     /// The term that the sender leads in; announcements of lower terms are stale.
     pub term: u64,
     /// The label of the leader.
     pub leader: String,
-    /// Unfinished jobs of which tasks are done or run.
+    /// Unfinished jobs with done or running tasks.
     pub jobs: Vec<JobProgress>,
-    /// Reservations that nodes have given to users whose submissions they rejected.
+    /// Reservations (times to retry) that nodes have given to users whose submissions they rejected.
     pub reservations: Vec<ReservationNotice>,
 }
 
-/// The leader asks that members renew the leases of silent machines no more, so that it can tell when
-/// those leases have expired.
+/// The leader's request that members stop renewing the leases of unresponsive machines, so that it can
+/// determine when those leases have expired.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseRevocation {
     /// The leader's term.
     pub term: u64,
-    /// Machines that the leader has not heard of for long.
+    /// Machines from which the leader has received no heartbeat for a long time.
     pub machines: Vec<SilentMachine>,
-    /// The leader's wall clock when it asked, in milliseconds since the epoch.
+    /// The leader's wall clock when it sent the request, in milliseconds since the epoch.
     pub asked_at_ms: u64,
 }
 
-/// A machine that the leader has not heard of for long.
+/// A machine from which the leader has received no heartbeat for a long time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SilentMachine {
     /// Its name.
     pub name: String,
-    /// The incarnation that the leader last heard of; 0: not known.
+    /// The worker's incarnation in the last heartbeat that the leader received; 0 if unknown.
     pub incarnation: u64,
-    /// The leader only asks for the age of the last renewal; the member may go on renewing.
+    /// Only the age of the last renewal is requested; the member may continue to renew the lease.
     pub is_inquiry: bool,
 }
 
 /// A member's answer to a [`LeaseRevocation`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RenewalReply {
-    /// The last renewals of the machines asked about.
+    /// The last renewals of the machines in the request.
     pub renewals: Vec<LeaseRenewalAge>,
-    /// How many workers sent it a heartbeat lately.
+    /// How many workers have recently sent the member a heartbeat.
     pub workers_heard: usize,
 }
 
@@ -66,6 +66,6 @@
     pub machine: String,
     /// Milliseconds since the last renewal; a lower bound of the real age.
     pub age_ms: u64,
-    /// The answer to a mere inquiry, which revokes nothing.
+    /// The answer to an inquiry, which revokes nothing.
     pub is_inquiry: bool,
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,8 +1,8 @@
 //! The control plane of one node: a pure state machine that turns commands into effects.
 //!
-//! [`Node::step`] takes a batch of commands and the time and returns what is to be done. It does
-//! no I/O, reads no clock and draws no random numbers, so that a history can be replayed. This file
-//! says which module handles which command, answer and periodic duty.
+//! [`Node::step`] takes a batch of commands and the time and returns the effects that the daemon is to
+//! carry out. It does no I/O, reads no clock and draws no random numbers, so that a history can be
+//! replayed. This file dispatches each command, answer and periodic duty to the module that handles it.
 
 pub mod admission;
 mod api;
@@ -50,18 +50,18 @@
     time::Millis,
 };
 
-/// [`Node::step`] is called many times a second. After a longer gap, messages that arrived meanwhile
-/// are still unread.
+/// [`Node::step`] is called many times a second. A longer gap between two calls is a stall, after which
+/// messages that arrived in the meantime have not been handled yet.
 const STALL_THRESHOLD_MS: Millis = 1000;
-/// For so long after a stall no peer is held to be silent for want of messages.
+/// For this long after a stall, missing messages are not taken as a sign that the sender is unresponsive.
 const RESUME_GRACE_MS: Millis = 2000;
-/// A gap of this length shows that the processor can't keep up.
+/// A longer gap between two calls of [`Node::step`] counts as late: the processor can't keep up.
 const LATE_PASS_MS: Millis = 150;
 
-/// The time, as the caller of [`Node::step`] reads it.
+/// The time as read by the caller of [`Node::step`].
 #[derive(Clone, Copy, Debug)]
 pub struct ClockReading {
-    /// Milliseconds on a clock that never goes back, since the start of the process.
+    /// Milliseconds since the start of the process, on a monotonic clock.
     pub monotonic_ms: Millis,
     /// Milliseconds since the epoch.
     pub wall_ms: u64,
@@ -77,7 +77,7 @@
     effects: Vec<Effect>,
     registry: JobRegistry,
     registry_load: watch_cache::RegistryLoad,
-    /// Counts reloads; answers to requests of an earlier generation are dropped.
+    /// Counts loads of the registry; answers to requests of an earlier load are dropped.
     load_generation: u64,
     watch: watch_cache::RegistryWatch,
     read_barrier: watch_cache::ReadBarrier,
@@ -95,7 +95,7 @@
 }
 
 impl Node {
-    /// A node that knows nothing yet: it loads the registry in its first steps.
+    /// A node with an empty registry, which it loads in its first steps.
     pub fn new(mut config: Config) -> Self {
         config.settings.state = config.settings.state.strictest();
         let timeouts = timeouts::Timeouts::new(&config.settings.workers, config.members.len());
@@ -124,9 +124,9 @@
         }
     }
 
-    /// Handles a batch of commands, does what is due and returns the effects in order.
+    /// Handles a batch of commands, runs the periodic duties and returns the effects in order.
     ///
-    /// The monotonic clock may stand still between two calls; a reading that goes back is ignored.
+    /// Two calls may pass the same monotonic time; a reading lower than an earlier one is ignored.
     pub fn step(
         &mut self,
         commands: impl IntoIterator<Item = Command>,
@@ -140,19 +140,16 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Takes the time over, and notices stalls and late calls.
+    /// Sets the time, and records stalls and late calls.
     fn advance_clock(&mut self, now: ClockReading) {
         let is_first_step = self.now == 0;
         let gap_ms = now.monotonic_ms.saturating_sub(self.now);
         if !is_first_step && gap_ms > STALL_THRESHOLD_MS {
-            tracing::warn!(
-                for_ms = gap_ms,
-                "the process stalled while the clocks ran on"
-            );
+            tracing::warn!(gap_ms, "the process has resumed after a stall");
             self.resumed_at = Some(now.monotonic_ms);
         }
         if gap_ms > LATE_PASS_MS {
-            tracing::debug!(for_ms = gap_ms, "late");
+            tracing::debug!(gap_ms, "late step");
         }
         if !is_first_step {
             self.admission.record_pass(gap_ms, LATE_PASS_MS);
@@ -250,7 +247,7 @@
         }
     }
 
-    /// Runs the periodic duties. Their order is the order of their effects.
+    /// Runs the periodic duties. Their order determines the order of their effects.
     fn run_due_work(&mut self) {
         self.request_machine_types();
         self.maintain_registry();
@@ -275,13 +272,14 @@
         });
     }
 
-    /// Whether the process resumed lately from a stall: silence of others proves nothing yet.
+    /// Whether the process has recently resumed after a stall. Missing messages then don't show yet that
+    /// their senders are unresponsive.
     fn just_resumed(&self) -> bool {
         self.resumed_at
             .is_some_and(|at| at + RESUME_GRACE_MS > self.now)
     }
 
-    /// Whether users can be served: the jobs are known, and so are the machine types.
+    /// Whether users can be served: the registry has been loaded and machine types are available.
     pub fn is_ready(&self) -> bool {
         self.registry.is_loaded() && !self.machine_types.is_empty()
     }
--- a/src/coordination/rate_limit_shares.rs
+++ b/src/coordination/rate_limit_shares.rs
@@ -1,23 +1,26 @@
-//! Parts of the services' limits: the leader writes what it does and asks the cloud, followers write for users only.
+//! The share of the outside services' rate limits that each node may use. The leader gets the larger
+//! share: it writes its log and makes the requests to the cloud, while followers write only for users.
 
-#![expect(missing_docs, reason = "its items are still to be documented")]
-
-/// What is kept free of the services' limits, for clocks that differ.
+/// The fraction of each limit that the nodes use together. The rest allows for clocks that differ.
 const USABLE_FRACTION: f64 = 0.92;
-/// The leader's parts. Followers ask the cloud for nothing but its machine types when they start.
+/// The leader's shares. Followers only request the machine types from the cloud, when they start.
 const LEADER_REQUEST_SHARE: f64 = 0.5;
 const LEADER_WRITE_SHARE: f64 = 0.6;
 const LEADER_CLOUD_SHARE: f64 = 0.8;
 
-/// The parts of one node, from 0 to 1.
+/// One node's share of each rate limit, from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimitShares {
+    /// Requests to the state service, writes included.
     pub state_requests: f64,
+    /// Writes to the state service.
     pub state_writes: f64,
+    /// Requests to the cloud.
     pub cloud: f64,
 }
 
-/// A node's parts among so many nodes: the followers have equal parts of what the leader leaves.
+/// The shares of the leader, or of a follower, among `nodes` nodes. Followers share equally what the
+/// leader leaves.
 pub fn shares_for(nodes: f64, leads: bool) -> RateLimitShares {
     let others = (nodes - 1.0).max(1.0);
     let part = |leaders: f64| {
--- a/src/coordination/tags.rs
+++ b/src/coordination/tags.rs
@@ -1,126 +1,183 @@
-//! Tags: which request an answer of an outside service belongs to.
+//! Tags, which associate the answers of outside services and workers with the requests.
 //!
-//! A tag of a leader's request carries the lease under which the node led when it asked, and a tag of
-//! a registry request the load generation, so that a late answer is recognised and dropped.
-
-#![expect(missing_docs, reason = "its items are still to be documented")]
+//! The tag of a leader's request carries the lease of that leadership, and the tag of a registry
+//! request carries the load generation, so that late answers are recognised and dropped.
 
 use super::{RequestId, leader_log::UnconfirmedWrite};
 use crate::protocol::ids::TaskId;
 
-/// Which request to the state service an answer belongs to.
-///
-/// Generations are those of the registry load that was current; leases are those of the leadership
-/// (or, where it says so, of the standby renewer) in which the request was sent.
+/// The request to the state service that an answer belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StateTag {
-    /// A page of the job registry.
-    LoadRegistry { generation: u64 },
-    /// Changes of the job registry.
-    WatchRegistry { generation: u64 },
-    /// A read that proves how fresh the registry is.
-    ReadBarrier { generation: u64 },
-    /// A job accepted from a user.
+    /// Reads a page of the job registry.
+    LoadRegistry {
+        /// The load generation at the time of the request.
+        generation: u64,
+    },
+    /// Waits for changes of the job registry.
+    WatchRegistry {
+        /// The load generation at the time of the request.
+        generation: u64,
+    },
+    /// Reads all changes up to now, after which the registry is current as of the time of the request.
+    ReadBarrier {
+        /// The load generation at the time of the request.
+        generation: u64,
+    },
+    /// Writes a job submitted by a user.
     PutJob {
         /// The user's request.
         id: RequestId,
-        /// The record is kept under one key.
+        /// Whether the whole record is stored under one key.
         single_key: bool,
     },
-    /// Whether a [`StateTag::PutJob`] that got no answer was stored.
+    /// Reads whether a [`StateTag::PutJob`] that got no answer was applied.
     CheckPutJob(RequestId),
-    /// A job cancelled by a user.
+    /// Writes that a user has cancelled a job.
     CancelJob(RequestId),
-    /// A lease to lead on.
+    /// Requests a lease for the leader's key.
     GrantLeaderLease,
-    /// The leader's key, put on a lease that was granted for it.
-    AcquireLeadership { lease: u64 },
-    /// Whether a [`StateTag::AcquireLeadership`] that got no answer was stored.
-    CheckLeadership { lease: u64 },
-    /// A renewal of the leader's lease.
-    RenewLeaderLease { lease: u64 },
-    /// The end of the lease of a predecessor under the same label.
+    /// Writes the leader's key and raises the term.
+    AcquireLeadership {
+        /// The lease granted for the leader's key.
+        lease: u64,
+    },
+    /// Reads whether a [`StateTag::AcquireLeadership`] that got no answer was applied.
+    CheckLeadership {
+        /// The lease granted for the leader's key.
+        lease: u64,
+    },
+    /// Renews the leader's lease.
+    RenewLeaderLease {
+        /// The leader's lease.
+        lease: u64,
+    },
+    /// Releases a leader's lease: this node's own, or that of an earlier process under its label.
     ReleaseLeaderLease,
-    /// A page of the predecessors' log and snapshots.
-    ReadLeaderLog { lease: u64 },
-    /// Records of the leader log and the end of jobs.
-    AppendLog { lease: u64 },
-    /// What a write that got no answer left under its key.
+    /// Reads a page of the predecessors' log and snapshots.
+    ReadLeaderLog {
+        /// The leader's lease.
+        lease: u64,
+    },
+    /// Writes records of the leader log and the final status of jobs.
+    AppendLog {
+        /// The leader's lease.
+        lease: u64,
+    },
+    /// Reads a key of a write that got no answer.
     CheckUnconfirmedWrite {
+        /// The leader's lease.
         lease: u64,
-        /// The key in question.
+        /// The key.
         unconfirmed: UnconfirmedWrite,
     },
-    /// Snapshots of ranges of tasks.
-    WriteSnapshots { lease: u64 },
-    /// The next term, so that commands of the present one are obeyed no more.
-    RaiseTerm { lease: u64 },
-    /// Whether a [`StateTag::RaiseTerm`] that got no answer was stored.
-    CheckTerm { lease: u64 },
-    /// Snapshots of finished jobs, deleted.
-    DeleteSnapshots { lease: u64 },
-    /// The end of jobs that were cancelled with a job that they depend on.
-    WriteOutcomes { lease: u64 },
-    /// The machine types.
+    /// Writes snapshots of ranges of tasks.
+    WriteSnapshots {
+        /// The leader's lease.
+        lease: u64,
+    },
+    /// Raises the term, so that workers reject commands of the current one.
+    RaiseTerm {
+        /// The leader's lease.
+        lease: u64,
+    },
+    /// Reads whether a [`StateTag::RaiseTerm`] that got no answer was applied.
+    CheckTerm {
+        /// The leader's lease.
+        lease: u64,
+    },
+    /// Deletes snapshots of finished jobs.
+    DeleteSnapshots {
+        /// The leader's lease.
+        lease: u64,
+    },
+    /// Writes the final status of jobs that were cancelled because a dependency was cancelled.
+    WriteOutcomes {
+        /// The leader's lease.
+        lease: u64,
+    },
+    /// Writes the machine types.
     WriteMachineTypes,
-    /// Which machines hold which images.
+    /// Writes which machines have which images on their disks.
     WriteImages {
+        /// The leader's lease.
         lease: u64,
-        /// The number of the key.
+        /// The number of the key, since the record is split across keys.
         part: usize,
     },
-    /// The admission quotas.
-    WriteAdmissionQuotas { lease: u64 },
-    /// The mark that the admission quotas are settled.
-    WriteSettledQuotas { lease: u64 },
-    /// A lease for the standby renewer's key.
+    /// Writes new admission quotas.
+    WriteAdmissionQuotas {
+        /// The leader's lease.
+        lease: u64,
+    },
+    /// Writes the current admission quotas again, marked as settled.
+    WriteSettledQuotas {
+        /// The leader's lease.
+        lease: u64,
+    },
+    /// Requests a lease for this node's lease renewer key.
     GrantRenewerLease,
-    /// The standby renewer's key, on its own lease.
-    PutRenewerKey { lease: u64 },
-    /// A renewal of the standby renewer's own lease.
-    TouchRenewerLease { lease: u64 },
-    /// The quotas that cells share.
-    ReadCellQuotas { lease: u64 },
-    /// The quotas that cells share, as they changed.
+    /// Writes this node's lease renewer key.
+    PutRenewerKey {
+        /// The lease renewer's own lease.
+        lease: u64,
+    },
+    /// Renews the lease renewer's own lease.
+    TouchRenewerLease {
+        /// The lease renewer's own lease.
+        lease: u64,
+    },
+    /// Reads a page of the quotas that cells share.
+    ReadCellQuotas {
+        /// The leader's lease.
+        lease: u64,
+    },
+    /// Writes changes of the quotas that cells share.
     WriteCellQuotas {
+        /// The leader's lease.
         lease: u64,
-        /// Counts the writes of this leadership.
+        /// The number of this write, counted from the start of the leadership.
         write_number: u64,
     },
 }
 
-/// Which request to the cloud an answer belongs to.
+/// The request to the cloud that an answer belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CloudTag {
-    /// The machine types on offer.
+    /// Lists the machine types on offer.
     MachineTypes,
-    /// The instances there are.
-    ListInstances { lease: u64 },
-    /// New instances.
+    /// Lists the existing instances.
+    ListInstances {
+        /// The leader's lease.
+        lease: u64,
+    },
+    /// Requests new instances.
     RequestInstances {
+        /// The leader's lease.
         lease: u64,
         /// The name of the provisioning request.
         request_name: String,
     },
-    /// The deletion of instances.
+    /// Deletes instances.
     DeleteInstances {
+        /// The leader's lease.
         lease: u64,
-        /// Their names.
+        /// The names of the instances.
         names: Vec<String>,
     },
 }
 
-/// Which commands a worker's answer belongs to.
+/// The commands that a worker's answer belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerTag {
     /// The leader's lease when it sent them.
     pub lease: u64,
-    /// The worker's machine.
+    /// The name of the worker's machine.
     pub machine: String,
     /// The fencing token that was sent.
     pub token: u64,
-    /// The starts among the commands: task and attempt.
+    /// Task and attempt of each start command among the commands.
     pub starts: Vec<(TaskId, u64)>,
-    /// Commands were sent, not a mere probe.
+    /// Whether commands were sent, and not only a probe.
     pub has_orders: bool,
 }
--- a/src/coordination/timeouts.rs
+++ b/src/coordination/timeouts.rs
@@ -1,45 +1,51 @@
-//! Timeouts that follow from the settings: how often workers report, and how long their leases last.
+//! Timeouts derived from the settings: how often workers send heartbeats, and how long their leases last.
 //!
-//! Timeouts that follow from the protocol (what a worker spends on a node that it can't reach) or from
-//! how fast the services and the members answer are constants, each beside what it is used for.
+//! Timeouts that follow from the protocol (the time that a worker spends on a node that it can't reach)
+//! or from how fast the services and the members answer are constants, defined where they are used.
 
 use crate::{
     config::WorkerTimings,
     time::{Millis, millis},
 };
 
-/// What steady clocks may drift apart, doubled.
+/// Twice the allowed relative drift between the monotonic clocks of two machines.
 pub const CLOCK_DRIFT: f64 = 0.001;
-/// What a worker spends on a node that it can't reach before it tries the next, by the protocol.
+/// By the protocol, the time that a worker spends on a node that it can't reach before it tries the next.
 pub const UNREACHABLE_NODE_COST_MS: Millis = 5000;
-/// How late a report may be besides: a lost packet sent again, a pass that comes late.
+/// How much later than its interval a heartbeat may arrive, for a retransmitted packet or a late step of
+/// the node.
 const MAX_REPORT_DELAY_MS: Millis = 2000;
-/// Kept between the end of the last lease that a deputy may have renewed and the time by which a
-/// cancelled task must be gone.
+/// The margin between the expiry of the last lease that a lease renewer may have renewed and the time by
+/// which a cancelled task must have stopped.
 const CANCELLATION_MARGIN_S: f64 = 0.6;
 
+/// Timeouts in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
-    /// A worker that has not reported for this long is silent, and one that has is heard. Presumed to be
-    /// 5 s, it made members count less than half of their workers where reports came every 6 s.
+    /// A worker that has sent no heartbeat for this long is unresponsive. It depends on the heartbeat
+    /// interval: with a fixed 5 s and heartbeats every 6 s, members counted less than half of their
+    /// workers as responsive.
     pub heartbeat_timeout: Millis,
-    /// A worker renewed this lately can be sent to the leader: it has the time to come back. Shorter than
-    /// the time between two reports, it kept each busy worker with the deputy that it had found.
+    /// A worker whose lease was renewed within this time can be redirected to the leader: enough of the
+    /// lease is left for it to come back. When this was shorter than the time between two heartbeats,
+    /// each worker with running tasks stayed with the lease renewer that it had found.
     pub recent_renewal: Millis,
-    /// How long a worker's lease lasts at the most, by our clock, after it was renewed.
+    /// The longest time that a worker's lease lasts after its renewal, on this node's clock.
     pub worker_lease: Millis,
-    /// For this long after a sync that succeeded, workers may be renewed: a cancellation told elsewhere
-    /// since is carried out by leases running out.
+    /// How long after a successful read barrier the leases of workers may be renewed. A cancellation
+    /// that another node has acknowledged since then still takes effect in time, because the leases
+    /// expire.
     pub renewal_allowance: Millis,
-    /// The life of a deputy's own lease of the state service: it need not outlast the allowance, and a
-    /// node that is gone is waited for no longer than that.
+    /// The time to live of a lease renewer's own lease of the state service. It need not be longer than
+    /// the renewal allowance, and the leader waits this long for a renewer that has failed.
     pub renewer_lease: Millis,
-    /// After a takeover the workers search for their new leader, and each dead node costs them time.
+    /// How long after a takeover workers may take to find the new leader. Each dead node that they try
+    /// first costs them time.
     pub takeover_settling: Millis,
 }
 
 impl Timeouts {
-    /// `members`: how many other nodes there are.
+    /// `members` is the number of other nodes.
     pub fn new(workers: &WorkerTimings, members: usize) -> Self {
         let silence = millis(workers.report_interval_s * 1.25) + MAX_REPORT_DELAY_MS;
         let lease = millis(workers.lease_ttl_s * (1.0 + CLOCK_DRIFT) + 0.3);
@@ -60,7 +66,7 @@
     }
 }
 
-/// A deputy stops this long before its own lease may end.
+/// A lease renewer stops renewing this long before its own lease may expire.
 pub const RENEWER_LEASE_MARGIN_MS: Millis = 500;
 const MIN_RENEWER_LEASE_MS: Millis = 5000;
 const MAX_RENEWER_LEASE_MS: Millis = 60_000;
--- a/src/coordination/timeouts/tests.rs
+++ b/src/coordination/timeouts/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Whatever the settings: a report in time is not silence, a worker on its way from a deputy to the
-/// leader and back keeps its lease, and a cancelled task is gone in time.
+/// For all settings: a worker that sends its heartbeats in time is not unresponsive, a worker redirected
+/// from a lease renewer to the leader and back keeps its lease, and a cancelled task stops in time.
 #[test]
 fn timeouts_hold_for_any_report_interval() {
     for report_s in [0.5, 1.0, 2.5, 5.0, 6.0, 10.0] {
--- a/src/coordination/write_outcome.rs
+++ b/src/coordination/write_outcome.rs
@@ -1,4 +1,4 @@
-//! The writes of a leader: what became of one, and how large they may be.
+//! The outcome of a leader's write, and the limits on the size of writes.
 
 use crate::{
     coordination::Node,
@@ -8,23 +8,25 @@
 };
 
 pub(super) const TXN_TIMEOUT_MS: Millis = 2000;
-/// However often the state service refuses a write for its size, so much is written at once.
+/// The least size to which the limits on a write are reduced when the state service refuses writes for
+/// their size.
 const MIN_VALUE_KB: f64 = 0.5;
 const MIN_TXN_OPS: u32 = 4;
 
-/// What became of a transaction of the leader's.
+/// The outcome of a leader's transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteOutcome {
+    /// Applied at this revision.
     Stored(u64),
-    /// Surely not applied.
+    /// Certainly not applied.
     Rejected,
-    /// Applied already, to be applied later, or never.
+    /// Already applied, applied later, or never.
     Unknown,
 }
 
 impl Node {
-    /// What became of a transaction of this leadership. `None`: it leads no more, as that very
-    /// answer may have told.
+    /// The outcome of a transaction of this leadership. `None`: this node no longer holds `lease`, which
+    /// the answer itself may have shown.
     pub(super) fn write_outcome(
         &mut self,
         lease: u64,
@@ -37,11 +39,11 @@
             Ok(StateReply::Committed(version)) => Some(WriteOutcome::Stored(version)),
             Ok(StateReply::Conflict(failed)) => {
                 if failed.iter().any(|key| key == storage::LEADER_KEY) {
-                    tracing::warn!("a write found another leader");
+                    tracing::warn!("lost leadership: a write conflicted on the leader's key");
                     self.step_down();
                     return None;
                 }
-                tracing::debug!(?failed, "conflict");
+                tracing::debug!(?failed, "write conflict");
                 Some(WriteOutcome::Unknown)
             }
             Err(StateError::NoAnswer) => Some(WriteOutcome::Unknown),
@@ -53,8 +55,9 @@
         }
     }
 
-    /// The state service takes less at once than the settings say, now or next: what it refused is
-    /// written again in smaller pieces, never as it was, so that nothing behind it is held up.
+    /// Halves the limits on the size of a write, after the state service has refused one that is within
+    /// both the current and the upcoming limits of the settings. The refused data is written again in
+    /// smaller pieces, never unchanged, so that later writes are not held up behind it.
     pub(super) fn shrink_write_limits(&mut self) {
         let state = &mut self.config.settings.state;
         state.max_value_kb = (state.max_value_kb / 2.0).max(MIN_VALUE_KB);
@@ -63,7 +66,7 @@
         tracing::warn!(
             value_kb,
             txn_ops,
-            "refused for its size, less at once from now on"
+            "the state service refused a write for its size, write limits reduced"
         );
     }
 }
