--- a/src/coordination/leader/cycle.rs
+++ b/src/coordination/leader/cycle.rs
@@ -18,7 +18,7 @@
 const PREEMPTION_INTERVAL_MS: Millis = 10_000;
 /// How long freed capacity stays reserved for the job that others were preempted for: the time to stop
 /// the victim, report that in a heartbeat and run a scheduling cycle.
-const PREEMPTED_ROOM_HOLD_MS: Millis = 3000;
+const PREEMPTED_CAPACITY_HOLD_MS: Millis = 3000;
 /// Shorter for services, because users wait for them.
 const SERVICE_PREEMPTION_INTERVAL_MS: Millis = 200;
 /// Shorter for jobs with an objective: some objectives allow a wait of less than 10 s.
@@ -94,11 +94,11 @@
         }
         self.check_machines();
         self.run_quota_cycle();
-        let quotas_known = self
+        let quotas_loaded = self
             .leader_state
             .as_ref()
             .is_some_and(|leader| leader.has_loaded_quotas());
-        if quotas_known && self.can_start_tasks() {
+        if quotas_loaded && self.can_start_tasks() {
             self.run_scheduling();
         }
         self.retry_unconfirmed_checks();
@@ -171,7 +171,7 @@
     let class = WorkloadClass::of_job(job);
     fair_share.status_mut(class).attempts_preempted += 1;
     cluster.request_stop(victim.machine, victim.attempt_index, grace_s);
-    let held_until = now + PREEMPTED_ROOM_HOLD_MS + (grace_s * 1000.0) as Millis;
+    let reserved_until = now + PREEMPTED_CAPACITY_HOLD_MS + (grace_s * 1000.0) as Millis;
     cluster.machines[victim.machine.as_usize()].reserved_for =
-        Some((victim.beneficiary, held_until));
+        Some((victim.beneficiary, reserved_until));
 }
--- a/src/coordination/leader/election.rs
+++ b/src/coordination/leader/election.rs
@@ -40,7 +40,7 @@
     AcquiringLeadership {
         lease: u64,
         /// When the lease was requested.
-        granted_at: Millis,
+        lease_requested_at: Millis,
         term: u64,
     },
 }
@@ -100,9 +100,9 @@
             self.election.vacant_since = None;
             return self.release_predecessor_lease(predecessor);
         }
-        let vacant = *self.election.vacant_since.get_or_insert(self.now);
+        let vacant_since = *self.election.vacant_since.get_or_insert(self.now);
         if self.now < YOUNG_PROCESS_AGE_MS
-            && self.now < vacant + YOUNG_ELECTION_DELAY_MS
+            && self.now < vacant_since + YOUNG_ELECTION_DELAY_MS
             && self.has_older_peer()
         {
             return;
@@ -157,7 +157,7 @@
         let term = self.registry.term + 1;
         self.election.step = ElectionStep::AcquiringLeadership {
             lease,
-            granted_at: sent_at,
+            lease_requested_at: sent_at,
             term,
         };
         let txn = self.acquisition_txn(lease, term);
@@ -246,14 +246,14 @@
     /// Becomes the leader on `lease`; `version` is the version of the leader's key.
     fn become_leader(&mut self, lease: u64, version: u64) {
         let ElectionStep::AcquiringLeadership {
-            lease: requested,
-            granted_at,
+            lease: requested_lease,
+            lease_requested_at,
             term,
         } = self.election.step
         else {
             return;
         };
-        if requested != lease {
+        if requested_lease != lease {
             return;
         }
         self.election.step = ElectionStep::Idle;
@@ -268,7 +268,7 @@
         ));
         self.registry.term = term;
         self.registry.term_version = version;
-        let leader_lease = LeaderLease::granted(granted_at, self.now);
+        let leader_lease = LeaderLease::granted(lease_requested_at, self.now);
         let leader = LeaderState::new(lease, leader_lease, version, term, self.now);
         self.leader_state = Some(Box::new(leader));
         self.effects.push(Effect::SetLeadership(true));
--- a/src/coordination/leader/lease.rs
+++ b/src/coordination/leader/lease.rs
@@ -22,7 +22,7 @@
     confirmed_at: Millis,
     renewal_in_flight: bool,
     /// When the last renewal was sent. Set to an earlier time after a failure, for a sooner retry.
-    renewed_at: Millis,
+    renewal_sent_at: Millis,
 }
 
 impl LeaderLease {
@@ -31,7 +31,7 @@
         LeaderLease {
             confirmed_at: requested_at,
             renewal_in_flight: false,
-            renewed_at: now,
+            renewal_sent_at: now,
         }
     }
 }
@@ -67,12 +67,14 @@
         let Some(leader) = &mut self.leader_state else {
             return;
         };
-        let renewal = &mut leader.leader_lease;
-        if renewal.renewal_in_flight || renewal.renewed_at + LEASE_RENEWAL_INTERVAL_MS > self.now {
+        let leader_lease = &mut leader.leader_lease;
+        if leader_lease.renewal_in_flight
+            || leader_lease.renewal_sent_at + LEASE_RENEWAL_INTERVAL_MS > self.now
+        {
             return;
         }
-        renewal.renewal_in_flight = true;
-        renewal.renewed_at = self.now;
+        leader_lease.renewal_in_flight = true;
+        leader_lease.renewal_sent_at = self.now;
         let lease = leader.lease;
         self.call_state_service(
             StateTag::RenewLeaderLease { lease },
@@ -96,11 +98,11 @@
         let Some(leader) = &mut self.leader_state else {
             return;
         };
-        let renewal = &mut leader.leader_lease;
-        renewal.renewal_in_flight = false;
+        let leader_lease = &mut leader.leader_lease;
+        leader_lease.renewal_in_flight = false;
         match result {
             Ok(StateReply::Touched) => {
-                renewal.confirmed_at = renewal.confirmed_at.max(sent_at);
+                leader_lease.confirmed_at = leader_lease.confirmed_at.max(sent_at);
             }
             Ok(StateReply::NoLease) => {
                 tracing::warn!("lost leadership: the leader's lease has expired");
@@ -108,7 +110,7 @@
             }
             _ => {
                 let retry_ms = LEASE_RENEWAL_INTERVAL_MS - LEASE_RENEWAL_RETRY_MS;
-                renewal.renewed_at = self.now.saturating_sub(retry_ms);
+                leader_lease.renewal_sent_at = self.now.saturating_sub(retry_ms);
             }
         }
     }
--- a/src/coordination/leader/progress.rs
+++ b/src/coordination/leader/progress.rs
@@ -24,9 +24,9 @@
         };
         if tracing::enabled!(tracing::Level::DEBUG) {
             log_cluster_state(cluster);
-            let unwritten = cluster.unlogged_tasks.len() + cluster.tasks_being_logged.len();
+            let unlogged_tasks = cluster.unlogged_tasks.len() + cluster.tasks_being_logged.len();
             tracing::debug!(
-                unwritten,
+                unlogged_tasks,
                 records = leader.log.live_record_count(),
                 "leader log"
             );
@@ -61,15 +61,21 @@
             waiting[usize::from(job.kind == JobKind::Service)] += job.waiting.len();
         }
         let [arrays, services] = waiting;
-        let booked = cluster.accounted_units(&team.reserved);
-        tracing::debug!(team = team.name, booked, arrays, services, "waiting tasks");
+        let reserved_units = cluster.accounted_units(&team.reserved);
+        tracing::debug!(
+            team = team.name,
+            reserved_units,
+            arrays,
+            services,
+            "waiting tasks"
+        );
     }
     let count = |state| cluster.machines.iter().filter(|m| m.state == state).count();
-    let used = cluster
+    let reserved_units = cluster
         .machines
         .iter()
         .map(|m| cluster.accounted_units(&m.reserved))
         .sum::<f64>();
     let (up, booting) = (count(MachineState::Up), count(MachineState::Booting));
-    tracing::debug!(up, booting, used, "machines");
+    tracing::debug!(up, booting, reserved_units, "machines");
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -56,7 +56,7 @@
 /// For this long after a stall, missing messages are not taken as a sign that the sender is unresponsive.
 const RESUME_GRACE_MS: Millis = 2000;
 /// A longer gap between two calls of [`Node::step`] counts as late: the processor can't keep up.
-const LATE_PASS_MS: Millis = 150;
+const LATE_STEP_MS: Millis = 150;
 
 /// The time as read by the caller of [`Node::step`].
 #[derive(Clone, Copy, Debug)]
@@ -148,11 +148,11 @@
             tracing::warn!(gap_ms, "the process has resumed after a stall");
             self.resumed_at = Some(now.monotonic_ms);
         }
-        if gap_ms > LATE_PASS_MS {
+        if gap_ms > LATE_STEP_MS {
             tracing::debug!(gap_ms, "late step");
         }
         if !is_first_step {
-            self.admission.record_pass(gap_ms, LATE_PASS_MS);
+            self.admission.record_pass(gap_ms, LATE_STEP_MS);
         }
         self.now = self.now.max(now.monotonic_ms);
         self.wall_ms = now.wall_ms;
--- a/src/coordination/rate_limit_shares.rs
+++ b/src/coordination/rate_limit_shares.rs
@@ -19,21 +19,21 @@
     pub cloud: f64,
 }
 
-/// The shares of the leader, or of a follower, among `nodes` nodes. Followers share equally what the
+/// The shares of the leader, or of a follower, among `node_count` nodes. Followers share equally what the
 /// leader leaves.
-pub fn shares_for(nodes: f64, leads: bool) -> RateLimitShares {
-    let others = (nodes - 1.0).max(1.0);
-    let part = |leaders: f64| {
-        let part = if leads || nodes <= 1.0 {
-            leaders
+pub fn shares_for(node_count: f64, is_leader: bool) -> RateLimitShares {
+    let followers = (node_count - 1.0).max(1.0);
+    let share = |leader_share: f64| {
+        let share = if is_leader || node_count <= 1.0 {
+            leader_share
         } else {
-            (1.0 - leaders) / others
+            (1.0 - leader_share) / followers
         };
-        USABLE_FRACTION * part
+        USABLE_FRACTION * share
     };
     RateLimitShares {
-        state_requests: part(LEADER_REQUEST_SHARE),
-        state_writes: part(LEADER_WRITE_SHARE),
-        cloud: part(LEADER_CLOUD_SHARE),
+        state_requests: share(LEADER_REQUEST_SHARE),
+        state_writes: share(LEADER_WRITE_SHARE),
+        cloud: share(LEADER_CLOUD_SHARE),
     }
 }
--- a/src/coordination/timeouts.rs
+++ b/src/coordination/timeouts.rs
@@ -14,7 +14,7 @@
 pub const UNREACHABLE_NODE_COST_MS: Millis = 5000;
 /// How much later than its interval a heartbeat may arrive, for a retransmitted packet or a late step of
 /// the node.
-const MAX_REPORT_DELAY_MS: Millis = 2000;
+const MAX_HEARTBEAT_DELAY_MS: Millis = 2000;
 /// The margin between the expiry of the last lease that a lease renewer may have renewed and the time by
 /// which a cancelled task must have stopped.
 const CANCELLATION_MARGIN_S: f64 = 0.6;
@@ -37,7 +37,7 @@
     /// expire.
     pub renewal_allowance: Millis,
     /// The time to live of a lease renewer's own lease of the state service. It need not be longer than
-    /// the renewal allowance, and the leader waits this long for a renewer that has failed.
+    /// the renewal allowance, and the leader waits at most this long for a renewer that has failed.
     pub renewer_lease: Millis,
     /// How long after a takeover workers may take to find the new leader. Each dead node that they try
     /// first costs them time.
@@ -47,18 +47,18 @@
 impl Timeouts {
     /// `members` is the number of other nodes.
     pub fn new(workers: &WorkerTimings, members: usize) -> Self {
-        let silence = millis(workers.report_interval_s * 1.25) + MAX_REPORT_DELAY_MS;
-        let lease = millis(workers.lease_ttl_s * (1.0 + CLOCK_DRIFT) + 0.3);
-        let allowance_s = (workers.cancellation_bound_s - workers.lease_ttl_s)
+        let heartbeat_timeout = millis(workers.report_interval_s * 1.25) + MAX_HEARTBEAT_DELAY_MS;
+        let worker_lease = millis(workers.lease_ttl_s * (1.0 + CLOCK_DRIFT) + 0.3);
+        let renewal_allowance_s = (workers.cancellation_bound_s - workers.lease_ttl_s)
             * (1.0 - CLOCK_DRIFT)
             - CANCELLATION_MARGIN_S;
-        let allowance = millis(allowance_s.max(0.0));
+        let renewal_allowance = millis(renewal_allowance_s.max(0.0));
         Timeouts {
-            heartbeat_timeout: silence,
-            recent_renewal: silence.min(lease / 2),
-            worker_lease: lease,
-            renewal_allowance: allowance,
-            renewer_lease: (allowance + RENEWER_LEASE_MARGIN_MS)
+            heartbeat_timeout,
+            recent_renewal: heartbeat_timeout.min(worker_lease / 2),
+            worker_lease,
+            renewal_allowance,
+            renewer_lease: (renewal_allowance + RENEWER_LEASE_MARGIN_MS)
                 .clamp(MIN_RENEWER_LEASE_MS, MAX_RENEWER_LEASE_MS),
             takeover_settling: millis(workers.report_interval_s * 1.25)
                 + UNREACHABLE_NODE_COST_MS * members.min(2) as Millis,
