--- a/src/coordination/leader/progress.rs
+++ b/src/coordination/leader/progress.rs
@@ -1,4 +1,4 @@
-//! The leader's announcements to the other members.
+//! The leader's periodic announcements to the other members.
 
 use crate::{
     cluster::{ClusterState, MachineState},
@@ -24,8 +24,12 @@
         };
         if tracing::enabled!(tracing::Level::DEBUG) {
             log_cluster_state(cluster);
-            let unwritten = cluster.unlogged_tasks.len() + cluster.tasks_being_logged.len();
-            tracing::debug!(unwritten, entries = leader.log.live_record_count(), "log");
+            let unlogged_tasks = cluster.unlogged_tasks.len() + cluster.tasks_being_logged.len();
+            tracing::debug!(
+                unlogged_tasks,
+                records = leader.log.live_record_count(),
+                "leader log"
+            );
         }
         let jobs = cluster
             .jobs_by_id
@@ -48,7 +52,7 @@
     }
 }
 
-/// Logs what waits and what is used.
+/// Logs each team's waiting tasks and reserved units, and the machines in use.
 fn log_cluster_state(cluster: &ClusterState) {
     for team in &cluster.teams {
         let mut waiting = [0; 2];
@@ -57,15 +61,21 @@
             waiting[usize::from(job.kind == JobKind::Service)] += job.waiting.len();
         }
         let [arrays, services] = waiting;
-        let booked = cluster.accounted_units(&team.reserved);
-        tracing::debug!(team = team.name, booked, arrays, services, "waits");
+        let reserved_units = cluster.accounted_units(&team.reserved);
+        tracing::debug!(
+            team = team.name,
+            reserved_units,
+            arrays,
+            services,
+            "waiting tasks"
+        );
     }
     let count = |state| cluster.machines.iter().filter(|m| m.state == state).count();
-    let used = cluster
+    let reserved_units = cluster
         .machines
         .iter()
         .map(|m| cluster.accounted_units(&m.reserved))
         .sum::<f64>();
     let (up, booting) = (count(MachineState::Up), count(MachineState::Booting));
-    tracing::debug!(up, booting, used, "machines");
+    tracing::debug!(up, booting, reserved_units, "machines");
 }
