--- a/src/scheduling/candidates.rs
+++ b/src/scheduling/candidates.rs
@@ -9,8 +9,9 @@
     time::Millis,
 };
 
-/// A request that no machine could meet: no job that requests as much or more has to be tried again
-/// in this cycle, since a cycle only takes room. Thousands of equal tasks share one search.
+/// A request that no machine could meet. Free capacity only shrinks within a cycle, so no job that
+/// requests as much or more has to be tried again in the same cycle. Thousands of equal tasks share
+/// one search in this way.
 pub(super) struct UnmetRequest {
     /// The job's priority.
     pub(super) priority: Priority,
@@ -20,7 +21,8 @@
 }
 
 impl UnmetRequest {
-    /// `None` where it was not for lack of room alone.
+    /// The request of a job that could not be placed; `None` if something other than a lack of free
+    /// capacity may have prevented that.
     pub(super) fn from_unplaced_job(
         job: &Job,
         cluster: &ClusterState,
@@ -33,7 +35,7 @@
         UnmetRequest::from_unconstrained_job(job).filter(|_| lacks_room_only)
     }
 
-    /// `None` for a job that can't go just anywhere.
+    /// The request of an array without zone constraints; `None` for any other job.
     pub(super) fn from_unconstrained_job(job: &Job) -> Option<Self> {
         let anywhere =
             job.kind == JobKind::Array && job.zone.is_none() && !job.one_zone && !job.spread;
@@ -45,7 +47,8 @@
         })
     }
 
-    /// Whether the job is an array that requests as much or more.
+    /// Whether the job is an array that requests as much or more and may run on no further
+    /// machines.
     pub(super) fn is_dominated_by(&self, job: &Job) -> bool {
         job.kind == JobKind::Array
             && self.requested.fits_in(&job.requested)
@@ -55,8 +58,9 @@
 
     /// Whether the job need not be tried.
     ///
-    /// `reserved_for` are jobs for which room is reserved against others of the same or a lower
-    /// priority: what one of those others did not find may be there for them, and for more urgent jobs.
+    /// `reserved_for` holds the jobs for which capacity is reserved against other jobs of the same
+    /// or a lower priority. Capacity that was withheld from the job of this request may be
+    /// available to those jobs, and to jobs of higher priority.
     pub(super) fn rules_out(
         &self,
         index: JobIndex,
@@ -69,17 +73,19 @@
     }
 }
 
-/// The candidate machines of one cycle. An array's task is placed where the one before it was, unless
-/// a machine on which something was placed since is better by now: within a cycle a machine only gets
-/// fuller, and for an array a fuller one is better. So equal tasks share one search of all machines.
+/// The best machines found for jobs during one cycle. A machine only gets fuller within a cycle,
+/// and for an array a fuller machine is better. So the best machine for an array's next task is the
+/// one that its previous task was placed on, or one that received a placement since then: equal
+/// tasks share one search of all machines.
 #[derive(Default)]
 pub struct CandidateCache {
     cache_disabled: bool,
     /// How many machines were scored.
     pub machines_scored: usize,
-    /// The best machine for a job, and how many entries of `placed_on` that takes into account.
+    /// The best machine for each job, and how many entries of `placed_on` had been compared when it
+    /// was chosen.
     best_by_job: HashMap<JobIndex, (MachineIndex, usize)>,
-    /// Machines in the order in which tasks were placed on them.
+    /// The machine of each placement of this cycle, in order.
     pub(super) placed_on: Vec<MachineIndex>,
 }
 
@@ -92,8 +98,8 @@
         }
     }
 
-    /// The machine with the lowest score on which the task may be placed: where it would start soonest,
-    /// then the fullest one.
+    /// The machine with the lowest score among those that can take the task: the one where it would
+    /// start soonest, then the fullest one.
     pub(super) fn find_best_machine(
         &mut self,
         cluster: &ClusterState,
@@ -140,8 +146,9 @@
             }
         }
         self.best_by_job.remove(&job);
-        // Replicas keep away from each other, and a machine that still holds this task may take
-        // the next.
+        // The replicas of a service are spread over zones, so each needs its own search. A machine
+        // that was left out because it holds an attempt of this task may be the best one for the
+        // next task.
         if let Some((_, best)) = best_found
             && entry.kind == JobKind::Array
             && !holder_found
--- a/src/scheduling/cycle.rs
+++ b/src/scheduling/cycle.rs
@@ -1,4 +1,5 @@
-//! The scheduling cycle: a heap of teams, from which the team with the fewest units places next.
+//! The scheduling cycle: teams are kept in a heap, from which the team with the fewest reserved
+//! units places next.
 
 use std::{
     cmp::Reverse,
@@ -22,12 +23,15 @@
     time::Millis,
 };
 
-/// How long a job has waited when it takes what is left, and how many jobs of a team are tried then.
+/// After this long a wait, a job's tasks may be placed on machines that are draining because they
+/// are slow.
 const LONG_WAIT_MS: Millis = 75_000;
+/// How many jobs of each team, the first in its queue, are considered for these machines.
 const MAX_LONG_WAITING_JOBS_PER_TEAM: usize = 50;
-/// A team's place in the heap: those with the fewest reserved units first. A team that has what it
-/// deserves yields to those that have not: with guarantees, equal counts are not what teams deserve,
-/// and room preempted for a starved team would go to the one that it was taken from.
+
+/// A team's heap key. Teams below their deserved share come first, then those with fewer reserved
+/// units. Reserved units alone are not enough: with guarantees teams do not deserve equal amounts,
+/// and capacity preempted for a starved team would go back to the team that it was taken from.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct TeamHeapKey {
     has_deserved_share: bool,
@@ -46,9 +50,10 @@
     }
 }
 
-/// Runs one scheduling cycle: pops the team with the fewest units, places its first task, reshuffles.
-/// A job that fits nowhere, or whose team is at its limit, sits this cycle out; a team without another
-/// job leaves the heap. Returns how many tasks were placed.
+/// Runs one scheduling cycle: repeatedly pops the team with the fewest reserved units, places the
+/// first task of its queue and pushes the team back. A job that fits on no machine, or whose team
+/// is at its limit, is skipped for the rest of the cycle; a team without another job leaves the
+/// heap. Returns the number of tasks placed.
 pub fn run_scheduling_cycle(
     cluster: &mut ClusterState,
     fair_share: &mut FairShareLedger,
@@ -57,7 +62,8 @@
     run_scheduling_cycle_with(cluster, fair_share, now, &mut CandidateCache::default())
 }
 
-/// Runs one scheduling cycle with the given cache of candidates, which counts its searches.
+/// Like [`run_scheduling_cycle`], with the given candidate cache, which counts the machines that
+/// were scored.
 pub fn run_scheduling_cycle_with(
     cluster: &mut ClusterState,
     fair_share: &mut FairShareLedger,
@@ -75,11 +81,11 @@
     placed + place_long_waiting_on_slow_machines(cluster, now)
 }
 
-/// Where a task is to be placed.
+/// A task and the machine on which it is to be placed.
 struct TaskPlacement {
     task: u32,
     machine: MachineIndex,
-    /// The positions of the machine's attempts that are stopped for it.
+    /// The positions, among the machine's attempts, of those that are preempted for the task.
     victims: Vec<usize>,
 }
 
@@ -93,13 +99,14 @@
     deserved: Vec<f64>,
     starved_classes: Vec<WorkloadClass>,
     heap: BinaryHeap<Reverse<TeamHeapKey>>,
-    /// Where each team's queue goes on: the jobs before sit this cycle out. Searching from the start
-    /// for each task took time in proportion to the square of the queue's length.
+    /// For each team, the last job of its queue that is skipped for the rest of the cycle; the
+    /// search for the next job continues after it. Searching from the start for each task took time
+    /// in proportion to the square of the queue's length.
     last_skipped: Vec<Option<QueueKey>>,
-    /// Jobs for which room is reserved on some machine.
+    /// Jobs for which capacity is reserved on some machine.
     reserved_for: HashSet<JobIndex>,
     unmet_requests: Vec<UnmetRequest>,
-    /// The priority of the most urgent array that found no room.
+    /// The priority of the most urgent array that fitted on no machine.
     blocked_priority: Option<Priority>,
     placed_count: usize,
 }
@@ -171,7 +178,7 @@
         self.heap.push(Reverse(key));
     }
 
-    /// The first job of the team's queue that has not been skipped and may find room.
+    /// The first job of the team's queue that has not been skipped and may fit.
     fn next_job(&mut self, team: TeamIndex) -> Option<QueueKey> {
         let after = self.last_skipped[team.as_usize()].map_or(Bound::Unbounded, Bound::Excluded);
         let (cluster, fair_share, now) = (&*self.cluster, &*self.fair_share, self.now);
@@ -271,22 +278,23 @@
         }
     }
 
-    /// Stops an attempt for a replica that finds its image on the attempt's machine.
+    /// Preempts an attempt for a replica whose image the attempt's machine has.
     fn preempt(&mut self, machine: MachineIndex, attempt_index: usize, beneficiary: JobIndex) {
         let cluster = &mut *self.cluster;
         let attempt = &cluster.machine(machine).attempts[attempt_index];
         let (loser, to) = (cluster.job(attempt.job), cluster.job(beneficiary).id);
         let task = loser.task_id(attempt.task);
         let ran_s = elapsed_run_s(attempt, self.now) as u64;
-        tracing::info!(%task, %to, reason = "Image", ran_s, "gives way");
+        tracing::info!(%task, %to, reason = "Image", ran_s, "preempted");
         let class = WorkloadClass::of_job(loser);
         self.fair_share.status_mut(class).attempts_preempted += 1;
         cluster.request_stop(machine, attempt_index, 0.0);
     }
 }
 
-/// Places what has waited for long, and found nothing else, on machines that are draining for being
-/// slow: as long as they have other work they are not replaced, and late is better than never.
+/// Places tasks of jobs that have waited long, and found no other machine, on machines that are
+/// draining because they are slow. Such machines are not replaced while they have other work, and a
+/// slow run is better than none.
 fn place_long_waiting_on_slow_machines(cluster: &mut ClusterState, now: Millis) -> usize {
     let slow =
         |machine: &Machine| machine.draining && !machine.faulty && machine.can_receive_commands();
@@ -334,9 +342,10 @@
     placed
 }
 
-/// Notes that an array found no room: others will be preempted for it before long. Whether it can
-/// still wait is not asked: a new leader takes all jobs for new, and started 4,500 tasks that it
-/// stopped 4 s later.
+/// Records that an array fitted on no machine: tasks of lower priority will soon be preempted for
+/// it. Whether the array can still wait for other tasks to complete is not considered: to a new
+/// leader all jobs look new and able to wait, and with that condition a new leader started 4,500
+/// tasks that it stopped 4 s later.
 fn note_blocked_array(blocked_priority: &mut Option<Priority>, job: &Job, now: Millis) {
     if job.kind == JobKind::Array && !job.quarantined && job.backoff_until <= now {
         let priority = blocked_priority.map_or(job.priority, |known| known.min(job.priority));
@@ -344,7 +353,8 @@
     }
 }
 
-/// Places tasks of starved classes for the credit that the placements of others have earned them.
+/// Places tasks of starved classes for the credit that placements of other classes have earned
+/// them.
 fn place_starved_classes(
     cluster: &mut ClusterState,
     fair_share: &mut FairShareLedger,
--- a/src/scheduling/deserved_shares.rs
+++ b/src/scheduling/deserved_shares.rs
@@ -1,8 +1,8 @@
-//! What each team deserves of the fleet.
+//! The deserved share of each team: how much of the fleet it should have.
 
 use crate::{cluster::ClusterState, scheduling::UNITS_EPSILON};
 
-/// The units of all machines that can be used.
+/// The units of all schedulable machines: GPUs, or CPUs where there are no GPUs.
 pub(super) fn schedulable_capacity(cluster: &ClusterState) -> f64 {
     let usable = cluster
         .machines
@@ -20,8 +20,9 @@
         .sum()
 }
 
-/// What each team deserves now, in units: its guarantee and an equal split of the rest, capped by its
-/// demand and its limit. What a cap leaves over is split again.
+/// Computes each team's deserved share, in units: its guarantee and an equal split of the remaining
+/// capacity, capped by its demand and its limit. What a cap leaves over is split again. `capacity`
+/// is the units of all schedulable machines.
 pub fn compute_deserved_shares(cluster: &ClusterState, capacity: f64) -> Vec<f64> {
     let caps: Vec<f64> = cluster
         .teams
--- a/src/scheduling/fair_share.rs
+++ b/src/scheduling/fair_share.rs
@@ -1,12 +1,14 @@
-//! What each class of each team is entitled to, what it got, and which classes are starved.
+//! The fair share of each class of each team: what it is entitled to, what it gets, and which
+//! classes are starved.
 //!
-//! The heap divides room among teams, and priorities decide within them and about preemption. Neither
-//! looks at a class over time: small tasks of a team without a guarantee were started and preempted
-//! again for urgent arrays, each second, for as long as those came, and none of them completed. So once
-//! a second each class of each team is given its entitlement, and a class whose running work stays
-//! below half of it for a while is *starved*: until it has caught up, a part of the room that becomes
-//! free goes to its tasks first, and what was started so is not preempted for an array. Nothing else
-//! is changed by it, and nobody is preempted for it.
+//! The scheduling cycle's heap divides capacity among teams, and priorities decide within a team
+//! and about preemption. Neither considers a class over time: small tasks of a team without a
+//! guarantee were started and then preempted for urgent arrays, every second for as long as such
+//! arrays arrived, and none of them completed. So the entitlement of each class of each team is
+//! computed once a second, and a class whose running work stays below half of its entitlement for a
+//! while is *starved*. Until it has caught up, a fraction of the capacity that becomes free goes to
+//! its tasks first, and tasks that were placed in this way are not preempted for an array.
+//! Starvation of a class changes nothing else; in particular, nothing is preempted for it.
 
 use std::collections::BTreeMap;
 
@@ -16,25 +18,27 @@
     time::Millis,
 };
 
-/// The fraction of the room that becomes free which goes to starved classes, and of the fleet to which
-/// teams are entitled that the guarantees of others leave nothing.
+/// The fraction of the capacity that becomes free which goes to starved classes. It is also the
+/// fraction of the fleet that is divided among the teams to which the guarantees of others leave
+/// less than that.
 pub const STARVED_SHARE_FRACTION: f64 = 0.125;
 /// How often entitlements are computed.
 const FAIR_SHARE_UPDATE_INTERVAL_MS: Millis = 1000;
-/// The time constant of the means of what classes are entitled to and got, in seconds.
+/// The time constant, in seconds, of the moving averages of what classes are entitled to and get.
 const FAIR_SHARE_WINDOW_S: f64 = 20.0;
-/// A class that gets less than this fraction of its entitlement is starved,
+/// A class that gets less than this fraction of its entitlement can become starved.
 const STARVED_BELOW_FRACTION: f64 = 0.5;
-/// if it does so for this long,
+/// How long a class must have got too little, and its oldest job must have waited, before the class
+/// is starved.
 const STARVATION_DELAY_MS: Millis = 5000;
-/// until it gets this fraction.
+/// A starved class stays starved until it gets this fraction of its entitlement.
 const CAUGHT_UP_FRACTION: f64 = 1.0;
-/// How long arrays that found no room are taken to need it still.
+/// How long arrays that fitted on no machine are assumed to still need capacity.
 const BLOCKED_ARRAYS_TTL_MS: Millis = 1500;
-/// How often a job that would be preempted is tried all the same: the arrays that wait may have no use
-/// for the room that there is, and a start in vain now and then costs little.
+/// How often a job whose tasks would be preempted is tried all the same: the blocked arrays may be
+/// unable to use the capacity that is free, and an occasional start that is preempted costs little.
 const BLOCKED_RETRY_INTERVAL_MS: Millis = 40_000;
-/// For how long it is tried each time.
+/// How long such a job is tried each time.
 const BLOCKED_RETRY_WINDOW_MS: Millis = 2000;
 /// Fewer units than this are no entitlement.
 const MIN_UNITS: f64 = 1e-6;
@@ -49,7 +53,7 @@
 }
 
 impl WorkloadClass {
-    /// The class of a job's team to which it belongs.
+    /// The team and the class of a job.
     pub fn of_job(job: &Job) -> Self {
         WorkloadClass {
             team: job.team,
@@ -58,35 +62,36 @@
     }
 }
 
-/// What one class of one team runs and waits for at the moment, in units.
+/// What one class of one team runs and has waiting at the moment, in units.
 #[derive(Clone, Copy, Debug, Default)]
 struct ClassUsage {
-    /// The units of all that runs, is placed or waits.
+    /// The units of all attempts that are placed or run, and of all waiting tasks.
     demand: f64,
     /// The units of the attempts that run and are not being stopped.
     allocated: f64,
     waiting_tasks: usize,
-    /// How long its oldest waiting job has been known here, in milliseconds.
+    /// How long this node has known its oldest waiting job, in milliseconds.
     oldest_wait_ms: Millis,
 }
 
-/// How a class of a team is served. Amounts are in units: GPUs, or processors where there are no GPUs.
+/// The entitlement, allocation and counters of one class of one team. Amounts are in units: GPUs,
+/// or CPUs where there are no GPUs.
 #[derive(Clone, Debug, Default)]
 pub struct ShareStatus {
-    /// What it could use now: what it runs, and what waits.
+    /// The units that it could use now: of its placed and running attempts and its waiting tasks.
     pub demand: f64,
-    /// How many tasks wait.
+    /// How many of its tasks wait to be placed.
     pub waiting_tasks: usize,
-    /// What it is entitled to, as a mean over time.
+    /// The units that it is entitled to, as a moving average.
     pub entitled: f64,
-    /// What runs of it, as a mean over time.
+    /// The units of its running attempts, as a moving average.
     pub allocated: f64,
-    /// How long its oldest waiting job has been known here, in milliseconds.
+    /// How long this node has known its oldest waiting job, in milliseconds.
     pub oldest_wait_ms: Millis,
-    /// It has half of its entitlement at this moment.
+    /// At this moment, not on average, it has at least half of its entitlement.
     currently_served: bool,
     below_share_since: Option<Millis>,
-    /// It has got too little for too long, and not caught up yet.
+    /// It has had too little for too long, and has not caught up yet.
     pub starved: bool,
     /// Tasks that this leader has seen start.
     pub tasks_started: u64,
@@ -96,7 +101,7 @@
     pub attempts_preempted: u64,
     /// Jobs that this leader has seen complete.
     pub jobs_completed: u64,
-    /// Those of them that met the earliest of their completion objectives.
+    /// Completed jobs that met the earliest of their completion objectives.
     pub jobs_on_time: u64,
 }
 
@@ -107,7 +112,7 @@
         self.allocated += (allocated - self.allocated) * weight;
     }
 
-    /// Determines whether it is starved; returns whether that changed.
+    /// Updates whether the class is starved; returns whether that changed.
     fn update_starvation(&mut self, now: Millis) -> bool {
         let before = self.starved;
         if self.waiting_tasks == 0 || self.entitled < MIN_UNITS {
@@ -127,29 +132,31 @@
     }
 }
 
-/// All classes of all teams that this leader has seen.
+/// The share status of each class of each team that this leader has seen, and the credit of starved
+/// classes.
 #[derive(Default)]
 pub struct FairShareLedger {
     statuses: BTreeMap<WorkloadClass, ShareStatus>,
     updated_at: Option<Millis>,
-    /// Units that starved classes may be given before others; below 0 they have had more.
+    /// Units that may still be placed for starved classes before others; negative if they got more
+    /// than their part.
     credit: f64,
-    /// Arrays of this priority found no room, and until when that counts.
+    /// Arrays of this priority fitted on no machine, and until when that counts.
     blocked_arrays: Option<(Priority, Millis)>,
 }
 
 impl FairShareLedger {
-    /// All classes, and how they are served.
+    /// All classes and their share statuses.
     pub fn statuses(&self) -> impl Iterator<Item = (WorkloadClass, &ShareStatus)> {
         self.statuses.iter().map(|(class, status)| (*class, status))
     }
 
-    /// How a class is served.
+    /// The share status of a class, which is created if the class is new.
     pub fn status_mut(&mut self, class: WorkloadClass) -> &mut ShareStatus {
         self.statuses.entry(class).or_default()
     }
 
-    /// The starved classes, the one that got the least part of its entitlement first.
+    /// The starved classes, the one that gets the smallest part of its entitlement first.
     pub fn starved_classes(&self) -> Vec<WorkloadClass> {
         let mut starved: Vec<(f64, WorkloadClass)> = self
             .statuses
@@ -161,30 +168,34 @@
         starved.into_iter().map(|(_, class)| class).collect()
     }
 
-    /// Units that starved classes may be given before others.
+    /// Units that may still be placed for starved classes before others; negative if they got more
+    /// than their part.
     pub fn credit(&self) -> f64 {
         self.credit
     }
 
-    /// A class that is not starved got `units`: those that are earn a part of as much, up to `most`.
-    pub fn earn_credit(&mut self, units: f64, most: f64) {
+    /// Adds credit for `units` that were placed for a class that is not starved, up to a total
+    /// credit of `max_credit`: of all units placed, starved classes get the fraction
+    /// [`STARVED_SHARE_FRACTION`].
+    pub fn earn_credit(&mut self, units: f64, max_credit: f64) {
         self.credit = (self.credit
             + units * STARVED_SHARE_FRACTION / (1.0 - STARVED_SHARE_FRACTION))
-            .min(most);
+            .min(max_credit);
     }
 
-    /// A starved class got `units`.
+    /// Spends credit for `units` that were placed for a starved class.
     pub fn spend_credit(&mut self, units: f64) {
         self.credit -= units;
     }
 
-    /// Arrays of this priority found no room.
+    /// Records that arrays of this priority fitted on no machine.
     pub fn note_blocked_arrays(&mut self, priority: Priority, now: Millis) {
         self.blocked_arrays = Some((priority, now + BLOCKED_ARRAYS_TTL_MS));
     }
 
-    /// Whether the job's tasks would be preempted at the next check for arrays that wait. Started all the
-    /// same, three of four starts were in vain.
+    /// Whether the job's tasks would be preempted at the next preemption check for arrays that
+    /// fitted on no machine. When such tasks were started all the same, three of four starts were
+    /// in vain.
     pub fn would_be_preempted(&self, job: &Job, now: Millis) -> bool {
         let blocked = self.blocked_arrays.filter(|(_, until)| now < *until);
         let waited = now.saturating_sub(job.first_seen_at);
@@ -197,23 +208,23 @@
     }
 }
 
-/// Splits `whole` equally, each part capped; what a cap leaves is split again.
-pub fn split_with_caps(whole: f64, caps: &[f64]) -> Vec<f64> {
+/// Splits `total` equally, each part capped; what a cap leaves over is split again.
+pub fn split_with_caps(total: f64, caps: &[f64]) -> Vec<f64> {
     let mut parts = vec![0.0; caps.len()];
     let mut order: Vec<usize> = (0..caps.len()).collect();
     order.sort_by(|a, b| caps[*a].total_cmp(&caps[*b]));
-    let mut rest = whole.max(0.0);
-    for (at, &index) in order.iter().enumerate() {
-        let equal = rest / (caps.len() - at) as f64;
-        parts[index] = caps[index].min(equal).max(0.0);
-        rest -= parts[index];
+    let mut remaining = total.max(0.0);
+    for (position, &index) in order.iter().enumerate() {
+        let equal_part = remaining / (caps.len() - position) as f64;
+        parts[index] = caps[index].min(equal_part).max(0.0);
+        remaining -= parts[index];
     }
     parts
 }
 
 impl FairShareLedger {
-    /// Counts a job whose last task has completed, and whether it met the earliest of the times
-    /// that are set for its end.
+    /// Counts a job whose last task has completed, and whether the job met the earliest of its
+    /// completion objectives.
     pub fn record_job_completion(&mut self, cluster: &ClusterState, index: JobIndex, now: Millis) {
         let job = cluster.job(index);
         let objectives = &cluster.objectives[job.class.as_usize()];
@@ -227,7 +238,7 @@
         status.jobs_on_time += u64::from(took_s <= limit_s);
     }
 
-    /// Computes each class's entitlement, once a second, and who is starved.
+    /// Updates each class's entitlement, and which classes are starved, at most once a second.
     ///
     /// `capacity` is the units of all schedulable machines, `deserved` each team's deserved share
     /// of them.
@@ -294,14 +305,21 @@
             got,
             waiting,
             oldest_ms,
-            "is behind its due"
+            "workload class is starved"
         );
     } else {
-        tracing::info!(team, class = name, due, got, waiting, "has caught up");
+        tracing::info!(
+            team,
+            class = name,
+            due,
+            got,
+            waiting,
+            "workload class is no longer starved"
+        );
     }
 }
 
-/// What each class runs and waits for now.
+/// What each class runs and has waiting now.
 fn class_usages(cluster: &ClusterState, now: Millis) -> BTreeMap<WorkloadClass, ClassUsage> {
     let mut usages: BTreeMap<WorkloadClass, ClassUsage> = BTreeMap::new();
     for attempt in cluster
@@ -323,7 +341,8 @@
     }
     for &(.., index) in cluster.teams.iter().flat_map(|team| &team.queue) {
         let job = cluster.job(index);
-        // A gang waits for room for all of it at once, and a quarantined job for its user.
+        // A gang waits for capacity for all its tasks together, and a quarantined job for its user
+        // to act.
         if job.kind == JobKind::Gang || job.quarantined {
             continue;
         }
@@ -338,9 +357,9 @@
     usages
 }
 
-/// What each class is entitled to now: an equal split of what its team deserves, capped by its
-/// demand. Where guarantees exceed the capacity, all get less in the same proportion, and a team
-/// that they leave nothing still gets a part.
+/// Computes what each class is entitled to now: an equal split of its team's deserved share, capped
+/// by the class's demand. Where guarantees exceed the capacity, all teams get less in the same
+/// proportion, and a team that they leave nothing still gets a part.
 fn compute_entitlements(
     cluster: &ClusterState,
     usages: &BTreeMap<WorkloadClass, ClassUsage>,
@@ -372,7 +391,7 @@
     entitlements
 }
 
-/// The first jobs of a class that may be placed now, in their team's order.
+/// The jobs of a class that may be placed now, in the order of their team's queue.
 pub fn placeable_jobs_of(
     cluster: &ClusterState,
     class: WorkloadClass,
--- a/src/scheduling/fair_share/tests.rs
+++ b/src/scheduling/fair_share/tests.rs
@@ -8,8 +8,8 @@
     assert!(split_with_caps(5.0, &[]).is_empty());
 }
 
-/// Below half of its entitlement for a moment, a class is not starved; once starved, it stays so until
-/// it has nearly all of it.
+/// A class that is below half of its entitlement for a moment is not starved; once starved, it
+/// stays so until it gets all of its entitlement.
 #[test]
 fn starved_class_stays_starved_until_caught_up() {
     let mut status = ShareStatus {
@@ -21,7 +21,7 @@
     };
     assert!(
         !status.update_starvation(0),
-        "it may be just about to start"
+        "below its share for a moment only"
     );
     assert!(status.update_starvation(STARVATION_DELAY_MS) && status.starved);
     status.allocated = 8.0;
@@ -36,9 +36,9 @@
     status.update_starvation(STARVATION_DELAY_MS + 5000);
     assert!(
         !status.update_starvation(2 * STARVATION_DELAY_MS),
-        "short, but not for long enough"
+        "below its share, but not for long enough"
     );
     status.waiting_tasks = 0;
     status.update_starvation(4 * STARVATION_DELAY_MS);
-    assert!(!status.starved, "nothing of it waits");
+    assert!(!status.starved, "no task of the class waits");
 }
--- a/src/scheduling/gang.rs
+++ b/src/scheduling/gang.rs
@@ -1,11 +1,11 @@
-//! The placement of gangs: all waiting tasks at once, or none.
+//! The placement of gangs: all waiting tasks together, or none.
 
 use crate::{
     cluster::{ClusterState, JobIndex, MachineIndex, Resources},
     time::Millis,
 };
 
-/// The machines for all waiting tasks of a gang, or `None`: it is placed whole or not at all.
+/// A machine for each waiting task of a gang; `None` if they can't all be placed.
 pub(super) fn find_gang_placement(
     cluster: &ClusterState,
     job: JobIndex,
--- a/src/scheduling/limit_enforcement.rs
+++ b/src/scheduling/limit_enforcement.rs
@@ -1,4 +1,4 @@
-//! What a team has to stop when its use exceeds its limit.
+//! The choice of the attempts to stop when a team's use exceeds its limit.
 
 use std::collections::HashSet;
 
@@ -9,9 +9,10 @@
     time::Millis,
 };
 
-/// The attempts that a team has to stop for its use to fall by `excess`, by their machines and their
-/// positions there: the least urgent and what loses least first, gangs whole. What already has to stop
-/// counts.
+/// Selects the attempts to stop for the team's use to fall by `excess`. Each is given by its
+/// machine and its position among that machine's attempts. The least urgent come first, then those
+/// whose stop costs least; gangs are stopped whole. Attempts that are already being stopped count
+/// towards `excess`.
 pub fn select_stops_over_limit(
     cluster: &ClusterState,
     team: TeamIndex,
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -1,9 +1,10 @@
-//! Who places next, where, and who is preempted.
+//! Task placement and preemption: which team places a task next, on which machine, and which
+//! attempts are preempted.
 //!
-//! The design is that of "Fair Scheduling for Deep Learning Workloads in Kubernetes" (Run:ai,
-//! 21 June 2021): a heap of teams by reserved units, each with its waiting tasks by priority, then
-//! age; a trial fit before anybody is preempted; and the excess of over-share teams, which is what
-//! starved teams may take. `docs/design.md` says what was kept and what was changed.
+//! The design follows "Fair Scheduling for Deep Learning Workloads in Kubernetes" (Run:ai, 21 June
+//! 2021): a heap of teams by reserved units, each team with its waiting tasks by priority, then
+//! age; a trial fit before anything is preempted; and preemption for starved teams of no more than
+//! the excess of over-share teams. `docs/design.md` says what was kept and what was changed.
 
 mod candidates;
 mod cycle;
@@ -24,13 +25,13 @@
     preemption::{PreemptionReason, PreemptionScope, PreemptionVictim, select_preemptions},
 };
 
-/// How many placements one cycle makes before other work gets its turn.
+/// The most placements in one cycle, so that a cycle does not delay the leader's other work.
 const MAX_PLACEMENTS_PER_CYCLE: usize = 200;
 
-/// Sums of units may miss a whole number by a rounding error.
+/// Tolerance in units: a sum of units may miss a whole number by a rounding error.
 const UNITS_EPSILON: f64 = 1e-6;
 
-/// Units as a heap key: thousandths, so that sums compare exactly.
+/// Converts units to whole thousandths, which heap keys compare exactly.
 fn to_milli_units(units: f64) -> i64 {
     (units * 1000.0).round() as i64
 }
--- a/src/scheduling/preemption.rs
+++ b/src/scheduling/preemption.rs
@@ -1,5 +1,5 @@
-//! Who is preempted: the trial fit of waiting tasks against the excess of over-share teams and
-//! against work of lower priority.
+//! Preemption: the trial fit of waiting tasks against the excess of over-share teams and against
+//! work of lower priority.
 
 use crate::{
     cluster::{ClusterState, Job, JobIndex, MachineIndex, QueueKey, Resources, TeamIndex},
@@ -13,22 +13,23 @@
     time::{Millis, millis},
 };
 
-/// The fraction of an array's slack that it waits before others are preempted for it.
+/// The fraction of its slack that an array waits before attempts are preempted for it.
 const PREEMPTION_PATIENCE_FRACTION: f64 = 0.25;
-/// How long an array waits at most, in seconds, before others are preempted for it.
+/// The longest that an array waits, in seconds, before attempts are preempted for it.
 const MAX_PREEMPTION_PATIENCE_S: f64 = 4.0;
 
 /// Why a running task is preempted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PreemptionReason {
-    /// A starved team's task takes a place beyond what the victim's team deserves.
+    /// The beneficiary's team is below its deserved share, and the victim is part of the excess of
+    /// an over-share team.
     Share,
-    /// A job of higher priority.
+    /// The beneficiary's priority is higher.
     Priority,
 }
 
-/// The waiting tasks for which one check preempts others. Those who are to start sooner are checked
-/// for more often.
+/// The jobs for whose waiting tasks one check preempts others. Jobs that have to start sooner are
+/// checked more often.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PreemptionScope {
     /// Services only.
@@ -41,7 +42,7 @@
 
 impl PreemptionScope {
     fn includes(self, job: &Job) -> bool {
-        // A gang waits for room of its own; nobody is stopped for a part of it.
+        // A gang waits for free capacity; nothing is preempted for a part of it.
         job.kind != JobKind::Gang
             && match self {
                 PreemptionScope::Services => job.kind == JobKind::Service,
@@ -53,22 +54,23 @@
     }
 }
 
-/// An attempt that is to be stopped for a waiting task.
+/// An attempt that is to be preempted for a waiting task.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PreemptionVictim {
-    /// The job that is to have its place.
+    /// The job for whose task it is preempted.
     pub beneficiary: JobIndex,
     /// The victim's machine.
     pub machine: MachineIndex,
     /// The victim's position among the machine's attempts.
     pub attempt_index: usize,
-    /// Why it is to be stopped.
+    /// Why it is preempted.
     pub reason: PreemptionReason,
 }
 
-/// Whether an array can still do without the preemption of work that has objectives of its own: tasks
-/// end all the time, and the teams that have least get their places first. Those that were stopped at
-/// once had mostly just been placed.
+/// Whether a job can still wait for tasks to complete, instead of having work with objectives of
+/// its own preempted for it. Tasks complete all the time, and the teams with the least get the
+/// capacity first. When attempts were preempted without this wait, most of them had only just been
+/// placed.
 fn can_wait_for_completions(cluster: &ClusterState, job: &Job, now: Millis) -> bool {
     if job.kind == JobKind::Service {
         return false;
@@ -83,9 +85,9 @@
     now < job.first_seen_at + millis(patience)
 }
 
-/// Selects the attempts to preempt, by a trial fit. For each team with waiting work that fits
-/// nowhere: would it fit if the excess of over-share teams, or work of lower priority, were stopped?
-/// Only then are those attempts selected.
+/// Selects the attempts to preempt, by a trial fit: for each team's waiting tasks that fit on no
+/// machine, it determines whether they would fit if the excess of over-share teams, or work of
+/// lower priority, were stopped. Only then are those attempts selected.
 pub fn select_preemptions(
     cluster: &ClusterState,
     now: Millis,
@@ -110,8 +112,9 @@
     order.sort_by_key(|&team| to_milli_units(reserved[team]));
     let mut victims = Vec::new();
     for team in order {
-        // Beyond its guarantee a team waits for what others return: the protocol lets nobody stop
-        // work of the same or a higher priority for more than a guarantee.
+        // Beyond its guarantee a team waits for capacity that others release: by the protocol, work
+        // of the same or a higher priority may not be stopped to give a team more than its
+        // guarantee.
         let guarantee = cluster.accounted_units(&cluster.teams[team].guarantee);
         let mut trial = TeamTrial {
             cluster,
@@ -123,7 +126,7 @@
         };
         for &(_, _, job) in &cluster.teams[team].queue {
             let entry = cluster.job(job);
-            // Nobody is preempted for a quarantined job.
+            // Nothing is preempted for a quarantined job.
             if entry.backoff_until > now || entry.quarantined || !scope.includes(entry) {
                 continue;
             }
@@ -133,14 +136,15 @@
     victims
 }
 
-/// The trial of one team's waiting jobs.
+/// The trial fit of one team's waiting jobs.
 struct TeamTrial<'a> {
     cluster: &'a ClusterState,
     now: Millis,
     team: TeamIndex,
-    /// How many more units the team could get of what it deserves and is guaranteed.
+    /// How many more units the team may reserve within both its deserved share and its guarantee;
+    /// negative if it exceeds one of them.
     entitled_units: f64,
-    /// What the team would have reserved.
+    /// What the team will have reserved, including the tasks for which victims were selected.
     reserved: Resources,
     failed_trials: Vec<FailedTrial>,
 }
@@ -194,7 +198,7 @@
         }
     }
 
-    /// Whether a task of so many units would be within what the team deserves and is guaranteed.
+    /// Whether a further task of `units` stays within the team's deserved share and guarantee.
     fn is_starved(&self, units: f64) -> bool {
         units <= self.entitled_units + UNITS_EPSILON
     }
--- a/src/scheduling/replica.rs
+++ b/src/scheduling/replica.rs
@@ -10,16 +10,17 @@
     time::Millis,
 };
 
-/// Seconds of an array task's work that a second of a replica's wait is worth.
+/// How many seconds of an array task's work may be lost to save a replica one second of waiting.
 const WORK_S_PER_REPLICA_WAIT_S: f64 = 12.0;
 
-/// A place for a replica on a machine that has its image, where work of lower priority is stopped for
-/// it; failing that, `plain`, the machine that would have to fetch the image first.
+/// Finds a machine that has the replica's image, where attempts of lower priority are preempted for
+/// it. Falls back to `fallback`, the machine that would have to fetch the image first. Returns the
+/// task, its machine and the positions of the victims among the machine's attempts.
 pub(super) fn find_replica_placement(
     cluster: &ClusterState,
     job: JobIndex,
     task: u32,
-    plain: Option<MachineIndex>,
+    fallback: Option<MachineIndex>,
     now: Millis,
     looks: &mut CandidateCache,
 ) -> Option<(u32, MachineIndex, Vec<usize>)> {
@@ -74,12 +75,13 @@
             best = Some((cost, index, chosen));
         }
     }
-    // Where it fits without harm but would fetch its image first, the wait must be worth the work.
-    let worth = plain.map_or(f64::INFINITY, |machine| {
+    // If the replica also fits on a machine that would have to fetch the image, preemption must not
+    // cost more than that wait is worth.
+    let worth = fallback.map_or(f64::INFINITY, |machine| {
         image_fetch_s(cluster, entry, cluster.machine(machine)) * WORK_S_PER_REPLICA_WAIT_S
     });
     match best {
         Some((cost, machine, victims)) if cost <= worth => Some((task, machine, victims)),
-        _ => plain.map(|machine| (task, machine, Vec::new())),
+        _ => fallback.map(|machine| (task, machine, Vec::new())),
     }
 }
--- a/src/scheduling/scoring.rs
+++ b/src/scheduling/scoring.rs
@@ -1,4 +1,4 @@
-//! What it costs to place a task on a machine, and to stop an attempt, in seconds.
+//! The costs, in seconds, of placing a task on a machine and of stopping an attempt.
 
 use crate::{
     cluster::{Attempt, ClusterState, ESTIMATE_MARGIN, Job, Machine, Phase},
@@ -6,19 +6,21 @@
     time::Millis,
 };
 
-/// Seconds of an array task's work that a start objective is worth which the task has met.
+/// The cost of undoing a start objective that a task has met, in seconds of an array task's work.
 const MISSED_START_COST_S: f64 = 30.0;
-/// The same for a completion objective: an array is done with its last task. At 30 s most arrays that
-/// ended late had lost a task that had run for a minute or more to a replica that would have fetched
-/// its image otherwise.
+/// The same for a completion objective: an array is done only with its last task. At 30 s, most
+/// arrays that completed late had lost a task that had run for a minute or more to a replica that
+/// would otherwise have fetched its image.
 const MISSED_COMPLETION_COST_S: f64 = 120.0;
-/// Machines fetch images at the rate of their type, give or take a third.
+/// The factor by which estimated fetch times are raised: actual rates differ from the rate of the
+/// machine's type by up to a third.
 const FETCH_TIME_MARGIN: f64 = 1.33;
-/// What a start takes besides, in seconds.
+/// How long a start takes in addition to fetching the image, in seconds.
 const TASK_START_OVERHEAD_S: f64 = 0.2;
 
-/// Whether a task with a start objective would meet it there, given the time that its image takes. A
-/// task that is late anyway takes what there is.
+/// Whether the task would meet its tightest start objective on the machine, given the time that its
+/// image takes to fetch. Also true for a task without start objectives, and for one that is late
+/// already: it takes any machine.
 pub(super) fn meets_start_objective(
     cluster: &ClusterState,
     job: &Job,
@@ -33,8 +35,8 @@
     left < 0.0 || fetch_s == 0.0 || fetch_s * FETCH_TIME_MARGIN + TASK_START_OVERHEAD_S <= left
 }
 
-/// The score of a machine for a task of the job; lower is better. In seconds, or what is taken to be
-/// worth as much.
+/// The score of a machine for a task of the job; lower is better. It is in seconds: terms that are
+/// not times are weighted by what they are worth in seconds.
 pub(super) fn placement_score(
     cluster: &ClusterState,
     job: &Job,
@@ -49,15 +51,17 @@
     } else {
         (room.cpus - job.requested.cpus) / kind.cpus.max(1.0)
     };
-    // Ordinary machines are kept for work that may run nowhere else.
+    // Machines that are not spot are kept for tasks that may run nowhere else.
     let borrowed = if job.spot && !machine.spot { 3.0 } else { 0.0 };
-    // Replicas of a service are spread further than they must be: a lost zone then takes fewer.
+    // Replicas of a service are spread over zones further than they have to be, so that the loss of
+    // a zone affects fewer of them.
     let crowd = if job.kind == JobKind::Service {
         0.3 * f64::from(job.active_by_zone[machine.zone.as_usize()])
     } else {
         0.0
     };
-    // Arrays can wait for an image; what they pay for is machines that never empty out.
+    // Arrays can wait for an image; a loose packing costs them more, since machines then never
+    // become empty.
     let (fetching, packing, late) = match job.kind {
         JobKind::Array | JobKind::Gang => (0.3, 3.0, 2.0),
         JobKind::Service => (1.0, 1.0, 6.0),
@@ -70,7 +74,8 @@
     fetching * fetch_s + packing * left + borrowed + crowd + late
 }
 
-/// How long the job's image takes to get there, in seconds.
+/// How long the machine would take to fetch the job's image, in seconds. Half of the full time is
+/// assumed if an attempt there is waiting for the same image.
 pub(super) fn image_fetch_s(cluster: &ClusterState, job: &Job, machine: &Machine) -> f64 {
     if machine.has_image(job.image) {
         return 0.0;
@@ -85,7 +90,7 @@
     if shared { whole * 0.5 } else { whole }
 }
 
-/// What it costs to stop the attempt at once, in seconds of its work.
+/// The cost of stopping the attempt without time to save, in seconds of its work.
 pub(super) fn immediate_stop_cost_s(cluster: &ClusterState, attempt: &Attempt, now: Millis) -> f64 {
     let job = cluster.job(attempt.job);
     let ran = elapsed_run_s(attempt, now);
@@ -97,11 +102,11 @@
     lost + missed_objective_cost_s(cluster, attempt, now)
 }
 
-/// What is lost if the attempt is told to stop now, in seconds of one task.
+/// The cost of stopping the attempt with time to save, in seconds of one task.
 pub(super) fn graceful_stop_cost_s(cluster: &ClusterState, attempt: &Attempt, now: Millis) -> f64 {
     let job = cluster.job(attempt.job);
     let lost = if job.checkpoint_s > 0.0 {
-        // It saves when it is stopped.
+        // The task saves its state before it stops.
         job.save_s
     } else {
         elapsed_run_s(attempt, now)
@@ -115,8 +120,9 @@
     ran.map_or(0.0, |ran| ran as f64 / 1000.0)
 }
 
-/// What the objectives are worth that the attempt meets and another one, begun now, would not, in
-/// seconds of its work. A start that is undone soon was none for the user.
+/// The cost, in seconds of the attempt's work, of the objectives that it meets and that another
+/// attempt, placed now, would miss. Start objectives count only for an attempt that started
+/// recently: a start that is soon undone is of no use to the user.
 fn missed_objective_cost_s(cluster: &ClusterState, attempt: &Attempt, now: Millis) -> f64 {
     const RECENT_START_S: f64 = 30.0;
     let job = cluster.job(attempt.job);
@@ -135,8 +141,8 @@
     let starts = starts
         .iter()
         .filter(|wait| placed <= **wait && again > **wait);
-    // It takes as long as was estimated, or as it has run, if that is longer. Of work that is saved another
-    // attempt needs the rest only.
+    // The next attempt is expected to take as long as was estimated, or as long as this one has
+    // run, if that is longer. With checkpoints it has to do only the rest of the work.
     let usual = job.estimate_s * ESTIMATE_MARGIN;
     let over = if job.checkpoint_s > 0.0 {
         0.0
--- a/src/scheduling/trial_fit.rs
+++ b/src/scheduling/trial_fit.rs
@@ -1,5 +1,5 @@
-//! The trial fit: whether a waiting task would fit on a machine if others were stopped, and at what
-//! cost.
+//! The trial fit: whether a waiting task would fit on a machine if attempts were stopped, and at
+//! what cost.
 
 use std::{
     cmp::Reverse,
@@ -20,16 +20,17 @@
     time::Millis,
 };
 
-/// What a task's cost rises by for each victim, in seconds.
+/// The cost of each victim in addition to its lost work, in seconds.
 const COST_PER_VICTIM_S: f64 = 1.0;
-/// The slowest rate at which a machine is taken to fetch images.
+/// The lowest image fetch rate that is assumed for a machine.
 const MIN_FETCH_GB_PER_S: f64 = 0.01;
 
-/// What one check has chosen so far, and what that leaves.
+/// The fleet during one preemption check: the victims chosen so far, and the capacity and the
+/// excess that this leaves.
 pub(super) struct TrialFleet {
-    /// The room on each machine.
+    /// The free capacity of each machine.
     free_by_machine: Vec<Resources>,
-    /// The excess of each team, in units: what it has beyond what it deserves.
+    /// The excess of each team, in units: what it has beyond its deserved share.
     excess_by_team: Vec<f64>,
     /// What each team has beyond its guarantee, in units.
     beyond_guarantee_by_team: Vec<f64>,
@@ -37,7 +38,8 @@
 }
 
 impl TrialFleet {
-    /// The fleet as it stands. What already has to stop counts as free.
+    /// The fleet before any victim is chosen. Attempts that are being stopped count as free
+    /// capacity.
     pub(super) fn new(cluster: &ClusterState, reserved: &[f64], deserved: &[f64]) -> Self {
         let excess = reserved.iter().zip(deserved);
         let beyond_guarantee = cluster.teams.iter().zip(reserved);
@@ -58,7 +60,7 @@
     }
 }
 
-/// The room on a machine once all attempts that were told to stop have ended.
+/// The free capacity of a machine once all attempts that are being stopped have ended.
 fn free_after_stops(cluster: &ClusterState, machine: &Machine) -> Resources {
     let mut free = cluster.free_resources(machine);
     for attempt in &machine.attempts {
@@ -69,9 +71,9 @@
     free
 }
 
-/// A trial in which nobody could be preempted: it ends alike for those of the team's jobs that request
-/// as much or more, since a check only takes room. Searching all machines for each of 5000 single
-/// tasks took seconds.
+/// A trial that found no victims. It would fail in the same way for those of the team's jobs that
+/// request as much or more, since free capacity only shrinks during a check. Searching all machines
+/// for each of 5000 single tasks took seconds.
 pub(super) struct FailedTrial {
     request: UnmetRequest,
     can_wait: bool,
@@ -79,7 +81,8 @@
 }
 
 impl FailedTrial {
-    /// `None` where it was not for lack of room alone.
+    /// The failed trial of a job; `None` if it may have failed for other reasons than a lack of
+    /// capacity.
     pub(super) fn new(job: &Job, can_wait: bool, starved: bool) -> Option<Self> {
         let request = UnmetRequest::from_unconstrained_job(job)?;
         Some(FailedTrial {
@@ -104,28 +107,29 @@
     pub(super) job_index: JobIndex,
     pub(super) job: &'a Job,
     pub(super) team: TeamIndex,
-    /// It can still wait for work with objectives to end by itself.
+    /// The job can still wait for work with objectives to complete.
     pub(super) can_wait: bool,
-    /// A further task would still be within what its team deserves and is guaranteed.
+    /// A further task stays within its team's deserved share and guarantee.
     pub(super) starved: bool,
     pub(super) fleet: &'a mut TrialFleet,
     pub(super) now: Millis,
 }
 
-/// A machine on which a task would fit, and what that would cost in thousandths of a second.
+/// A machine on which a task would fit, and what that would cost in milliseconds; the lowest cost
+/// comes first in a heap.
 type CandidateMachine = Reverse<(u64, MachineIndex)>;
 
 /// An attempt that may be stopped for a task.
 struct CandidateVictim {
     priority: Priority,
-    /// What is lost by stopping it, in seconds of one task.
+    /// The cost of stopping it, in seconds of one task.
     cost_s: f64,
     attempt_index: usize,
     reason: PreemptionReason,
 }
 
 impl TrialFit<'_> {
-    /// All machines on which a task would fit. Equal tasks share the search.
+    /// All machines on which a task would fit. The job's tasks share this search.
     pub(super) fn candidate_machines(&self) -> BinaryHeap<CandidateMachine> {
         let machines = (0..self.cluster.machines.len() as u32).map(MachineIndex);
         machines
@@ -136,8 +140,9 @@
             .collect()
     }
 
-    /// The victims for the next task, on the machine where that costs least. Earlier choices make a
-    /// machine dearer or impossible, never cheaper except where they left room.
+    /// Chooses the victims for the next task, on the machine where they cost the least. Earlier
+    /// choices can only raise a machine's cost or rule it out, except on a machine where they left
+    /// capacity over, which is evaluated again.
     pub(super) fn choose_victims(
         &mut self,
         candidates: &mut BinaryHeap<CandidateMachine>,
@@ -159,7 +164,7 @@
         None
     }
 
-    /// Takes the victims' room, and gives the task its part of it.
+    /// Frees the victims' resources on the machine and reserves those of the task there.
     fn apply(&mut self, index: MachineIndex, chosen: &[PreemptionVictim]) {
         let fleet = &mut *self.fleet;
         for victim in chosen {
@@ -174,8 +179,8 @@
         fleet.free_by_machine[index.as_usize()].sub(&self.job.requested);
     }
 
-    /// Who would have to be stopped for a task on this machine, and what that costs in thousandths of
-    /// a second.
+    /// The victims that a task on this machine needs, and their cost in milliseconds; `None` if the
+    /// task can't be placed there.
     fn evaluate_machine(&self, index: MachineIndex) -> Option<(u64, Vec<PreemptionVictim>)> {
         let (cluster, job, machine) = (self.cluster, self.job, self.cluster.machine(index));
         if !machine.is_schedulable()
@@ -190,7 +195,8 @@
             .requested
             .fits_in(&self.fleet.free_by_machine[index.as_usize()])
         {
-            // It fits without a victim, or will as soon as what was stopped has ended.
+            // It fits without a victim, or will once the attempts that are being stopped have
+            // ended.
             return Some((0, Vec::new()));
         }
         let (mut cost_s, chosen) = self.cheapest_victims(index)?;
@@ -201,12 +207,12 @@
         Some(((cost_s * 1000.0) as u64, chosen))
     }
 
-    /// The least urgent attempts, of these what loses least, that leave enough room; and their cost in
-    /// seconds.
+    /// Chooses victims, the least urgent first, then the cheapest, until the task fits; returns
+    /// their cost in seconds, and the victims.
     fn cheapest_victims(&self, index: MachineIndex) -> Option<(f64, Vec<PreemptionVictim>)> {
         let (cluster, job, machine) = (self.cluster, self.job, self.cluster.machine(index));
         let mut free = self.fleet.free_by_machine[index.as_usize()];
-        // What each team has lost in this trial.
+        // The units of the victims chosen here, with their teams.
         let mut lost_units: Vec<(TeamIndex, f64)> = Vec::new();
         let mut chosen = Vec::new();
         let mut cost_s = 0.0;
@@ -238,7 +244,7 @@
         job.requested.fits_in(&free).then_some((cost_s, chosen))
     }
 
-    /// The attempts of a machine that may be stopped, in the order in which they are.
+    /// The attempts of a machine that may be preempted, in the order in which they are chosen.
     fn candidate_victims(&self, index: MachineIndex) -> Vec<CandidateVictim> {
         let cluster = self.cluster;
         let attempts = cluster.machine(index).attempts.iter().enumerate();
@@ -266,24 +272,28 @@
         candidates
     }
 
-    /// Why the attempt may be stopped for the job, if it may.
+    /// Why the attempt may be preempted for the job; `None` if it may not.
     fn preemption_reason(&self, attempt: &Attempt) -> Option<PreemptionReason> {
         let (job, loser) = (self.job, self.cluster.job(attempt.job));
-        // What its starved class was given it keeps: otherwise the class would be starved again at once.
+        // An attempt that was placed for its starved class is not preempted for an array: otherwise
+        // the class would immediately be starved again.
         if attempt.placed_for_fair_share && job.kind != JobKind::Service {
             return None;
         }
         let has_objectives = !loser.latest_placements_ms.is_empty();
-        // Replicas have no such objectives; they are the last to be preempted for work without any.
+        // Replicas have no such objectives, but are protected as well: they are the last to be
+        // preempted for work without objectives.
         if self.can_wait && (loser.kind == JobKind::Service || has_objectives) {
             return None;
         }
         let units = self.cluster.accounted_units(&loser.requested);
-        // A task with an objective of its own is preempted for arrays once: a flood of small tasks of a
-        // team without a guarantee was stopped up to 35 times each, and ended too late.
+        // A task with objectives is preempted for arrays only once: small tasks, submitted in large
+        // numbers by a team without a guarantee, were stopped up to 35 times each and completed too
+        // late.
         let was_preempted = job.kind != JobKind::Service && has_objectives && attempt.attempt > 1;
-        // What a team runs within its guarantee it takes back at the next check: an array of another
-        // team that took it for its priority lost it again, and both began anew each second.
+        // Work within its team's guarantee is not preempted for an array of another team, whatever
+        // its priority: the victim's team took the capacity back at the next check, and both tasks
+        // were restarted every second.
         let is_guaranteed = job.kind != JobKind::Service
             && loser.team != self.team
             && self.fleet.beyond_guarantee_by_team[loser.team.as_usize()] + UNITS_EPSILON < units;
