--- a/src/scheduling/candidates.rs
+++ b/src/scheduling/candidates.rs
@@ -28,18 +28,18 @@
         cluster: &ClusterState,
         now: Millis,
     ) -> Option<Self> {
-        let lacks_room_only = job.recently_failed_on.is_empty()
+        let lacks_only_capacity = job.recently_failed_on.is_empty()
             && !job.quarantined
             && job.backoff_until <= now
             && cluster.teams[job.team.as_usize()].allows(&job.requested);
-        UnmetRequest::from_unconstrained_job(job).filter(|_| lacks_room_only)
+        UnmetRequest::from_unconstrained_job(job).filter(|_| lacks_only_capacity)
     }
 
     /// The request of an array without zone constraints; `None` for any other job.
     pub(super) fn from_unconstrained_job(job: &Job) -> Option<Self> {
-        let anywhere =
+        let is_unconstrained =
             job.kind == JobKind::Array && job.zone.is_none() && !job.one_zone && !job.spread;
-        anywhere.then_some(UnmetRequest {
+        is_unconstrained.then_some(UnmetRequest {
             priority: job.priority,
             requested: job.requested,
             allowed_types: job.allowed_types,
@@ -63,13 +63,13 @@
     /// available to those jobs, and to jobs of higher priority.
     pub(super) fn rules_out(
         &self,
-        index: JobIndex,
+        job_index: JobIndex,
         job: &Job,
         reserved_for: &HashSet<JobIndex>,
     ) -> bool {
-        let comparable = reserved_for.is_empty()
-            || (self.priority <= job.priority && !reserved_for.contains(&index));
-        comparable && self.is_dominated_by(job)
+        let sees_no_more_capacity = reserved_for.is_empty()
+            || (self.priority <= job.priority && !reserved_for.contains(&job_index));
+        sees_no_more_capacity && self.is_dominated_by(job)
     }
 }
 
@@ -103,59 +103,64 @@
     pub(super) fn find_best_machine(
         &mut self,
         cluster: &ClusterState,
-        job: JobIndex,
+        job_index: JobIndex,
         task: u32,
         now: Millis,
     ) -> Option<MachineIndex> {
-        let entry = cluster.job(job);
-        let score = |at: MachineIndex| {
-            let machine = cluster.machine(at);
-            let fits = cluster.can_place(entry, machine)
+        let job = cluster.job(job_index);
+        let score = |index: MachineIndex| {
+            let machine = cluster.machine(index);
+            let is_eligible = cluster.can_place(job, machine)
                 && machine.avoid_until <= now
-                && !cluster.is_reserved_for_other(job, machine, now)
-                && !entry.is_avoiding(at, now);
-            fits.then(|| (placement_score(cluster, entry, machine, now), at))
+                && !cluster.is_reserved_for_other(job_index, machine, now)
+                && !job.is_avoiding(index, now);
+            is_eligible.then(|| (placement_score(cluster, job, machine, now), index))
         };
-        let holds_no_attempt = |at: MachineIndex| !cluster.machine(at).has_attempt_of(job, task);
-        if let Some(&(best, until)) = self.best_by_job.get(&job)
-            && self.placed_on.len() - until < cluster.machines.len()
+        let holds_no_attempt =
+            |index: MachineIndex| !cluster.machine(index).has_attempt_of(job_index, task);
+        if let Some(&(best, compared_count)) = self.best_by_job.get(&job_index)
+            && self.placed_on.len() - compared_count < cluster.machines.len()
             && holds_no_attempt(best)
             && let Some(mut best_found) = score(best)
         {
-            let filled = &self.placed_on[until..];
-            self.machines_scored += 1 + filled.len();
-            for other in filled.iter().filter(|at| holds_no_attempt(**at)) {
+            let placed_since = &self.placed_on[compared_count..];
+            self.machines_scored += 1 + placed_since.len();
+            for other in placed_since
+                .iter()
+                .filter(|index| holds_no_attempt(**index))
+            {
                 best_found = score(*other)
                     .filter(|other| *other < best_found)
                     .unwrap_or(best_found);
             }
             self.best_by_job
-                .insert(job, (best_found.1, self.placed_on.len()));
+                .insert(job_index, (best_found.1, self.placed_on.len()));
             return Some(best_found.1);
         }
         self.machines_scored += cluster.machines.len();
         let mut best_found: Option<(f64, MachineIndex)> = None;
         let mut holder_found = false;
-        for at in (0..cluster.machines.len() as u32).map(MachineIndex) {
-            if let Some(found) = score(at) {
-                if !holds_no_attempt(at) {
+        for index in (0..cluster.machines.len() as u32).map(MachineIndex) {
+            if let Some(candidate) = score(index) {
+                if !holds_no_attempt(index) {
                     holder_found = true;
-                } else if best_found.is_none_or(|best_found| found < best_found) {
-                    best_found = Some(found);
+                } else if best_found.is_none_or(|best_found| candidate < best_found) {
+                    best_found = Some(candidate);
                 }
             }
         }
-        self.best_by_job.remove(&job);
+        self.best_by_job.remove(&job_index);
         // The replicas of a service are spread over zones, so each needs its own search. A machine
         // that was left out because it holds an attempt of this task may be the best one for the
         // next task.
         if let Some((_, best)) = best_found
-            && entry.kind == JobKind::Array
+            && job.kind == JobKind::Array
             && !holder_found
             && !self.cache_disabled
         {
-            self.best_by_job.insert(job, (best, self.placed_on.len()));
+            self.best_by_job
+                .insert(job_index, (best, self.placed_on.len()));
         }
-        best_found.map(|(_, at)| at)
+        best_found.map(|(_, index)| index)
     }
 }
--- a/src/scheduling/cycle.rs
+++ b/src/scheduling/cycle.rs
@@ -169,7 +169,7 @@
             self.push_team(team);
         }
         if let Some(priority) = self.blocked_priority {
-            self.fair_share.note_blocked_arrays(priority, self.now);
+            self.fair_share.record_blocked_arrays(priority, self.now);
         }
     }
 
@@ -184,77 +184,79 @@
         let (cluster, fair_share, now) = (&*self.cluster, &*self.fair_share, self.now);
         let queue = &cluster.teams[team.as_usize()].queue;
         for key in queue.range((after, Bound::Unbounded)) {
-            let entry = cluster.job(key.2);
-            if fair_share.would_be_preempted(entry, now) {
+            let job = cluster.job(key.2);
+            if fair_share.would_be_preempted(job, now) {
                 continue;
             }
             let ruled_out = self
                 .unmet_requests
                 .iter()
-                .any(|request| request.rules_out(key.2, entry, &self.reserved_for));
+                .any(|request| request.rules_out(key.2, job, &self.reserved_for));
             if !ruled_out {
                 return Some(*key);
             }
-            note_blocked_array(&mut self.blocked_priority, entry, now);
+            record_blocked_array(&mut self.blocked_priority, job, now);
         }
         None
     }
 
     /// Places all waiting tasks of a gang, or none.
     fn place_gang(&mut self, team: TeamIndex, key: QueueKey) {
-        let job = key.2;
-        let Some(places) = find_gang_placement(self.cluster, job, self.now) else {
+        let job_index = key.2;
+        let Some(placements) = find_gang_placement(self.cluster, job_index, self.now) else {
             self.last_skipped[team.as_usize()] = Some(key);
             return;
         };
-        self.placed_count += places.len();
-        for (task, machine) in places {
-            self.cluster.place(job, task, machine, self.now);
+        self.placed_count += placements.len();
+        for (task, machine) in placements {
+            self.cluster.place(job_index, task, machine, self.now);
             self.candidates.placed_on.push(machine);
         }
     }
 
     /// Places the first waiting task of a job, or skips the job for the rest of the cycle.
     fn place_next_task(&mut self, team: TeamIndex, key: QueueKey) {
-        let job = key.2;
-        let entry = self.cluster.job(job);
-        let task = entry.waiting.first().copied();
-        let is_ready = entry.backoff_until <= self.now
-            && entry.placeable_tasks() > 0
-            && self.cluster.teams[team.as_usize()].allows(&entry.requested);
+        let job_index = key.2;
+        let job = self.cluster.job(job_index);
+        let task = job.waiting.first().copied();
+        let is_ready = job.backoff_until <= self.now
+            && job.placeable_tasks() > 0
+            && self.cluster.teams[team.as_usize()].allows(&job.requested);
         let ready_task = task.filter(|_| is_ready);
-        if let Some(placement) = ready_task.and_then(|task| self.find_placement(job, task)) {
-            self.place_task(job, &placement);
+        if let Some(placement) = ready_task.and_then(|task| self.find_placement(job_index, task)) {
+            self.place_task(job_index, &placement);
             return;
         }
-        let entry = self.cluster.job(job);
+        let job = self.cluster.job(job_index);
         if ready_task.is_some() {
-            note_blocked_array(&mut self.blocked_priority, entry, self.now);
+            record_blocked_array(&mut self.blocked_priority, job, self.now);
         }
-        let unmet = UnmetRequest::from_unplaced_job(entry, self.cluster, self.now);
+        let unmet = UnmetRequest::from_unplaced_job(job, self.cluster, self.now);
         self.unmet_requests.extend(unmet);
         self.last_skipped[team.as_usize()] = Some(key);
     }
 
-    fn find_placement(&mut self, job: JobIndex, task: u32) -> Option<TaskPlacement> {
+    fn find_placement(&mut self, job_index: JobIndex, task: u32) -> Option<TaskPlacement> {
         let (cluster, now) = (&*self.cluster, self.now);
-        let entry = cluster.job(job);
-        let best = self.candidates.find_best_machine(cluster, job, task, now);
+        let job = cluster.job(job_index);
+        let best = self
+            .candidates
+            .find_best_machine(cluster, job_index, task, now);
         let without_victims = |machine| TaskPlacement {
             task,
             machine,
             victims: Vec::new(),
         };
-        if entry.kind != JobKind::Service {
+        if job.kind != JobKind::Service {
             return best.map(without_victims);
         }
         let in_time =
-            best.filter(|at| meets_start_objective(cluster, entry, cluster.machine(*at), now));
+            best.filter(|index| meets_start_objective(cluster, job, cluster.machine(*index), now));
         if let Some(machine) = in_time {
             return Some(without_victims(machine));
         }
         let (task, machine, victims) =
-            find_replica_placement(cluster, job, task, best, now, self.candidates)?;
+            find_replica_placement(cluster, job_index, task, best, now, self.candidates)?;
         Some(TaskPlacement {
             task,
             machine,
@@ -262,17 +264,17 @@
         })
     }
 
-    fn place_task(&mut self, job: JobIndex, placement: &TaskPlacement) {
+    fn place_task(&mut self, job_index: JobIndex, placement: &TaskPlacement) {
         for &victim in &placement.victims {
-            self.preempt(placement.machine, victim, job);
+            self.preempt(placement.machine, victim, job_index);
         }
         let cluster = &mut *self.cluster;
-        cluster.place(job, placement.task, placement.machine, self.now);
+        cluster.place(job_index, placement.task, placement.machine, self.now);
         self.candidates.placed_on.push(placement.machine);
         self.placed_count += 1;
-        let class = WorkloadClass::of_job(cluster.job(job));
+        let class = WorkloadClass::of_job(cluster.job(job_index));
         if !self.starved_classes.is_empty() && !self.starved_classes.contains(&class) {
-            let units = cluster.accounted_units(&cluster.job(job).requested);
+            let units = cluster.accounted_units(&cluster.job(job_index).requested);
             let max_credit = fair_share::STARVED_SHARE_FRACTION * self.capacity;
             self.fair_share.earn_credit(units, max_credit);
         }
@@ -282,11 +284,11 @@
     fn preempt(&mut self, machine: MachineIndex, attempt_index: usize, beneficiary: JobIndex) {
         let cluster = &mut *self.cluster;
         let attempt = &cluster.machine(machine).attempts[attempt_index];
-        let (loser, to) = (cluster.job(attempt.job), cluster.job(beneficiary).id);
-        let task = loser.task_id(attempt.task);
+        let (victim, beneficiary) = (cluster.job(attempt.job), cluster.job(beneficiary).id);
+        let task = victim.task_id(attempt.task);
         let ran_s = elapsed_run_s(attempt, self.now) as u64;
-        tracing::info!(%task, %to, reason = "Image", ran_s, "preempted");
-        let class = WorkloadClass::of_job(loser);
+        tracing::info!(%task, %beneficiary, reason = "Image", ran_s, "preempted");
+        let class = WorkloadClass::of_job(victim);
         self.fair_share.status_mut(class).attempts_preempted += 1;
         cluster.request_stop(machine, attempt_index, 0.0);
     }
@@ -296,45 +298,45 @@
 /// draining because they are slow. Such machines are not replaced while they have other work, and a
 /// slow run is better than none.
 fn place_long_waiting_on_slow_machines(cluster: &mut ClusterState, now: Millis) -> usize {
-    let slow =
+    let is_slow =
         |machine: &Machine| machine.draining && !machine.faulty && machine.can_receive_commands();
     let machines = cluster.machines.iter().zip(0..);
-    let slow: Vec<MachineIndex> = machines
-        .filter(|(machine, _)| slow(machine))
-        .map(|(_, at)| MachineIndex(at))
+    let slow_machines: Vec<MachineIndex> = machines
+        .filter(|(machine, _)| is_slow(machine))
+        .map(|(_, index)| MachineIndex(index))
         .collect();
-    if slow.is_empty() {
+    if slow_machines.is_empty() {
         return 0;
     }
     let queues = cluster
         .teams
         .iter()
         .flat_map(|team| team.queue.iter().take(MAX_LONG_WAITING_JOBS_PER_TEAM));
-    let jobs = queues.map(|(.., job)| *job);
+    let jobs = queues.map(|(.., job_index)| *job_index);
     let jobs: Vec<JobIndex> = jobs
-        .filter(|job| cluster.job(*job).first_seen_at + LONG_WAIT_MS <= now)
+        .filter(|job_index| cluster.job(*job_index).first_seen_at + LONG_WAIT_MS <= now)
         .collect();
     let mut placed = 0;
-    for job in jobs {
-        for &on in &slow {
+    for job_index in jobs {
+        for &machine_index in &slow_machines {
             loop {
-                let (entry, machine) = (cluster.job(job), cluster.machine(on));
-                let team = &cluster.teams[entry.team.as_usize()];
-                let Some(&task) = entry.waiting.first() else {
+                let (job, machine) = (cluster.job(job_index), cluster.machine(machine_index));
+                let team = &cluster.teams[job.team.as_usize()];
+                let Some(&task) = job.waiting.first() else {
                     break;
                 };
-                if entry.kind == JobKind::Gang
-                    || entry.backoff_until > now
-                    || entry.placeable_tasks() == 0
-                    || !team.allows(&entry.requested)
-                    || !cluster.is_feasible(entry, machine)
+                if job.kind == JobKind::Gang
+                    || job.backoff_until > now
+                    || job.placeable_tasks() == 0
+                    || !team.allows(&job.requested)
+                    || !cluster.is_feasible(job, machine)
                     || machine.avoid_until > now
-                    || entry.is_avoiding(on, now)
-                    || machine.has_attempt_of(job, task)
+                    || job.is_avoiding(machine_index, now)
+                    || machine.has_attempt_of(job_index, task)
                 {
                     break;
                 }
-                cluster.place(job, task, on, now);
+                cluster.place(job_index, task, machine_index, now);
                 placed += 1;
             }
         }
@@ -346,9 +348,9 @@
 /// it. Whether the array can still wait for other tasks to complete is not considered: to a new
 /// leader all jobs look new and able to wait, and with that condition a new leader started 4,500
 /// tasks that it stopped 4 s later.
-fn note_blocked_array(blocked_priority: &mut Option<Priority>, job: &Job, now: Millis) {
+fn record_blocked_array(blocked_priority: &mut Option<Priority>, job: &Job, now: Millis) {
     if job.kind == JobKind::Array && !job.quarantined && job.backoff_until <= now {
-        let priority = blocked_priority.map_or(job.priority, |known| known.min(job.priority));
+        let priority = blocked_priority.map_or(job.priority, |current| current.min(job.priority));
         *blocked_priority = Some(priority);
     }
 }
@@ -365,37 +367,38 @@
     for class in fair_share.starved_classes() {
         let jobs: Vec<JobIndex> = fair_share::placeable_jobs_of(cluster, class, now)
             .take(MAX_PLACEMENTS_PER_CYCLE)
-            .map(|(.., job)| job)
+            .map(|(.., job_index)| job_index)
             .collect();
         let mut unmet_requests: Vec<UnmetRequest> = Vec::new();
-        for job in jobs {
-            let requested = cluster.job(job).requested;
-            let entry = cluster.job(job);
+        for job_index in jobs {
+            let requested = cluster.job(job_index).requested;
+            let job = cluster.job(job_index);
             if unmet_requests
                 .iter()
-                .any(|request| request.rules_out(job, entry, &HashSet::new()))
+                .any(|request| request.rules_out(job_index, job, &HashSet::new()))
             {
                 continue;
             }
             while fair_share.credit() > 0.0 && placed < MAX_PLACEMENTS_PER_CYCLE {
-                let entry = cluster.job(job);
-                let Some(&task) = entry.waiting.first() else {
+                let job = cluster.job(job_index);
+                let Some(&task) = job.waiting.first() else {
                     break;
                 };
-                if entry.placeable_tasks() == 0
-                    || !cluster.teams[entry.team.as_usize()].allows(&requested)
+                if job.placeable_tasks() == 0
+                    || !cluster.teams[job.team.as_usize()].allows(&requested)
                 {
                     break;
                 }
-                let Some(machine) = candidates.find_best_machine(cluster, job, task, now) else {
+                let Some(machine) = candidates.find_best_machine(cluster, job_index, task, now)
+                else {
                     unmet_requests.extend(UnmetRequest::from_unplaced_job(
-                        cluster.job(job),
+                        cluster.job(job_index),
                         cluster,
                         now,
                     ));
                     break;
                 };
-                cluster.place_for_fair_share(job, task, machine, now);
+                cluster.place_for_fair_share(job_index, task, machine, now);
                 candidates.placed_on.push(machine);
                 fair_share.spend_credit(cluster.accounted_units(&requested));
                 placed += 1;
--- a/src/scheduling/deserved_shares.rs
+++ b/src/scheduling/deserved_shares.rs
@@ -4,17 +4,17 @@
 
 /// The units of all schedulable machines: GPUs, or CPUs where there are no GPUs.
 pub(super) fn schedulable_capacity(cluster: &ClusterState) -> f64 {
-    let usable = cluster
+    let schedulable = cluster
         .machines
         .iter()
         .filter(|machine| machine.is_schedulable());
-    usable
+    schedulable
         .map(|machine| {
-            let kind = &cluster.machine_types[machine.machine_type.as_usize()];
+            let machine_type = &cluster.machine_types[machine.machine_type.as_usize()];
             if cluster.shares_gpus() {
-                kind.gpus
+                machine_type.gpus
             } else {
-                kind.cpus
+                machine_type.cpus
             }
         })
         .sum()
@@ -28,15 +28,15 @@
         .teams
         .iter()
         .map(|team| {
-            let waiting: f64 = team
+            let waiting_units: f64 = team
                 .queue
                 .iter()
-                .map(|&(_, _, job)| {
-                    let job = cluster.job(job);
+                .map(|&(_, _, job_index)| {
+                    let job = cluster.job(job_index);
                     cluster.accounted_units(&job.requested) * job.placeable_tasks() as f64
                 })
                 .sum();
-            let demand = cluster.accounted_units(&team.reserved) + waiting;
+            let demand = cluster.accounted_units(&team.reserved) + waiting_units;
             demand.min(cluster.accounted_units(&team.limit))
         })
         .collect();
@@ -46,19 +46,19 @@
         .zip(&caps)
         .map(|(team, cap)| cluster.accounted_units(&team.guarantee).min(*cap))
         .collect();
-    let mut rest = capacity - shares.iter().sum::<f64>();
-    while rest > UNITS_EPSILON {
-        let open: Vec<usize> = (0..shares.len())
+    let mut remaining = capacity - shares.iter().sum::<f64>();
+    while remaining > UNITS_EPSILON {
+        let unsatisfied: Vec<usize> = (0..shares.len())
             .filter(|&team| shares[team] + UNITS_EPSILON < caps[team])
             .collect();
-        if open.is_empty() {
+        if unsatisfied.is_empty() {
             break;
         }
-        let each = rest / open.len() as f64;
-        for team in open {
-            let gain = each.min(caps[team] - shares[team]);
+        let equal_part = remaining / unsatisfied.len() as f64;
+        for team in unsatisfied {
+            let gain = equal_part.min(caps[team] - shares[team]);
             shares[team] += gain;
-            rest -= gain;
+            remaining -= gain;
         }
     }
     shares
--- a/src/scheduling/fair_share.rs
+++ b/src/scheduling/fair_share.rs
@@ -114,7 +114,7 @@
 
     /// Updates whether the class is starved; returns whether that changed.
     fn update_starvation(&mut self, now: Millis) -> bool {
-        let before = self.starved;
+        let was_starved = self.starved;
         if self.waiting_tasks == 0 || self.entitled < MIN_UNITS {
             self.below_share_since = None;
             self.starved = false;
@@ -128,7 +128,7 @@
             self.below_share_since = None;
             self.starved &= self.allocated < CAUGHT_UP_FRACTION * self.entitled;
         }
-        before != self.starved
+        was_starved != self.starved
     }
 }
 
@@ -189,7 +189,7 @@
     }
 
     /// Records that arrays of this priority fitted on no machine.
-    pub fn note_blocked_arrays(&mut self, priority: Priority, now: Millis) {
+    pub fn record_blocked_arrays(&mut self, priority: Priority, now: Millis) {
         self.blocked_arrays = Some((priority, now + BLOCKED_ARRAYS_TTL_MS));
     }
 
@@ -199,11 +199,11 @@
     pub fn would_be_preempted(&self, job: &Job, now: Millis) -> bool {
         let blocked = self.blocked_arrays.filter(|(_, until)| now < *until);
         let waited = now.saturating_sub(job.first_seen_at);
-        let retried = waited >= BLOCKED_RETRY_INTERVAL_MS
+        let is_retry_due = waited >= BLOCKED_RETRY_INTERVAL_MS
             && waited % BLOCKED_RETRY_INTERVAL_MS < BLOCKED_RETRY_WINDOW_MS;
         job.kind == JobKind::Array
             && job.latest_placements_ms.is_empty()
-            && !retried
+            && !is_retry_due
             && blocked.is_some_and(|(priority, _)| priority < job.priority)
     }
 }
@@ -225,17 +225,22 @@
 impl FairShareLedger {
     /// Counts a job whose last task has completed, and whether the job met the earliest of its
     /// completion objectives.
-    pub fn record_job_completion(&mut self, cluster: &ClusterState, index: JobIndex, now: Millis) {
-        let job = cluster.job(index);
+    pub fn record_job_completion(
+        &mut self,
+        cluster: &ClusterState,
+        job_index: JobIndex,
+        now: Millis,
+    ) {
+        let job = cluster.job(job_index);
         let objectives = &cluster.objectives[job.class.as_usize()];
-        let limits_s = objectives
+        let objectives_s = objectives
             .completion_objectives_s(job.deadline_s)
             .chain(objectives.finish_s.iter().copied());
-        let limit_s = limits_s.fold(f64::INFINITY, f64::min);
-        let took_s = cluster.wall_ms(now).saturating_sub(job.submitted_ms) as f64 / 1000.0;
+        let tightest_s = objectives_s.fold(f64::INFINITY, f64::min);
+        let elapsed_s = cluster.wall_ms(now).saturating_sub(job.submitted_ms) as f64 / 1000.0;
         let status = self.status_mut(WorkloadClass::of_job(job));
         status.jobs_completed += 1;
-        status.jobs_on_time += u64::from(took_s <= limit_s);
+        status.jobs_on_time += u64::from(elapsed_s <= tightest_s);
     }
 
     /// Updates each class's entitlement, and which classes are starved, at most once a second.
@@ -244,8 +249,8 @@
     /// of them.
     pub fn update(&mut self, cluster: &ClusterState, now: Millis, capacity: f64, deserved: &[f64]) {
         let elapsed_s = match self.updated_at {
-            Some(at) if at + FAIR_SHARE_UPDATE_INTERVAL_MS > now => return,
-            Some(at) => (now - at) as f64 / 1000.0,
+            Some(last_update) if last_update + FAIR_SHARE_UPDATE_INTERVAL_MS > now => return,
+            Some(last_update) => (now - last_update) as f64 / 1000.0,
             None => FAIR_SHARE_WINDOW_S,
         };
         self.updated_at = Some(now);
@@ -295,25 +300,25 @@
         .name(class.class.0)
         .unwrap_or_default();
     let team = &cluster.teams[class.team.as_usize()].name;
-    let (due, got) = (status.entitled.round(), status.allocated.round());
-    let (waiting, oldest_ms) = (status.waiting_tasks, status.oldest_wait_ms);
+    let (entitled, allocated) = (status.entitled.round(), status.allocated.round());
+    let (waiting_tasks, oldest_wait_ms) = (status.waiting_tasks, status.oldest_wait_ms);
     if status.starved {
         tracing::warn!(
             team,
             class = name,
-            due,
-            got,
-            waiting,
-            oldest_ms,
+            entitled,
+            allocated,
+            waiting_tasks,
+            oldest_wait_ms,
             "workload class is starved"
         );
     } else {
         tracing::info!(
             team,
             class = name,
-            due,
-            got,
-            waiting,
+            entitled,
+            allocated,
+            waiting_tasks,
             "workload class is no longer starved"
         );
     }
@@ -334,13 +339,13 @@
         let units = cluster.accounted_units(&job.requested);
         let usage = usages.entry(WorkloadClass::of_job(job)).or_default();
         usage.demand += units;
-        let runs = matches!(attempt.phase, Phase::Running | Phase::Saving);
-        if runs && attempt.stop_grace_s.is_none() {
+        let is_running = matches!(attempt.phase, Phase::Running | Phase::Saving);
+        if is_running && attempt.stop_grace_s.is_none() {
             usage.allocated += units;
         }
     }
-    for &(.., index) in cluster.teams.iter().flat_map(|team| &team.queue) {
-        let job = cluster.job(index);
+    for &(.., job_index) in cluster.teams.iter().flat_map(|team| &team.queue) {
+        let job = cluster.job(job_index);
         // A gang waits for capacity for all its tasks together, and a quarantined job for its user
         // to act.
         if job.kind == JobKind::Gang || job.quarantined {
@@ -372,10 +377,10 @@
     for (class, usage) in usages {
         demands[class.team.as_usize()] += usage.demand;
     }
-    let needy_teams = deserved.iter().zip(&demands).filter(|(deserved, demand)| {
+    let underserved_teams = deserved.iter().zip(&demands).filter(|(deserved, demand)| {
         **deserved * scale + MIN_UNITS < demand.min(STARVED_SHARE_FRACTION * capacity)
     });
-    let least = STARVED_SHARE_FRACTION * capacity / needy_teams.count().max(1) as f64;
+    let min_share = STARVED_SHARE_FRACTION * capacity / underserved_teams.count().max(1) as f64;
     let mut entitlements = BTreeMap::new();
     for (team, deserved) in deserved.iter().enumerate() {
         let classes: Vec<_> = usages
@@ -384,9 +389,9 @@
             .collect();
         let caps: Vec<f64> = classes.iter().map(|(_, usage)| usage.demand).collect();
         let limit = cluster.accounted_units(&cluster.teams[team].limit);
-        let share = (deserved * scale).max(least).min(limit);
-        let parts = split_with_caps(share, &caps);
-        entitlements.extend(classes.iter().map(|(class, _)| **class).zip(parts));
+        let share = (deserved * scale).max(min_share).min(limit);
+        let class_shares = split_with_caps(share, &caps);
+        entitlements.extend(classes.iter().map(|(class, _)| **class).zip(class_shares));
     }
     entitlements
 }
@@ -399,8 +404,8 @@
 ) -> impl Iterator<Item = QueueKey> {
     let team = &cluster.teams[class.team.as_usize()];
     let queue = team.queue.iter().copied();
-    queue.filter(move |&(.., index)| {
-        let job = cluster.job(index);
+    queue.filter(move |&(.., job_index)| {
+        let job = cluster.job(job_index);
         job.class == class.class
             && job.kind != JobKind::Gang
             && !job.quarantined
--- a/src/scheduling/fair_share/tests.rs
+++ b/src/scheduling/fair_share/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn split_is_equal_up_to_caps_and_leaves_no_wanted_units() {
+fn split_is_equal_up_to_caps_and_redistributes_what_they_leave() {
     assert_eq!(split_with_caps(12.0, &[100.0, 2.0, 100.0]), [5.0, 2.0, 5.0]);
     assert_eq!(split_with_caps(12.0, &[1.0, 2.0]), [1.0, 2.0]);
     assert_eq!(split_with_caps(0.0, &[1.0]), [0.0]);
--- a/src/scheduling/gang.rs
+++ b/src/scheduling/gang.rs
@@ -8,42 +8,49 @@
 /// A machine for each waiting task of a gang; `None` if they can't all be placed.
 pub(super) fn find_gang_placement(
     cluster: &ClusterState,
-    job: JobIndex,
+    job_index: JobIndex,
     now: Millis,
 ) -> Option<Vec<(u32, MachineIndex)>> {
-    let entry = cluster.job(job);
-    let mut whole = Resources::default();
-    for _ in &entry.waiting {
-        whole.add(&entry.requested);
+    let job = cluster.job(job_index);
+    let mut total_requested = Resources::default();
+    for _ in &job.waiting {
+        total_requested.add(&job.requested);
     }
-    if entry.backoff_until > now || !cluster.teams[entry.team.as_usize()].allows(&whole) {
+    if job.backoff_until > now || !cluster.teams[job.team.as_usize()].allows(&total_requested) {
         return None;
     }
-    let half = entry.tasks.len().div_ceil(2);
-    let try_zone = |only: Option<usize>| {
-        let mut rooms: Vec<Resources> = cluster
+    let max_per_zone = job.tasks.len().div_ceil(2);
+    let try_zone = |only_zone: Option<usize>| {
+        let mut free_by_machine: Vec<Resources> = cluster
             .machines
             .iter()
-            .map(|m| cluster.free_resources(m))
+            .map(|machine| cluster.free_resources(machine))
             .collect();
-        let mut by_zone = entry.active_by_zone.clone();
-        let mut places = Vec::new();
-        for &task in &entry.waiting {
-            let (at, machine) = cluster.machines.iter().enumerate().find(|(at, machine)| {
-                cluster.can_place(entry, machine)
-                    && machine.avoid_until <= now
-                    && !machine.has_attempt_of(job, task)
-                    && only.is_none_or(|zone| zone == machine.zone.as_usize())
-                    && (!entry.spread || (by_zone[machine.zone.as_usize()] as usize) < half)
-                    && entry.requested.fits_in(&rooms[*at])
-            })?;
-            rooms[at].sub(&entry.requested);
-            by_zone[machine.zone.as_usize()] += 1;
-            places.push((task, MachineIndex(at as u32)));
+        let mut active_by_zone = job.active_by_zone.clone();
+        let mut placements = Vec::new();
+        for &task in &job.waiting {
+            let (index, machine) =
+                cluster
+                    .machines
+                    .iter()
+                    .enumerate()
+                    .find(|(index, machine)| {
+                        cluster.can_place(job, machine)
+                            && machine.avoid_until <= now
+                            && !machine.has_attempt_of(job_index, task)
+                            && only_zone.is_none_or(|zone| zone == machine.zone.as_usize())
+                            && (!job.spread
+                                || (active_by_zone[machine.zone.as_usize()] as usize)
+                                    < max_per_zone)
+                            && job.requested.fits_in(&free_by_machine[*index])
+                    })?;
+            free_by_machine[index].sub(&job.requested);
+            active_by_zone[machine.zone.as_usize()] += 1;
+            placements.push((task, MachineIndex(index as u32)));
         }
-        Some(places)
+        Some(placements)
     };
-    if entry.one_zone {
+    if job.one_zone {
         (0..cluster.zone_names.len()).find_map(|zone| try_zone(Some(zone)))
     } else {
         try_zone(None)
--- a/src/scheduling/limit_enforcement.rs
+++ b/src/scheduling/limit_enforcement.rs
@@ -19,46 +19,57 @@
     excess: &Resources,
     now: Millis,
 ) -> Vec<(MachineIndex, usize)> {
-    let (mut cpus, mut gpus) = (excess.cpus, excess.gpus);
-    let mut running = Vec::new();
-    for (number, machine) in cluster.machines.iter().enumerate() {
-        for (at, attempt) in machine.attempts.iter().enumerate() {
+    let (mut excess_cpus, mut excess_gpus) = (excess.cpus, excess.gpus);
+    let mut candidates = Vec::new();
+    for (machine_index, machine) in cluster.machines.iter().enumerate() {
+        for (attempt_index, attempt) in machine.attempts.iter().enumerate() {
             let job = cluster.job(attempt.job);
             if job.team != team || attempt.phase == Phase::Ended {
                 continue;
             }
             if attempt.stop_grace_s.is_some() {
-                cpus -= job.requested.cpus;
-                gpus -= job.requested.gpus;
+                excess_cpus -= job.requested.cpus;
+                excess_gpus -= job.requested.gpus;
                 continue;
             }
-            let lost = graceful_stop_cost_s(cluster, attempt, now);
-            running.push((job.priority, lost, MachineIndex(number as u32), at));
+            let cost_s = graceful_stop_cost_s(cluster, attempt, now);
+            candidates.push((
+                job.priority,
+                cost_s,
+                MachineIndex(machine_index as u32),
+                attempt_index,
+            ));
         }
     }
-    running.sort_by(|a, b| b.0.cmp(&a.0).then(a.1.total_cmp(&b.1)));
-    let mut stopped: Vec<(MachineIndex, usize)> = Vec::new();
-    let mut gangs: HashSet<JobIndex> = HashSet::new();
-    let attempt_of = |machine: MachineIndex, at: usize| &cluster.machine(machine).attempts[at];
-    for &(.., machine, at) in &running {
-        let index = attempt_of(machine, at).job;
-        let job = cluster.job(index);
-        let helps = cpus > UNITS_EPSILON && job.requested.cpus > 0.0
-            || gpus > UNITS_EPSILON && job.requested.gpus > 0.0;
-        if !helps || gangs.contains(&index) {
+    candidates.sort_by(|a, b| b.0.cmp(&a.0).then(a.1.total_cmp(&b.1)));
+    let mut selected: Vec<(MachineIndex, usize)> = Vec::new();
+    let mut selected_gangs: HashSet<JobIndex> = HashSet::new();
+    let attempt_of = |machine: MachineIndex, attempt_index: usize| {
+        &cluster.machine(machine).attempts[attempt_index]
+    };
+    for &(.., machine, attempt_index) in &candidates {
+        let job_index = attempt_of(machine, attempt_index).job;
+        let job = cluster.job(job_index);
+        let reduces_excess = excess_cpus > UNITS_EPSILON && job.requested.cpus > 0.0
+            || excess_gpus > UNITS_EPSILON && job.requested.gpus > 0.0;
+        if !reduces_excess || selected_gangs.contains(&job_index) {
             continue;
         }
-        let mut parts = vec![(machine, at)];
+        let mut attempts = vec![(machine, attempt_index)];
         if job.kind == JobKind::Gang {
-            gangs.insert(index);
-            let of_gang = running.iter().map(|&(.., machine, at)| (machine, at));
-            parts = of_gang
-                .filter(|&(machine, at)| attempt_of(machine, at).job == index)
+            selected_gangs.insert(job_index);
+            let positions = candidates
+                .iter()
+                .map(|&(.., machine, attempt_index)| (machine, attempt_index));
+            attempts = positions
+                .filter(|&(machine, attempt_index)| {
+                    attempt_of(machine, attempt_index).job == job_index
+                })
                 .collect();
         }
-        cpus -= job.requested.cpus * parts.len() as f64;
-        gpus -= job.requested.gpus * parts.len() as f64;
-        stopped.extend(parts);
+        excess_cpus -= job.requested.cpus * attempts.len() as f64;
+        excess_gpus -= job.requested.gpus * attempts.len() as f64;
+        selected.extend(attempts);
     }
-    stopped
+    selected
 }
--- a/src/scheduling/preemption.rs
+++ b/src/scheduling/preemption.rs
@@ -67,22 +67,23 @@
     pub reason: PreemptionReason,
 }
 
-/// Whether a job can still wait for tasks to complete, instead of having work with objectives of
-/// its own preempted for it. Tasks complete all the time, and the teams with the least get the
-/// capacity first. When attempts were preempted without this wait, most of them had only just been
-/// placed.
+/// Whether a job can still wait for tasks to complete, before work that has objectives is preempted
+/// for it. Tasks complete all the time, and the teams with the least get the capacity first. When
+/// attempts were preempted without this wait, most of them had only just been placed.
 fn can_wait_for_completions(cluster: &ClusterState, job: &Job, now: Millis) -> bool {
     if job.kind == JobKind::Service {
         return false;
     }
-    let tightest = job
+    let tightest_slack_s = job
         .objective_slacks_s
         .first()
         .copied()
         .unwrap_or(f64::INFINITY);
-    let tightest = tightest.min(cluster.guarantee_objective_s.unwrap_or(f64::INFINITY));
-    let patience = (PREEMPTION_PATIENCE_FRACTION * tightest).min(MAX_PREEMPTION_PATIENCE_S);
-    now < job.first_seen_at + millis(patience)
+    let tightest_slack_s =
+        tightest_slack_s.min(cluster.guarantee_objective_s.unwrap_or(f64::INFINITY));
+    let patience_s =
+        (PREEMPTION_PATIENCE_FRACTION * tightest_slack_s).min(MAX_PREEMPTION_PATIENCE_S);
+    now < job.first_seen_at + millis(patience_s)
 }
 
 /// Selects the attempts to preempt, by a trial fit: for each team's waiting tasks that fit on no
@@ -93,7 +94,7 @@
     now: Millis,
     scope: PreemptionScope,
 ) -> Vec<PreemptionVictim> {
-    let is_included = |&(_, _, job): &QueueKey| scope.includes(cluster.job(job));
+    let is_included = |&(_, _, job_index): &QueueKey| scope.includes(cluster.job(job_index));
     if !cluster
         .teams
         .iter()
@@ -108,10 +109,10 @@
         .map(|team| cluster.accounted_units(&team.reserved))
         .collect();
     let mut fleet = TrialFleet::new(cluster, &reserved, &deserved);
-    let mut order: Vec<usize> = (0..cluster.teams.len()).collect();
-    order.sort_by_key(|&team| to_milli_units(reserved[team]));
+    let mut team_order: Vec<usize> = (0..cluster.teams.len()).collect();
+    team_order.sort_by_key(|&team| to_milli_units(reserved[team]));
     let mut victims = Vec::new();
-    for team in order {
+    for team in team_order {
         // Beyond its guarantee a team waits for capacity that others release: by the protocol, work
         // of the same or a higher priority may not be stopped to give a team more than its
         // guarantee.
@@ -120,17 +121,17 @@
             cluster,
             now,
             team: TeamIndex(team as u32),
-            entitled_units: deserved[team].min(guarantee) - reserved[team],
+            remaining_entitled_units: deserved[team].min(guarantee) - reserved[team],
             reserved: cluster.teams[team].reserved,
             failed_trials: Vec::new(),
         };
-        for &(_, _, job) in &cluster.teams[team].queue {
-            let entry = cluster.job(job);
+        for &(_, _, job_index) in &cluster.teams[team].queue {
+            let job = cluster.job(job_index);
             // Nothing is preempted for a quarantined job.
-            if entry.backoff_until > now || entry.quarantined || !scope.includes(entry) {
+            if job.backoff_until > now || job.quarantined || !scope.includes(job) {
                 continue;
             }
-            trial.try_job(job, &mut fleet, &mut victims);
+            trial.try_job(job_index, &mut fleet, &mut victims);
         }
     }
     victims
@@ -143,7 +144,7 @@
     team: TeamIndex,
     /// How many more units the team may reserve within both its deserved share and its guarantee;
     /// negative if it exceeds one of them.
-    entitled_units: f64,
+    remaining_entitled_units: f64,
     /// What the team will have reserved, including the tasks for which victims were selected.
     reserved: Resources,
     failed_trials: Vec<FailedTrial>,
@@ -153,26 +154,26 @@
     /// Selects victims for as many of the job's waiting tasks as would then fit.
     fn try_job(
         &mut self,
-        job: JobIndex,
+        job_index: JobIndex,
         fleet: &mut TrialFleet,
         victims: &mut Vec<PreemptionVictim>,
     ) {
         let cluster = self.cluster;
-        let entry = cluster.job(job);
-        let units = cluster.accounted_units(&entry.requested);
-        let can_wait = can_wait_for_completions(cluster, entry, self.now);
+        let job = cluster.job(job_index);
+        let units = cluster.accounted_units(&job.requested);
+        let can_wait = can_wait_for_completions(cluster, job, self.now);
         let starved = self.is_starved(units);
         if self
             .failed_trials
             .iter()
-            .any(|failed| failed.rules_out(entry, can_wait, starved))
+            .any(|failed| failed.rules_out(job, can_wait, starved))
         {
             return;
         }
         let mut trial = TrialFit {
             cluster,
-            job_index: job,
-            job: entry,
+            job_index,
+            job,
             team: self.team,
             can_wait,
             starved,
@@ -180,27 +181,27 @@
             now: self.now,
         };
         let mut candidates = trial.candidate_machines();
-        for _ in 0..entry.waiting.len().min(MAX_PLACEMENTS_PER_CYCLE) {
+        for _ in 0..job.waiting.len().min(MAX_PLACEMENTS_PER_CYCLE) {
             let mut reserved = self.reserved;
-            reserved.add(&entry.requested);
+            reserved.add(&job.requested);
             if self.exceeds_limit(&reserved) {
                 break;
             }
             trial.starved = self.is_starved(units);
-            let Some(chosen) = trial.choose_victims(&mut candidates) else {
-                let failed = FailedTrial::new(entry, can_wait, trial.starved);
+            let Some(task_victims) = trial.choose_victims(&mut candidates) else {
+                let failed = FailedTrial::new(job, can_wait, trial.starved);
                 self.failed_trials.extend(failed);
                 break;
             };
             self.reserved = reserved;
-            self.entitled_units -= units;
-            victims.extend(chosen);
+            self.remaining_entitled_units -= units;
+            victims.extend(task_victims);
         }
     }
 
     /// Whether a further task of `units` stays within the team's deserved share and guarantee.
     fn is_starved(&self, units: f64) -> bool {
-        units <= self.entitled_units + UNITS_EPSILON
+        units <= self.remaining_entitled_units + UNITS_EPSILON
     }
 
     fn exceeds_limit(&self, reserved: &Resources) -> bool {
--- a/src/scheduling/replica.rs
+++ b/src/scheduling/replica.rs
@@ -18,28 +18,28 @@
 /// task, its machine and the positions of the victims among the machine's attempts.
 pub(super) fn find_replica_placement(
     cluster: &ClusterState,
-    job: JobIndex,
+    job_index: JobIndex,
     task: u32,
     fallback: Option<MachineIndex>,
     now: Millis,
-    looks: &mut CandidateCache,
+    cache: &mut CandidateCache,
 ) -> Option<(u32, MachineIndex, Vec<usize>)> {
-    let entry = cluster.job(job);
+    let job = cluster.job(job_index);
     let mut best: Option<(f64, MachineIndex, Vec<usize>)> = None;
-    looks.machines_scored += cluster.machines.len();
-    for (index, machine) in cluster.machines.iter().enumerate() {
-        let index = MachineIndex(index as u32);
+    cache.machines_scored += cluster.machines.len();
+    for (machine_index, machine) in cluster.machines.iter().enumerate() {
+        let machine_index = MachineIndex(machine_index as u32);
         if !machine.is_schedulable()
             || machine.avoid_until > now
-            || (machine.spot && !entry.spot)
-            || !entry.allows_type(machine.machine_type)
-            || !entry.allows_zone(machine.zone)
-            || machine.has_attempt_of(job, task)
-            || !machine.has_image(entry.image)
+            || (machine.spot && !job.spot)
+            || !job.allows_type(machine.machine_type)
+            || !job.allows_zone(machine.zone)
+            || machine.has_attempt_of(job_index, task)
+            || !machine.has_image(job.image)
         {
             continue;
         }
-        let mut losers: Vec<(Priority, f64, usize)> = machine
+        let mut victims: Vec<(Priority, f64, usize)> = machine
             .attempts
             .iter()
             .enumerate()
@@ -47,41 +47,41 @@
                 matches!(attempt.phase, Phase::Fetching | Phase::Running)
                     && attempt.stop_grace_s.is_none()
             })
-            .filter_map(|(at, attempt)| {
-                let loser = cluster.job(attempt.job);
-                (loser.priority > entry.priority && loser.kind != JobKind::Gang).then(|| {
+            .filter_map(|(attempt_index, attempt)| {
+                let victim = cluster.job(attempt.job);
+                (victim.priority > job.priority && victim.kind != JobKind::Gang).then(|| {
                     (
-                        loser.priority,
+                        victim.priority,
                         immediate_stop_cost_s(cluster, attempt, now),
-                        at,
+                        attempt_index,
                     )
                 })
             })
             .collect();
-        losers.sort_by(|a, b| b.0.cmp(&a.0).then(a.1.total_cmp(&b.1)));
-        let mut room = cluster.free_resources(machine);
-        let mut cost = 0.0;
+        victims.sort_by(|a, b| b.0.cmp(&a.0).then(a.1.total_cmp(&b.1)));
+        let mut free = cluster.free_resources(machine);
+        let mut cost_s = 0.0;
         let mut chosen = Vec::new();
-        for (_, lost, at) in losers {
-            if entry.requested.fits_in(&room) {
+        for (_, loss_s, attempt_index) in victims {
+            if job.requested.fits_in(&free) {
                 break;
             }
-            room.add(&cluster.job(machine.attempts[at].job).requested);
-            cost += lost;
-            chosen.push(at);
+            free.add(&cluster.job(machine.attempts[attempt_index].job).requested);
+            cost_s += loss_s;
+            chosen.push(attempt_index);
         }
-        let better = best.as_ref().is_none_or(|(least, ..)| cost < *least);
-        if entry.requested.fits_in(&room) && better {
-            best = Some((cost, index, chosen));
+        let is_cheaper = best.as_ref().is_none_or(|(lowest, ..)| cost_s < *lowest);
+        if job.requested.fits_in(&free) && is_cheaper {
+            best = Some((cost_s, machine_index, chosen));
         }
     }
     // If the replica also fits on a machine that would have to fetch the image, preemption must not
     // cost more than that wait is worth.
-    let worth = fallback.map_or(f64::INFINITY, |machine| {
-        image_fetch_s(cluster, entry, cluster.machine(machine)) * WORK_S_PER_REPLICA_WAIT_S
+    let max_cost_s = fallback.map_or(f64::INFINITY, |machine| {
+        image_fetch_s(cluster, job, cluster.machine(machine)) * WORK_S_PER_REPLICA_WAIT_S
     });
     match best {
-        Some((cost, machine, victims)) if cost <= worth => Some((task, machine, victims)),
+        Some((cost_s, machine, victims)) if cost_s <= max_cost_s => Some((task, machine, victims)),
         _ => fallback.map(|machine| (task, machine, Vec::new())),
     }
 }
--- a/src/scheduling/trial_fit.rs
+++ b/src/scheduling/trial_fit.rs
@@ -134,8 +134,8 @@
         let machines = (0..self.cluster.machines.len() as u32).map(MachineIndex);
         machines
             .filter_map(|index| {
-                let (cost, _) = self.evaluate_machine(index)?;
-                Some(Reverse((cost, index)))
+                let (cost_ms, _) = self.evaluate_machine(index)?;
+                Some(Reverse((cost_ms, index)))
             })
             .collect()
     }
@@ -147,33 +147,33 @@
         &mut self,
         candidates: &mut BinaryHeap<CandidateMachine>,
     ) -> Option<Vec<PreemptionVictim>> {
-        while let Some(Reverse((known_cost, index))) = candidates.pop() {
-            let Some((cost, chosen)) = self.evaluate_machine(index) else {
+        while let Some(Reverse((queued_cost_ms, index))) = candidates.pop() {
+            let Some((cost_ms, victims)) = self.evaluate_machine(index) else {
                 continue;
             };
-            if cost > known_cost {
-                candidates.push(Reverse((cost, index)));
+            if cost_ms > queued_cost_ms {
+                candidates.push(Reverse((cost_ms, index)));
                 continue;
             }
-            self.apply(index, &chosen);
-            if let Some((cost, _)) = self.evaluate_machine(index) {
-                candidates.push(Reverse((cost, index)));
+            self.apply(index, &victims);
+            if let Some((cost_ms, _)) = self.evaluate_machine(index) {
+                candidates.push(Reverse((cost_ms, index)));
             }
-            return Some(chosen);
+            return Some(victims);
         }
         None
     }
 
     /// Frees the victims' resources on the machine and reserves those of the task there.
-    fn apply(&mut self, index: MachineIndex, chosen: &[PreemptionVictim]) {
+    fn apply(&mut self, index: MachineIndex, victims: &[PreemptionVictim]) {
         let fleet = &mut *self.fleet;
-        for victim in chosen {
+        for victim in victims {
             let attempt = &self.cluster.machine(index).attempts[victim.attempt_index];
-            let loser = self.cluster.job(attempt.job);
-            fleet.free_by_machine[index.as_usize()].add(&loser.requested);
-            let units = self.cluster.accounted_units(&loser.requested);
-            fleet.excess_by_team[loser.team.as_usize()] -= units;
-            fleet.beyond_guarantee_by_team[loser.team.as_usize()] -= units;
+            let victim_job = self.cluster.job(attempt.job);
+            fleet.free_by_machine[index.as_usize()].add(&victim_job.requested);
+            let units = self.cluster.accounted_units(&victim_job.requested);
+            fleet.excess_by_team[victim_job.team.as_usize()] -= units;
+            fleet.beyond_guarantee_by_team[victim_job.team.as_usize()] -= units;
             fleet.chosen_victims.insert((index, victim.attempt_index));
         }
         fleet.free_by_machine[index.as_usize()].sub(&self.job.requested);
@@ -199,12 +199,13 @@
             // ended.
             return Some((0, Vec::new()));
         }
-        let (mut cost_s, chosen) = self.cheapest_victims(index)?;
+        let (mut cost_s, victims) = self.cheapest_victims(index)?;
         if !machine.has_image(job.image) {
-            let rate = cluster.machine_types[machine.machine_type.as_usize()].fetch_gb_per_s;
-            cost_s += job.image_gb / rate.max(MIN_FETCH_GB_PER_S);
+            let fetch_gb_per_s =
+                cluster.machine_types[machine.machine_type.as_usize()].fetch_gb_per_s;
+            cost_s += job.image_gb / fetch_gb_per_s.max(MIN_FETCH_GB_PER_S);
         }
-        Some(((cost_s * 1000.0) as u64, chosen))
+        Some(((cost_s * 1000.0) as u64, victims))
     }
 
     /// Chooses victims, the least urgent first, then the cheapest, until the task fits; returns
@@ -214,34 +215,36 @@
         let mut free = self.fleet.free_by_machine[index.as_usize()];
         // The units of the victims chosen here, with their teams.
         let mut lost_units: Vec<(TeamIndex, f64)> = Vec::new();
-        let mut chosen = Vec::new();
+        let mut victims = Vec::new();
         let mut cost_s = 0.0;
-        for victim in self.candidate_victims(index) {
-            let loser = cluster.job(machine.attempts[victim.attempt_index].job);
-            let units = cluster.accounted_units(&loser.requested);
-            let lost: f64 = lost_units
+        for candidate in self.candidate_victims(index) {
+            let victim_job = cluster.job(machine.attempts[candidate.attempt_index].job);
+            let units = cluster.accounted_units(&victim_job.requested);
+            let lost_so_far: f64 = lost_units
                 .iter()
-                .filter(|(team, _)| *team == loser.team)
+                .filter(|(team, _)| *team == victim_job.team)
                 .map(|(_, units)| units)
                 .sum();
-            let excess = self.fleet.excess_by_team[loser.team.as_usize()];
-            if victim.reason == PreemptionReason::Share && excess - lost + UNITS_EPSILON < units {
+            let excess = self.fleet.excess_by_team[victim_job.team.as_usize()];
+            if candidate.reason == PreemptionReason::Share
+                && excess - lost_so_far + UNITS_EPSILON < units
+            {
                 continue;
             }
-            lost_units.push((loser.team, units));
-            free.add(&loser.requested);
-            cost_s += victim.cost_s + COST_PER_VICTIM_S;
-            chosen.push(PreemptionVictim {
+            lost_units.push((victim_job.team, units));
+            free.add(&victim_job.requested);
+            cost_s += candidate.cost_s + COST_PER_VICTIM_S;
+            victims.push(PreemptionVictim {
                 beneficiary: self.job_index,
                 machine: index,
-                attempt_index: victim.attempt_index,
-                reason: victim.reason,
+                attempt_index: candidate.attempt_index,
+                reason: candidate.reason,
             });
             if job.requested.fits_in(&free) {
                 break;
             }
         }
-        job.requested.fits_in(&free).then_some((cost_s, chosen))
+        job.requested.fits_in(&free).then_some((cost_s, victims))
     }
 
     /// The attempts of a machine that may be preempted, in the order in which they are chosen.
@@ -274,33 +277,36 @@
 
     /// Why the attempt may be preempted for the job; `None` if it may not.
     fn preemption_reason(&self, attempt: &Attempt) -> Option<PreemptionReason> {
-        let (job, loser) = (self.job, self.cluster.job(attempt.job));
+        let (job, victim_job) = (self.job, self.cluster.job(attempt.job));
         // An attempt that was placed for its starved class is not preempted for an array: otherwise
         // the class would immediately be starved again.
         if attempt.placed_for_fair_share && job.kind != JobKind::Service {
             return None;
         }
-        let has_objectives = !loser.latest_placements_ms.is_empty();
+        let has_objectives = !victim_job.latest_placements_ms.is_empty();
         // Replicas have no such objectives, but are protected as well: they are the last to be
         // preempted for work without objectives.
-        if self.can_wait && (loser.kind == JobKind::Service || has_objectives) {
+        if self.can_wait && (victim_job.kind == JobKind::Service || has_objectives) {
             return None;
         }
-        let units = self.cluster.accounted_units(&loser.requested);
+        let units = self.cluster.accounted_units(&victim_job.requested);
         // A task with objectives is preempted for arrays only once: small tasks, submitted in large
         // numbers by a team without a guarantee, were stopped up to 35 times each and completed too
         // late.
-        let was_preempted = job.kind != JobKind::Service && has_objectives && attempt.attempt > 1;
+        let is_retry = job.kind != JobKind::Service && has_objectives && attempt.attempt > 1;
         // Work within its team's guarantee is not preempted for an array of another team, whatever
         // its priority: the victim's team took the capacity back at the next check, and both tasks
         // were restarted every second.
-        let is_guaranteed = job.kind != JobKind::Service
-            && loser.team != self.team
-            && self.fleet.beyond_guarantee_by_team[loser.team.as_usize()] + UNITS_EPSILON < units;
-        if loser.priority > job.priority && !was_preempted && !is_guaranteed {
+        let is_within_guarantee = job.kind != JobKind::Service
+            && victim_job.team != self.team
+            && self.fleet.beyond_guarantee_by_team[victim_job.team.as_usize()] + UNITS_EPSILON
+                < units;
+        if victim_job.priority > job.priority && !is_retry && !is_within_guarantee {
             return Some(PreemptionReason::Priority);
         }
-        let is_excess = self.fleet.excess_by_team[loser.team.as_usize()] + UNITS_EPSILON >= units;
-        (self.starved && loser.team != self.team && is_excess).then_some(PreemptionReason::Share)
+        let is_excess =
+            self.fleet.excess_by_team[victim_job.team.as_usize()] + UNITS_EPSILON >= units;
+        (self.starved && victim_job.team != self.team && is_excess)
+            .then_some(PreemptionReason::Share)
     }
 }
