--- a/src/scheduling/preemption.rs
+++ b/src/scheduling/preemption.rs
@@ -1,5 +1,5 @@
-//! Who is preempted: the trial fit of waiting tasks against the excess of over-share teams and
-//! against work of lower priority.
+//! Preemption: the trial fit of waiting tasks against the excess of over-share teams and against
+//! work of lower priority.
 
 use crate::{
     cluster::{ClusterState, Job, JobIndex, MachineIndex, QueueKey, Resources, TeamIndex},
@@ -13,22 +13,23 @@
     time::{Millis, millis},
 };
 
-/// The fraction of an array's slack that it waits before others are preempted for it.
+/// The fraction of its slack that an array waits before attempts are preempted for it.
 const PREEMPTION_PATIENCE_FRACTION: f64 = 0.25;
-/// How long an array waits at most, in seconds, before others are preempted for it.
+/// The longest that an array waits, in seconds, before attempts are preempted for it.
 const MAX_PREEMPTION_PATIENCE_S: f64 = 4.0;
 
 /// Why a running task is preempted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PreemptionReason {
-    /// A starved team's task takes a place beyond what the victim's team deserves.
+    /// The beneficiary's team is below its deserved share, and the victim is part of the excess of
+    /// an over-share team.
     Share,
-    /// A job of higher priority.
+    /// The beneficiary's priority is higher.
     Priority,
 }
 
-/// The waiting tasks for which one check preempts others. Those who are to start sooner are checked
-/// for more often.
+/// The jobs for whose waiting tasks one check preempts others. Jobs that have to start sooner are
+/// checked more often.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PreemptionScope {
     /// Services only.
@@ -41,7 +42,7 @@
 
 impl PreemptionScope {
     fn includes(self, job: &Job) -> bool {
-        // A gang waits for room of its own; nobody is stopped for a part of it.
+        // A gang waits for free capacity; nothing is preempted for a part of it.
         job.kind != JobKind::Gang
             && match self {
                 PreemptionScope::Services => job.kind == JobKind::Service,
@@ -53,45 +54,47 @@
     }
 }
 
-/// An attempt that is to be stopped for a waiting task.
+/// An attempt that is to be preempted for a waiting task.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PreemptionVictim {
-    /// The job that is to have its place.
+    /// The job for whose task it is preempted.
     pub beneficiary: JobIndex,
     /// The victim's machine.
     pub machine: MachineIndex,
     /// The victim's position among the machine's attempts.
     pub attempt_index: usize,
-    /// Why it is to be stopped.
+    /// Why it is preempted.
     pub reason: PreemptionReason,
 }
 
-/// Whether an array can still do without the preemption of work that has objectives of its own: tasks
-/// end all the time, and the teams that have least get their places first. Those that were stopped at
-/// once had mostly just been placed.
+/// Whether a job can still wait for tasks to complete, before work that has objectives is preempted
+/// for it. Tasks complete all the time, and the teams with the least get the capacity first. When
+/// attempts were preempted without this wait, most of them had only just been placed.
 fn can_wait_for_completions(cluster: &ClusterState, job: &Job, now: Millis) -> bool {
     if job.kind == JobKind::Service {
         return false;
     }
-    let tightest = job
+    let tightest_slack_s = job
         .objective_slacks_s
         .first()
         .copied()
         .unwrap_or(f64::INFINITY);
-    let tightest = tightest.min(cluster.guarantee_objective_s.unwrap_or(f64::INFINITY));
-    let patience = (PREEMPTION_PATIENCE_FRACTION * tightest).min(MAX_PREEMPTION_PATIENCE_S);
-    now < job.first_seen_at + millis(patience)
+    let tightest_slack_s =
+        tightest_slack_s.min(cluster.guarantee_objective_s.unwrap_or(f64::INFINITY));
+    let patience_s =
+        (PREEMPTION_PATIENCE_FRACTION * tightest_slack_s).min(MAX_PREEMPTION_PATIENCE_S);
+    now < job.first_seen_at + millis(patience_s)
 }
 
-/// Selects the attempts to preempt, by a trial fit. For each team with waiting work that fits
-/// nowhere: would it fit if the excess of over-share teams, or work of lower priority, were stopped?
-/// Only then are those attempts selected.
+/// Selects the attempts to preempt, by a trial fit: for each team's waiting tasks that fit on no
+/// machine, it determines whether they would fit if the excess of over-share teams, or work of
+/// lower priority, were stopped. Only then are those attempts selected.
 pub fn select_preemptions(
     cluster: &ClusterState,
     now: Millis,
     scope: PreemptionScope,
 ) -> Vec<PreemptionVictim> {
-    let is_included = |&(_, _, job): &QueueKey| scope.includes(cluster.job(job));
+    let is_included = |&(_, _, job_index): &QueueKey| scope.includes(cluster.job(job_index));
     if !cluster
         .teams
         .iter()
@@ -106,41 +109,43 @@
         .map(|team| cluster.accounted_units(&team.reserved))
         .collect();
     let mut fleet = TrialFleet::new(cluster, &reserved, &deserved);
-    let mut order: Vec<usize> = (0..cluster.teams.len()).collect();
-    order.sort_by_key(|&team| to_milli_units(reserved[team]));
+    let mut team_order: Vec<usize> = (0..cluster.teams.len()).collect();
+    team_order.sort_by_key(|&team| to_milli_units(reserved[team]));
     let mut victims = Vec::new();
-    for team in order {
-        // Beyond its guarantee a team waits for what others return: the protocol lets nobody stop
-        // work of the same or a higher priority for more than a guarantee.
+    for team in team_order {
+        // Beyond its guarantee a team waits for capacity that others release: by the protocol, work
+        // of the same or a higher priority may not be stopped to give a team more than its
+        // guarantee.
         let guarantee = cluster.accounted_units(&cluster.teams[team].guarantee);
         let mut trial = TeamTrial {
             cluster,
             now,
             team: TeamIndex(team as u32),
-            entitled_units: deserved[team].min(guarantee) - reserved[team],
+            remaining_entitled_units: deserved[team].min(guarantee) - reserved[team],
             reserved: cluster.teams[team].reserved,
             failed_trials: Vec::new(),
         };
-        for &(_, _, job) in &cluster.teams[team].queue {
-            let entry = cluster.job(job);
-            // Nobody is preempted for a quarantined job.
-            if entry.backoff_until > now || entry.quarantined || !scope.includes(entry) {
+        for &(_, _, job_index) in &cluster.teams[team].queue {
+            let job = cluster.job(job_index);
+            // Nothing is preempted for a quarantined job.
+            if job.backoff_until > now || job.quarantined || !scope.includes(job) {
                 continue;
             }
-            trial.try_job(job, &mut fleet, &mut victims);
+            trial.try_job(job_index, &mut fleet, &mut victims);
         }
     }
     victims
 }
 
-/// The trial of one team's waiting jobs.
+/// The trial fit of one team's waiting jobs.
 struct TeamTrial<'a> {
     cluster: &'a ClusterState,
     now: Millis,
     team: TeamIndex,
-    /// How many more units the team could get of what it deserves and is guaranteed.
-    entitled_units: f64,
-    /// What the team would have reserved.
+    /// How many more units the team may reserve within both its deserved share and its guarantee;
+    /// negative if it exceeds one of them.
+    remaining_entitled_units: f64,
+    /// What the team will have reserved, including the tasks for which victims were selected.
     reserved: Resources,
     failed_trials: Vec<FailedTrial>,
 }
@@ -149,26 +154,26 @@
     /// Selects victims for as many of the job's waiting tasks as would then fit.
     fn try_job(
         &mut self,
-        job: JobIndex,
+        job_index: JobIndex,
         fleet: &mut TrialFleet,
         victims: &mut Vec<PreemptionVictim>,
     ) {
         let cluster = self.cluster;
-        let entry = cluster.job(job);
-        let units = cluster.accounted_units(&entry.requested);
-        let can_wait = can_wait_for_completions(cluster, entry, self.now);
+        let job = cluster.job(job_index);
+        let units = cluster.accounted_units(&job.requested);
+        let can_wait = can_wait_for_completions(cluster, job, self.now);
         let starved = self.is_starved(units);
         if self
             .failed_trials
             .iter()
-            .any(|failed| failed.rules_out(entry, can_wait, starved))
+            .any(|failed| failed.rules_out(job, can_wait, starved))
         {
             return;
         }
         let mut trial = TrialFit {
             cluster,
-            job_index: job,
-            job: entry,
+            job_index,
+            job,
             team: self.team,
             can_wait,
             starved,
@@ -176,27 +181,27 @@
             now: self.now,
         };
         let mut candidates = trial.candidate_machines();
-        for _ in 0..entry.waiting.len().min(MAX_PLACEMENTS_PER_CYCLE) {
+        for _ in 0..job.waiting.len().min(MAX_PLACEMENTS_PER_CYCLE) {
             let mut reserved = self.reserved;
-            reserved.add(&entry.requested);
+            reserved.add(&job.requested);
             if self.exceeds_limit(&reserved) {
                 break;
             }
             trial.starved = self.is_starved(units);
-            let Some(chosen) = trial.choose_victims(&mut candidates) else {
-                let failed = FailedTrial::new(entry, can_wait, trial.starved);
+            let Some(task_victims) = trial.choose_victims(&mut candidates) else {
+                let failed = FailedTrial::new(job, can_wait, trial.starved);
                 self.failed_trials.extend(failed);
                 break;
             };
             self.reserved = reserved;
-            self.entitled_units -= units;
-            victims.extend(chosen);
+            self.remaining_entitled_units -= units;
+            victims.extend(task_victims);
         }
     }
 
-    /// Whether a task of so many units would be within what the team deserves and is guaranteed.
+    /// Whether a further task of `units` stays within the team's deserved share and guarantee.
     fn is_starved(&self, units: f64) -> bool {
-        units <= self.entitled_units + UNITS_EPSILON
+        units <= self.remaining_entitled_units + UNITS_EPSILON
     }
 
     fn exceeds_limit(&self, reserved: &Resources) -> bool {
