--- a/src/cluster/attempt.rs
+++ b/src/cluster/attempt.rs
@@ -1,23 +1,23 @@
-//! Attempts: single tries at running a task, on one machine.
+//! Attempts: single executions of a task, each on one machine.
 
 use crate::{cluster::index::JobIndex, protocol::worker::FailureCause, time::Millis};
 
-/// How far an attempt has come, as far as is known.
+/// The last known phase of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Placed; no report has shown it yet.
+    /// Placed; no heartbeat has listed it yet.
     Placed,
-    /// The machine fetches the image.
+    /// The machine is fetching the image.
     Fetching,
-    /// It runs.
+    /// The task is running.
     Running,
-    /// It saves its state before it stops.
+    /// The task is saving its state before it stops.
     Saving,
-    /// It has ended.
+    /// The attempt has ended.
     Ended,
 }
 
-/// One try at running a task, on one machine.
+/// One execution of a task, on one machine.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// The job of the task.
@@ -26,34 +26,35 @@
     pub task: u32,
     /// The attempt's number, counted from 1 for each task.
     pub attempt: u32,
-    /// How far it has come.
+    /// Its last known phase.
     pub phase: Phase,
     /// Why it ended.
     pub cause: Option<FailureCause>,
-    /// When it was placed, or taken over.
+    /// When it was placed, or recovered by a leader that took over.
     pub placed_at: Millis,
-    /// When it was first known to run.
+    /// When this leader first learned that it is running.
     pub running_since: Option<Millis>,
     /// A start was sent, by this leader or perhaps by an earlier one.
     pub start_sent: bool,
-    /// Recovered from the predecessor's log, and not reported yet. It is never started again: the
-    /// predecessor may have found it gone and placed others in its room without a log entry.
+    /// It was recovered from the previous leader's log and is not reported by its worker yet. Its start is
+    /// never sent again: the previous leader may have found that it is gone and have placed other tasks on
+    /// the freed resources, which are not in the log yet.
     pub recovered: bool,
-    /// A direct start is in flight.
+    /// A start that was sent directly to the worker is in flight.
     pub direct_start_in_flight: bool,
-    /// The number of the heartbeat whose answer carried a start.
+    /// The number of the heartbeat whose response contained the start.
     pub started_by_heartbeat: Option<u64>,
-    /// A start may arrive late until the worker has reported this token.
+    /// A start may arrive late until the worker has reported a fencing token at least as high as this.
     pub fencing_token: u64,
     /// The term under which a start was last sent directly, by this leader or perhaps by an earlier
-    /// one; 0: never. Even one that was answered may arrive once more.
+    /// one; 0 if none was. The network may deliver even an acknowledged start a second time.
     pub direct_start_term: u64,
-    /// It is to be stopped, with this many seconds to save.
+    /// Set if it has to be stopped: the seconds that the task gets to save its state.
     pub stop_grace_s: Option<f64>,
-    /// The stop was sent directly.
+    /// The stop was sent directly to the worker.
     pub stop_sent: bool,
-    /// It has ended, and its task was completed or requeued.
+    /// It has ended, and its task was marked as completed or put back into the queue.
     pub reconciled: bool,
-    /// Placed because its class was starved: it is not preempted for arrays.
+    /// It was placed because its workload class was starved; arrays can't preempt it.
     pub placed_for_fair_share: bool,
 }
--- a/src/cluster/durability.rs
+++ b/src/cluster/durability.rs
@@ -1,4 +1,4 @@
-//! What the store holds of the tasks' changes: those not logged yet, and stored snapshots.
+//! Durability of task changes: which are not stored yet, and which snapshots are stored.
 
 use std::{collections::BTreeSet, ops::RangeInclusive};
 
@@ -14,7 +14,8 @@
 };
 
 impl ClusterState {
-    /// The store holds what is known of these tasks: their starts and reaps may be sent.
+    /// Marks the machines of these tasks for commands: the tasks' changes were stored, so that their starts
+    /// and reaps may be sent.
     pub fn mark_machines_for_commands(&mut self, tasks: &BTreeSet<(JobIndex, u32)>) {
         for &(job, task) in tasks {
             let task = self.jobs[job.as_usize()].tasks.get(task as usize);
@@ -24,13 +25,14 @@
         }
     }
 
-    /// Whether the store holds what is known of the task: where it was placed, or that it is done.
+    /// Whether the task's latest change is stored: its placement or its completion.
     pub fn is_durable(&self, job: JobIndex, task: u32) -> bool {
         !self.unlogged_tasks.contains(&(job, task))
             && !self.tasks_being_logged.contains(&(job, task))
     }
 
-    /// Whether an attempt has ended, and its result is known beyond its worker.
+    /// Whether an attempt has ended and its result is processed. A completion also has to be stored, unless
+    /// the job is over.
     pub fn is_acknowledged(&self, attempt: &Attempt) -> bool {
         attempt.phase == Phase::Ended
             && attempt.reconciled
@@ -47,7 +49,7 @@
             .is_none()
     }
 
-    /// The store holds a snapshot with this version; 0: it does not.
+    /// Records the version of the key of a job's snapshot; 0 if the snapshot is not stored.
     pub fn record_snapshot_version(&mut self, id: JobId, page: SnapshotNumber, version: u64) {
         let Some(&job) = self.jobs_by_id.get(&id) else {
             return;
@@ -66,7 +68,7 @@
         }
     }
 
-    /// The stored snapshots of a job, with their versions.
+    /// The stored snapshots of a job, with the versions of their keys.
     pub fn stored_snapshots(&self, index: JobIndex) -> Vec<(SnapshotNumber, u64)> {
         let job = self.job(index);
         let ranges = job.task_ranges.iter().zip(0..);
@@ -82,7 +84,8 @@
             .collect()
     }
 
-    /// Forgets a job that is over, unless a write in flight still names it. Returns whether it did.
+    /// Frees the slot of a job that is over, unless a write in flight refers to it. Returns whether it was
+    /// freed.
     pub fn free_job(&mut self, index: JobIndex) -> bool {
         if self
             .tasks_being_logged
@@ -100,7 +103,7 @@
     }
 }
 
-/// The range of the keys of all tasks of a job.
+/// The range of the (job, task) keys of all tasks of a job.
 pub(super) fn task_keys_of_job(job: JobIndex) -> RangeInclusive<(JobIndex, u32)> {
     (job, 0)..=(job, u32::MAX)
 }
--- a/src/cluster/fault_attribution.rs
+++ b/src/cluster/fault_attribution.rs
@@ -1,40 +1,43 @@
-//! Who is at fault when tasks fail. A faulty machine fails the tasks of every job; a job that was
-//! submitted with a mistake fails on every machine. What tells them apart is who else fails where, and
-//! who gets anywhere elsewhere.
+//! Decides whether the machine or the job is at fault when tasks fail. On a faulty machine the tasks of
+//! every job fail; a job that was submitted with a mistake fails on every machine. They are distinguished by
+//! which other jobs fail on the same machines and which jobs make progress on other machines.
 
 use crate::{
     cluster::{ClusterState, Job, JobIndex, MachineIndex, MachineState, Phase, TaskStatus},
     time::Millis,
 };
 
-/// Machines on which a job must have failed, none of which failed another job that is not at fault
-/// itself, before the mistake is held to be the job's.
+/// The number of machines on which a job must have failed, with no failures of other jobs that are not
+/// quarantined, before the job is considered to be at fault.
 const QUARANTINE_MACHINE_COUNT: usize = 3;
-/// Jobs that must have failed on a machine, or tasks of sound ones, with none succeeding there since.
+/// The number of failures since the last success on a machine that make it count as faulty: one for each
+/// failed job, or one for each failed task of a job that has completed tasks.
 const FAULTY_MACHINE_FAILURES: usize = 2;
-/// The part of the fleet, as a divisor, that may be on its way out for failing: a wrong guess must not
-/// empty it.
+/// At most the fleet size divided by this may be draining when a machine is drained for failures: a wrong
+/// decision must not drain the whole fleet.
 const MAX_DRAINING_DIVISOR: usize = 3;
-/// Machines that a job keeps away from after failing there.
+/// The number of machines that a job avoids after its tasks failed on them.
 const MAX_REMEMBERED_MACHINES: usize = 4;
-/// How long it does so: they may have been sound but for a while, and the only ones with room.
+/// How long a job avoids them. It ends because the failures may have been temporary, and because no
+/// other machine may have free capacity.
 const JOB_AVOIDS_MACHINE_MS: Millis = 40_000;
-/// How long a machine that failed a task is passed over.
+/// How long no task is placed on a machine after a task failed on it.
 const MACHINE_AVOIDED_MS: Millis = 10_000;
-/// A task that has run for this long got somewhere: those with a mistake fail at once.
+/// A task that has run for this long has made progress: tasks of a job with a mistake fail immediately.
 pub const PROGRESS_RUN_MS: Millis = 5000;
 const INITIAL_BACKOFF_MS: Millis = 250;
 const MAX_BACKOFF_MS: Millis = 30_000;
 
 impl Job {
-    /// Whether its tasks keep away from the machine, on which one failed.
+    /// Whether its tasks avoid the machine because one of them failed on it.
     pub fn is_avoiding(&self, on: MachineIndex, now: Millis) -> bool {
         now < self.last_failed_at + JOB_AVOIDS_MACHINE_MS && self.recently_failed_on.contains(&on)
     }
 }
 
 impl ClusterState {
-    /// A task of the job failed on the machine.
+    /// Handles the failure of a task on a machine: delays the job's next attempts after repeated failures,
+    /// quarantines the job or drains the machine.
     pub fn on_task_failed(&mut self, index: JobIndex, on: MachineIndex, now: Millis) {
         let job = &mut self.jobs[index.as_usize()];
         job.consecutive_failures += 1;
@@ -45,7 +48,8 @@
         if job.recently_failed_on.len() > MAX_REMEMBERED_MACHINES {
             job.recently_failed_on.pop_front();
         }
-        // The first failure elsewhere is tried at once; then it backs off.
+        // After the first failure the task is retried without delay on another machine; further failures
+        // back off exponentially.
         let backoff = INITIAL_BACKOFF_MS << job.consecutive_failures.saturating_sub(1).min(7);
         if job.consecutive_failures > 1 {
             job.backoff_until = now + backoff.min(MAX_BACKOFF_MS);
@@ -53,7 +57,8 @@
         if job.quarantined {
             return;
         }
-        // One that completes tasks elsewhere is sound: each of its failures speaks against the machine.
+        // A job that has completed tasks is not at fault, so that each of its failures counts against
+        // the machine.
         let (id, sound) = (job.id, job.done_count > 0);
         let machine = &mut self.machines[on.as_usize()];
         machine.avoid_until = now + MACHINE_AVOIDED_MS;
@@ -70,11 +75,11 @@
         }
     }
 
-    /// A task of the job has completed, or has run for a while.
+    /// Handles progress of a job: one of its tasks has completed or has run for [`PROGRESS_RUN_MS`].
     pub fn on_task_progress(&mut self, index: JobIndex) {
         let job = &mut self.jobs[index.as_usize()];
         if job.quarantined {
-            tracing::info!(job = %job.id, "gets somewhere after all");
+            tracing::info!(job = %job.id, "job made progress, quarantine lifted");
             job.quarantined = false;
             job.backoff_until = 0;
             self.scheduling_needed = true;
@@ -109,13 +114,13 @@
         since.any(|since| since + PROGRESS_RUN_MS <= now)
     }
 
-    /// The mistake is the job's: it is tried one task at a time from now on, and what machines were
-    /// held to be for its sake is taken back.
+    /// Quarantines a job, so that only one of its tasks is placed at a time, and removes its failures from the
+    /// machines: those that counted as faulty because of it accept tasks again.
     fn quarantine_job(&mut self, index: JobIndex, now: Millis) {
         let job = &mut self.jobs[index.as_usize()];
         job.quarantined = true;
         let id = job.id;
-        tracing::warn!(job = %id, "fails everywhere, tried one task at a time from now on");
+        tracing::warn!(job = %id, "job fails on every machine, quarantined to one task at a time");
         for machine in &mut self.machines {
             let before = machine.recent_failures.len();
             machine.recent_failures.retain(|other| *other != id);
@@ -126,7 +131,10 @@
                 machine.avoid_until = now;
             }
             if machine.faulty && machine.recent_failures.len() < FAULTY_MACHINE_FAILURES {
-                tracing::info!(machine = machine.name, "is sound after all");
+                tracing::info!(
+                    machine = machine.name,
+                    "machine no longer considered faulty"
+                );
                 machine.faulty = false;
                 machine.draining = false;
             }
@@ -134,8 +142,8 @@
         self.scheduling_needed = true;
     }
 
-    /// Places nothing more on the machine, so that it empties and is returned, unless a `part` of the
-    /// fleet is on its way out already.
+    /// Drains a machine, so that it is released once it is idle, unless more than the fleet size divided by
+    /// `part` would then be draining; at least one may always drain. Returns whether the drain began.
     pub fn drain_for_replacement(&mut self, on: MachineIndex, part: usize, why: &str) -> bool {
         let fleet = self.machines.iter().filter(|m| m.state == MachineState::Up);
         let (all, draining) = fleet.fold((0, 0), |(a, d), m| (a + 1, d + usize::from(m.draining)));
@@ -143,7 +151,11 @@
         if machine.draining || (draining + 1) * part > all.max(part) {
             return false;
         }
-        tracing::warn!(machine = machine.name, why, "to be replaced");
+        tracing::warn!(
+            machine = machine.name,
+            why,
+            "draining machine for replacement"
+        );
         machine.draining = true;
         self.scheduling_needed = true;
         true
--- a/src/cluster/fault_attribution/tests.rs
+++ b/src/cluster/fault_attribution/tests.rs
@@ -44,9 +44,9 @@
     cluster.add_job(&spec, 0, 0).expect("a known team")
 }
 
-/// Plays generated fleets with jobs that have a mistake and machines that fail everything at once.
-/// Returns the jobs held to be at fault, the machines held to be faulty at any time and at the end,
-/// and how many starts the mistaken jobs had in the second half.
+/// Simulates a generated cluster in which some jobs have a mistake and some machines fail every task
+/// immediately. Returns the quarantined jobs and the draining machines at the end, and the number of
+/// starts that the jobs with a mistake had in the second half.
 fn simulate_failures(seed: u64, faulty: usize, mistaken: u64) -> (Vec<u64>, Vec<usize>, usize) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut cluster = cluster_with_machines(30);
@@ -87,7 +87,7 @@
     let jobs = jobs.map(|job| job.id.0).collect();
     let machines = (0..30).filter(|at| cluster.machines[*at].draining);
     let machines = machines.collect();
-    // Nobody gives way for them, and a successor is told.
+    // No task is preempted for the quarantined jobs, and the stored records list them for the next leader.
     assert!(scheduling::select_preemptions(&cluster, 200_000, PreemptionScope::All).is_empty());
     for machine in &mut cluster.machines {
         machine
@@ -102,8 +102,8 @@
     (jobs, machines, late_starts)
 }
 
-/// Two jobs with a mistake failed on the same machines, which were all given up for it; and their
-/// hundreds of tasks were tried on every machine again and again.
+/// Guards against two failures. Jobs with a mistake fail on the same machines, and all of those were drained
+/// as faulty. The hundreds of tasks of these jobs were retried on every machine again and again.
 #[test]
 fn failing_jobs_and_faulty_machines_are_distinguished() {
     for seed in 0..20 {
--- a/src/cluster/index.rs
+++ b/src/cluster/index.rs
@@ -1,4 +1,4 @@
-//! Dense indices of the cluster state's tables, and the interner that assigns them to names.
+//! Dense indices into the cluster state's tables, and the interner that assigns them to names.
 
 use std::collections::HashMap;
 
@@ -44,7 +44,7 @@
 }
 
 impl Interner {
-    /// The index of the name, which is assigned one if it has none.
+    /// Returns the index of the name, assigning the next one if the name is new.
     pub fn intern(&mut self, name: &str) -> u32 {
         if let Some(&index) = self.by_name.get(name) {
             return index;
@@ -54,18 +54,18 @@
         index
     }
 
-    /// The index of the name, if it has one.
+    /// Returns the index of the name, if it has one.
     pub fn get(&self, name: &str) -> Option<u32> {
         self.by_name.get(name).copied()
     }
 
-    /// The name of an index. Takes time in proportion to the number of names.
+    /// Returns the name with an index. Takes time linear in the number of names.
     pub fn name(&self, index: u32) -> Option<&str> {
         self.iter()
             .find_map(|(name, other)| (other == index).then_some(name))
     }
 
-    /// All names and their indices, in no order.
+    /// All names and their indices, in arbitrary order.
     pub fn iter(&self) -> impl Iterator<Item = (&str, u32)> {
         self.by_name.iter().map(|(name, index)| (&name[..], *index))
     }
--- a/src/cluster/job.rs
+++ b/src/cluster/job.rs
@@ -1,4 +1,4 @@
-//! Jobs: what they ask for, how their tasks stand, and by when those have to be placed.
+//! Jobs: their resource requests, the states of their tasks, and their placement deadlines.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -20,47 +20,50 @@
     time::{Millis, millis},
 };
 
-/// How long a job without objectives is taken to be able to wait, next to those with objectives.
+/// The slack assumed for a job without objectives when it is ordered among jobs with objectives.
 const NO_OBJECTIVE_SLACK_MS: Millis = 60_000;
-/// A job that can meet no objective any more yields to those that can, for this long.
+/// How much later than its last objective's placement deadline a job is ordered once it can't meet any
+/// objective, so that jobs that still can go first.
 const MISSED_OBJECTIVES_DELAY_MS: Millis = 300_000;
-/// The fraction of the slack for a later objective after which a job's turn comes.
+/// The fraction of the slack for each objective but the tightest after which a task has to be placed.
 const LATER_OBJECTIVE_FRACTION: f64 = 0.7;
-/// A task placed this shortly before it should run will be late.
+/// How long before its latest start a task has to be placed to start in time.
 const PLACEMENT_LEAD_MS: Millis = 500;
 
-/// An unfinished job, none of whose dependencies is pending.
+/// An unfinished job without pending dependencies.
 pub struct Job {
     /// Its id.
     pub id: JobId,
     /// The team that submitted it.
     pub team: TeamIndex,
-    /// Its class, which has the objectives.
+    /// Its class, which determines its objectives.
     pub class: ClassIndex,
     /// Whether it is an array, a gang or a service.
     pub kind: JobKind,
-    /// The highest of its own priority and those of the jobs that depend on it.
+    /// The highest of its own priority and the priorities of the jobs that depend on it.
     pub priority: Priority,
-    /// The priority with which it was submitted.
+    /// The priority that it was submitted with.
     pub(super) submitted_priority: Priority,
     /// When it was submitted, in milliseconds of the time of day of the node that accepted it.
     pub submitted_ms: u64,
-    /// When its last dependency was done, or it was submitted, in milliseconds of the time of day. Its
-    /// age and all its objectives except its deadline count from then.
+    /// When it became ready to run, in milliseconds of the time of day: when its last dependency was
+    /// done, or when it was submitted if it has none. Its age and all its objectives except its deadline
+    /// count from then.
     pub released_ms: u64,
-    /// By when its tasks have to be placed for the next objective that they can still meet, in
-    /// milliseconds of the time of day: the order of jobs of the same priority in their team's queue.
+    /// The time by which its tasks have to be placed to meet the next objective that they can still meet,
+    /// in milliseconds of the time of day. Jobs of the same priority are ordered by it in their team's
+    /// queue.
     pub placement_deadline_ms: u64,
-    /// When that has passed and has to be determined anew.
+    /// When the placement deadline has passed and has to be recomputed, in milliseconds of the time of day.
     pub placement_deadline_valid_until_ms: u64,
-    /// How many seconds from its release its tasks can wait for each of its objectives, and for those
-    /// of the jobs that depend on it, the tightest first.
+    /// For each of its objectives and those inherited from the jobs that depend on it: how many seconds
+    /// after its release its tasks may start at the latest. The tightest comes first.
     pub objective_slacks_s: Vec<f64>,
-    /// Those of these slacks that are for completion objectives, not for start objectives.
+    /// The subset of `objective_slacks_s` that belongs to completion objectives, not start objectives.
     pub completion_slacks_s: Vec<f64>,
-    /// How many milliseconds from its release a task has to be placed for each of the slacks.
+    /// For each of `objective_slacks_s`: how many milliseconds after its release a task has to be placed.
     pub latest_placements_ms: Vec<Millis>,
-    /// When this node first knew of it.
+    /// When it was added to this node's cluster state.
     pub first_seen_at: Millis,
     /// What each of its tasks requests.
     pub requested: Resources,
@@ -84,43 +87,43 @@
     pub checkpoint_s: f64,
     /// How long saving takes, in seconds.
     pub save_s: f64,
-    /// By when it should be done, in seconds from its submission.
+    /// The time by which it should be done, in seconds from its submission.
     pub deadline_s: Option<f64>,
     /// Its tasks, by their index.
     pub tasks: Vec<Task>,
-    /// The stored snapshots, by task range.
+    /// The states of its stored snapshots, by task range.
     pub task_ranges: Vec<TaskRange>,
-    /// Snapshots of another range length, with their versions: they are read, never written, and
-    /// deleted in the end.
+    /// Stored snapshots with another range length than `task_range_len`, with the versions of their keys.
+    /// They are read, never written, and deleted when the job is over.
     pub foreign_snapshots: Vec<(SnapshotNumber, u64)>,
-    /// The tasks that are to be placed.
+    /// The tasks that wait to be placed.
     pub waiting: BTreeSet<u32>,
     /// How many tasks are done.
     pub done_count: u32,
-    /// How many tasks are known to run or save.
+    /// How many tasks are running or saving their state, according to heartbeats.
     pub running_count: u32,
-    /// How many attempts may be on a machine, by zone.
+    /// How many attempts may be running, by zone.
     pub active_by_zone: Vec<u32>,
-    /// It is over: nothing of it is placed any more.
+    /// It is over: none of its tasks is placed any more.
     pub closed: bool,
-    /// Its outcome is being written.
+    /// A write of its outcome is in flight.
     pub finishing: bool,
-    /// Nothing of it is placed before this time, after failures.
+    /// After failures, none of its tasks is placed before this time.
     pub backoff_until: Millis,
     /// Failures since a task last made progress.
     pub consecutive_failures: u32,
-    /// It fails on every machine, and is tried one task at a time.
+    /// It fails on every machine; only one of its tasks is placed at a time.
     pub quarantined: bool,
-    /// What its completed tasks took, in seconds.
+    /// The mean run time of its completed tasks, in seconds.
     pub mean_runtime_s: RunningMean,
-    /// Machines on which it failed lately.
+    /// Machines on which its tasks failed recently, the latest last.
     pub recently_failed_on: VecDeque<MachineIndex>,
-    /// When a task of it last failed.
+    /// When one of its tasks last failed.
     pub last_failed_at: Millis,
 }
 
 impl Job {
-    /// Its place in its team's queue.
+    /// Its key in its team's queue.
     pub fn queue_key(&self, index: JobIndex) -> QueueKey {
         (self.priority, self.placement_deadline_ms, index)
     }
@@ -133,13 +136,14 @@
         }
     }
 
-    /// Sets how many seconds from its release its tasks can wait to start, and to end, in time.
+    /// Sets its slacks, in seconds from its release: those of its start objectives and those of its
+    /// completion objectives.
     pub(super) fn set_slacks(&mut self, to_start: &[f64], to_end: Vec<f64>) {
         let mut waits = [to_start, &to_end].concat();
         waits.sort_by(f64::total_cmp);
         self.completion_slacks_s = to_end;
-        // Tasks that missed an objective must not wait for the last moment again: many would reach
-        // theirs at once.
+        // After a missed objective, tasks are due well before the last moment of the next one:
+        // otherwise many of them reach their last moment at the same time.
         let latest = waits.iter().enumerate().map(|(number, wait)| {
             let part = if number == 0 {
                 1.0
@@ -152,7 +156,8 @@
         self.objective_slacks_s = waits;
     }
 
-    /// Sets its placement deadline for the first objective that can still be met at `wall_ms`.
+    /// Sets its placement deadline for the first objective that can still be met at `wall_ms`, in
+    /// milliseconds of the time of day.
     pub(super) fn refresh_placement_deadline(&mut self, wall_ms: u64) {
         let waited = wall_ms.saturating_sub(self.released_ms);
         let next = self
@@ -176,7 +181,7 @@
         self.kind != JobKind::Service && self.done_count as usize == self.tasks.len()
     }
 
-    /// Whether a further task may be in `zone`, given the others.
+    /// Whether another task may be placed in `zone`, given where its other tasks may be running.
     pub fn allows_zone(&self, zone: ZoneIndex) -> bool {
         if self.zone.is_some_and(|only| only != zone) {
             return false;
@@ -194,7 +199,7 @@
             || (self.active_by_zone[zone.as_usize()] as usize) < self.tasks.len().div_ceil(2)
     }
 
-    /// How many of its tasks may be placed now. Of a quarantined job one at a time is tried.
+    /// How many of its tasks may be placed now. A quarantined job may run one task at a time.
     pub fn placeable_tasks(&self) -> usize {
         let waiting = self.waiting.len();
         if !self.quarantined {
--- a/src/cluster/machine.rs
+++ b/src/cluster/machine.rs
@@ -1,4 +1,4 @@
-//! Machines: how they stand, what they hold, and what may be placed there.
+//! Machines: their states, the attempts and images on them, and which tasks may be placed on them.
 
 use crate::{
     cluster::{
@@ -13,22 +13,22 @@
     time::Millis,
 };
 
-/// How a machine stands.
+/// The lifecycle state of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineState {
-    /// Rented, not heard from.
+    /// Provisioned; its worker has not sent a heartbeat yet.
     Booting,
-    /// It sends heartbeats.
+    /// Its worker sends heartbeats.
     Up,
-    /// Its lease has surely expired without a heartbeat.
+    /// Its worker's lease has expired by every node's clock without a heartbeat.
     Lost,
-    /// Its deletion is in flight.
+    /// A request to delete it is in flight.
     Deleting,
     /// Deleted.
     Gone,
 }
 
-/// A rented machine, with its worker.
+/// A provisioned machine and its worker.
 pub struct Machine {
     /// Its unique name.
     pub name: String,
@@ -40,67 +40,70 @@
     pub zone: ZoneIndex,
     /// The cloud may reclaim it at any time.
     pub spot: bool,
-    /// How it stands.
+    /// Its lifecycle state.
     pub state: MachineState,
-    /// The worker's incarnation; 0: not known.
+    /// The worker's incarnation; 0 if it is not known.
     pub incarnation: u64,
-    /// The sequence number of its latest report.
+    /// The sequence number of its latest heartbeat.
     pub seq: u64,
-    /// The highest fencing token that it has reported.
+    /// The highest fencing token that its worker has reported.
     pub token: u64,
-    /// How many heartbeats that were news it has sent.
+    /// How many heartbeats were received, without outdated ones and responses to direct commands.
     pub heartbeats_received: u64,
-    /// When it was last heard from.
+    /// When its latest heartbeat arrived.
     pub last_heartbeat_at: Option<Millis>,
-    /// When its worker's lease, as far as this cluster may have renewed it, has surely expired.
+    /// The time by which its worker's lease has certainly expired, given every renewal that a node of this
+    /// cluster may have sent.
     pub lease_until: Millis,
-    /// When the cloud reclaims it.
+    /// When the cloud reclaims it, if the worker got a notice.
     pub reclaim_at: Option<Millis>,
-    /// When it was entered.
+    /// When it was added to the cluster state.
     pub known_since: Millis,
-    /// When the rental began, by this node's clock; negative times are cut off.
+    /// When it was provisioned, by this node's clock; 0 if that was before the clock began.
     pub provisioned_at: Millis,
-    /// The cloud has listed it.
+    /// A listing of the cloud has contained it.
     pub listed: bool,
-    /// How many of the latest listings did not have it.
+    /// The number of consecutive latest listings of the cloud that lacked it.
     pub missed_listings: u32,
     /// When the cloud first listed it as running.
     pub listed_running: Option<Millis>,
     /// The cloud lists it as failed.
     pub listed_failed: bool,
-    /// The attempts that may be there, and those that ended and are not forgotten.
+    /// The attempts that may be running on it, and the ended ones that are not reaped yet.
     pub attempts: Vec<Attempt>,
-    /// What its attempts that may be running hold.
+    /// The resources reserved for its attempts that may be running.
     pub reserved: Resources,
-    /// Images on its disk with their sizes in gigabytes, the latest used last.
+    /// Images on its disk with their sizes in gigabytes, the most recently used last.
     pub cached_images: Vec<(ImageIndex, f64)>,
-    /// Since when nothing has run there.
+    /// The time since which no attempt has been running on it.
     pub idle_since: Millis,
-    /// A direct command is in flight.
+    /// A direct command to its worker is in flight.
     pub command_in_flight: bool,
-    /// Nothing new is placed there; once idle it is returned.
+    /// No new task is placed on it; it is released once it is idle.
     pub draining: bool,
-    /// Silent for longer than its heartbeats take: nothing new is placed there.
+    /// Its heartbeat is overdue: no new task is placed on it.
     pub unresponsive: bool,
-    /// Jobs that failed there since a task last succeeded.
+    /// Jobs whose tasks failed on it since a task last succeeded on it.
     pub recent_failures: Vec<JobId>,
-    /// It is to be replaced for its failures.
+    /// It is being drained because tasks keep failing on it.
     pub faulty: bool,
-    /// How long its tasks take, as a multiple of what other tasks of their jobs take.
+    /// The mean run time of its tasks, as a multiple of the mean run times of their jobs.
     pub mean_slowdown: RunningMean,
-    /// It is passed over until then.
+    /// No task is placed on it before this time.
     pub avoid_until: Millis,
-    /// A start that was sent there got no answer, or all that is known of it is a report that may be old:
-    /// until the worker answers or reports a token as high as this, it may hear nothing or be gone. 0: none.
+    /// Set if a start got no response, or if the only heartbeat of the machine may be an old one: the worker
+    /// may not receive commands, or the machine may be gone, until the worker responds to a command or
+    /// reports a fencing token at least as high as this. 0 if the worker is reachable.
     pub unconfirmed_token: u64,
-    /// Work was preempted there for this job: until that time the room is not available to other jobs of
-    /// the same or a lower priority. Without that the heap of teams gave it back to the team that it was
-    /// taken from, and the next preemption took it again.
+    /// The job that tasks were preempted for on this machine, and the end of its reservation: until then
+    /// the free resources are not available to other jobs of the same or a lower priority. Without the
+    /// reservation, the fair-share order of teams returned the resources to the team that had lost them, and
+    /// the next preemption took them again.
     pub reserved_for: Option<(JobIndex, Millis)>,
 }
 
 impl Machine {
-    /// Whether it holds an attempt of the task, ended or not.
+    /// Whether an attempt of the task is listed for it, ended or not.
     pub fn has_attempt_of(&self, job: JobIndex, task: u32) -> bool {
         self.attempts.iter().any(|a| a.job == job && a.task == task)
     }
@@ -110,12 +113,12 @@
         self.cached_images.iter().any(|(held, _)| *held == image)
     }
 
-    /// Whether new tasks may be placed there.
+    /// Whether new tasks may be placed on it.
     pub fn is_schedulable(&self) -> bool {
         !self.draining && self.can_receive_commands()
     }
 
-    /// Whether it is up and stays so, by all that is known, and commands reach it.
+    /// Whether it is up, no reclaim is announced, and its worker is expected to receive commands.
     pub fn can_receive_commands(&self) -> bool {
         self.state == MachineState::Up
             && !self.unresponsive
@@ -123,27 +126,29 @@
             && self.unconfirmed_token <= self.token
     }
 
-    /// Whether a start of this attempt may still reach the worker, whatever its reports say.
+    /// Whether a start of this attempt may still reach the worker, even if its latest heartbeat does not list
+    /// the attempt.
     pub fn has_start_in_flight(&self, attempt: &Attempt) -> bool {
         attempt.direct_start_in_flight
             || attempt.started_by_heartbeat == Some(self.heartbeats_received)
             || attempt.fencing_token > self.token
     }
 
-    /// Whether the worker may forget an attempt that has ended. A copy of its start, however late, would start it
-    /// again, beside the next attempt or what else its team runs, unless the worker has seen a higher token since.
+    /// Whether the worker may reap an attempt that has ended. A delayed duplicate of its start would run it a
+    /// second time, in parallel with the next attempt or with other tasks that its team runs by then,
+    /// unless the worker has received a higher fencing token since.
     pub fn can_reap(&self, attempt: &Attempt) -> bool {
         attempt.direct_start_term < self.token || attempt.direct_start_term == 0
     }
 
-    /// Whether nothing runs there or may yet.
+    /// Whether all its attempts have ended.
     pub fn is_idle(&self) -> bool {
         self.attempts.iter().all(|a| a.phase == Phase::Ended)
     }
 }
 
 impl ClusterState {
-    /// Enters a machine, or finds the one of that name.
+    /// Adds a machine in state [`MachineState::Booting`], or returns the index of the one with that name.
     pub fn add_machine(
         &mut self,
         name: &str,
@@ -198,8 +203,9 @@
         index
     }
 
-    /// Restores what the previous leader knew of a machine: its images, and whether it is draining.
-    /// Without that, a new leader filled a machine that fails every task once more.
+    /// Restores a machine's cached images (names, and sizes in gigabytes) and whether it is draining, from
+    /// the previous leader's record. Without that, a new leader placed tasks again on a machine that
+    /// fails every task.
     pub fn restore_machine_hints(
         &mut self,
         machine: String,
@@ -221,7 +227,7 @@
         }
     }
 
-    /// What the machine has and no attempt holds.
+    /// The machine's capacity minus the reservations of its attempts.
     pub fn free_resources(&self, machine: &Machine) -> Resources {
         let whole = &self.machine_types[machine.machine_type.as_usize()];
         Resources {
@@ -231,12 +237,12 @@
         }
     }
 
-    /// Whether a further task of the job may be placed on the machine and fits there.
+    /// Whether another task of the job may be placed on the machine and fits its free capacity.
     pub fn can_place(&self, job: &Job, machine: &Machine) -> bool {
         machine.is_schedulable() && self.is_feasible(job, machine)
     }
 
-    /// The same, whether or not the machine accepts new tasks.
+    /// Like [`can_place`](Self::can_place), but also for machines that accept no new tasks.
     pub fn is_feasible(&self, job: &Job, machine: &Machine) -> bool {
         (!machine.spot || job.spot)
             && job.allows_type(machine.machine_type)
@@ -244,7 +250,8 @@
             && job.allows_zone(machine.zone)
     }
 
-    /// Whether the room that is free there is reserved for another job.
+    /// Whether the machine's free capacity is reserved for another job of at least the same priority that
+    /// has waiting tasks.
     pub fn is_reserved_for_other(&self, job: JobIndex, machine: &Machine, now: Millis) -> bool {
         machine.reserved_for.is_some_and(|(other, until)| {
             let other_job = self.job(other);
@@ -255,6 +262,8 @@
         })
     }
 
+    /// Records that the image was used on the machine, evicting the least recently used images that exceed
+    /// its disk cache.
     pub(super) fn cache_image(&mut self, on: MachineIndex, image: ImageIndex, gb: f64) {
         let machine = &mut self.machines[on.as_usize()];
         machine.cached_images.retain(|(held, _)| *held != image);
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -1,11 +1,12 @@
-//! The cluster state: teams, jobs, tasks, machines and the attempts that bind them.
+//! The cluster state: teams, jobs, tasks, machines, and the attempts that assign tasks to machines.
 //!
-//! An attempt that was ever sent to a machine counts as running (for limits, spread and the
-//! machine's room) until it is *known* to be gone: a newer report denies it and no start of it can
-//! still be in flight, or the machine's lease has surely expired, or the cloud deleted the machine.
+//! An attempt whose start was ever sent to a machine counts as running (for team limits, zone spread
+//! and the machine's free resources) until it is *confirmed* gone. One of these confirms it: a newer
+//! heartbeat does not list it and no start of it can still be in flight; the machine's lease has
+//! expired by every node's clock; the cloud deleted the machine.
 //!
-//! The state knows the storage records that are built from it ([`records`]), and nothing of the
-//! scheduler that reads it.
+//! This module builds the storage records of the state ([`records`]) and does not depend on the
+//! scheduler.
 
 mod attempt;
 mod durability;
@@ -45,7 +46,7 @@
     time::Millis,
 };
 
-/// All that is known of teams, jobs and machines, kept by the leader.
+/// The leader's in-memory state of teams, unfinished jobs and machines.
 pub struct ClusterState {
     /// The teams, in the order of the settings.
     pub teams: Vec<Team>,
@@ -53,17 +54,17 @@
     pub team_interner: Interner,
     /// Indices of the zones by name.
     pub zone_interner: Interner,
-    /// Names of the zones.
+    /// Names of the zones, by index.
     pub zone_names: Vec<String>,
     /// Indices of the images by name.
     pub image_interner: Interner,
     /// Indices of the classes by name.
     pub class_interner: Interner,
-    /// Objectives by class.
+    /// Objectives, by the index of their class.
     pub objectives: Vec<ServiceLevelObjectives>,
-    /// Within how many seconds work within a guarantee is to start.
+    /// The objective for the start of work within a team's guarantee, in seconds.
     pub guarantee_objective_s: Option<f64>,
-    /// Machine types.
+    /// Machine types, by index.
     pub machine_types: Vec<MachineType>,
     /// Indices of the machine types by name.
     pub type_interner: Interner,
@@ -73,39 +74,39 @@
     pub free_job_slots: Vec<JobIndex>,
     /// Indices of the unfinished jobs by id.
     pub jobs_by_id: BTreeMap<JobId, JobIndex>,
-    /// When this leader took over. Attempts placed before have been running since a time that is not
-    /// known.
+    /// When this leader took over. The start time of attempts placed before that is unknown.
     pub leader_since: Millis,
-    /// By when all workers that are alive can be expected to have reported to this leader.
+    /// The time by which all live workers are expected to have sent a heartbeat to this leader.
     pub workers_expected_by: Millis,
-    /// How long tasks had waited that started since this was last taken, in milliseconds.
+    /// The waiting times, in milliseconds, of the tasks that started since the samples were last
+    /// drained.
     pub start_wait_samples: Vec<Millis>,
-    /// All machines that were ever entered.
+    /// All machines ever added; deleted ones keep their index.
     pub machines: Vec<Machine>,
     /// Indices of the machines by name.
     pub machines_by_name: HashMap<String, MachineIndex>,
-    /// What previous leaders knew of the images of machines, and which were draining, until the
-    /// machines are entered.
+    /// Recovered from previous leaders' records for machines that are not added yet, by machine name:
+    /// the cached images with their sizes in gigabytes, and whether the machine was draining.
     recovered_machine_hints: HashMap<String, (Vec<(ImageIndex, f64)>, bool)>,
-    /// How many tasks share a stored snapshot.
+    /// The number of tasks covered by one stored snapshot.
     pub task_range_len: u32,
-    /// Tasks with changes that the store does not hold and no write in flight carries.
+    /// Tasks with changes that are neither stored nor part of a write in flight.
     pub unlogged_tasks: BTreeSet<(JobIndex, u32)>,
-    /// Tasks whose changes are being written.
+    /// Tasks whose changes are part of a write in flight.
     pub tasks_being_logged: BTreeSet<(JobIndex, u32)>,
-    /// Machines that may need commands: an attempt placed there is stored, one has to stop, or they
-    /// have reported.
+    /// Machines that may need commands: an attempt placed there was stored, one has to stop, or the
+    /// worker sent a heartbeat.
     pub machines_needing_commands: BTreeSet<MachineIndex>,
-    /// Jobs whose last task is done, to be recorded as done.
+    /// Jobs whose tasks are all done and whose outcome has to be stored.
     pub completed_jobs: BTreeSet<JobIndex>,
-    /// The time of day less the steady time, in milliseconds.
+    /// The time of day minus the monotonic time, in milliseconds.
     wall_clock_offset_ms: i64,
-    /// Set whenever a scheduling cycle could find something new to do.
+    /// Set by each change that could let a scheduling cycle place or preempt something new.
     pub scheduling_needed: bool,
 }
 
 impl ClusterState {
-    /// A state without jobs and machines.
+    /// Creates a state without jobs and machines.
     pub fn new(settings: &Settings, types: &[MachineType]) -> Self {
         let mut team_names = Interner::default();
         let teams = settings
@@ -154,12 +155,13 @@
         cluster
     }
 
-    /// Whether GPUs are what teams share; CPUs are where there are none.
+    /// Whether teams' shares are measured in GPUs. They are measured in CPUs if no machine type has
+    /// GPUs.
     pub fn shares_gpus(&self) -> bool {
         self.machine_types.iter().any(|each| each.gpus > 0.0)
     }
 
-    /// How much of what teams share an amount is.
+    /// The part of `amounts` that teams' shares are measured in: GPUs or CPUs.
     pub fn accounted_units(&self, amounts: &Resources) -> f64 {
         if self.shares_gpus() {
             amounts.gpus
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Enters machine types, or replaces those of the same names.
+    /// Adds machine types, or replaces those with the same names.
     pub fn set_machine_types(&mut self, types: &[MachineType]) {
         for each in types {
             for zone in &each.zones {
@@ -184,7 +186,7 @@
         self.scheduling_needed = true;
     }
 
-    /// The index of a zone, which is entered if it is new.
+    /// Returns the index of a zone, adding the zone if it is new.
     pub fn intern_zone(&mut self, name: &str) -> ZoneIndex {
         let index = self.zone_interner.intern(name);
         if index as usize == self.zone_names.len() {
@@ -196,22 +198,22 @@
         ZoneIndex(index)
     }
 
-    /// The job of an index.
+    /// Returns the job at an index.
     pub fn job(&self, index: JobIndex) -> &Job {
         &self.jobs[index.as_usize()]
     }
 
-    /// The machine of an index.
+    /// Returns the machine at an index.
     pub fn machine(&self, index: MachineIndex) -> &Machine {
         &self.machines[index.as_usize()]
     }
 
-    /// Sets the time of day at the steady time `now`, both in milliseconds.
+    /// Sets the time of day at the monotonic time `now`, both in milliseconds.
     pub fn set_time_of_day(&mut self, now: Millis, wall_ms: u64) {
         self.wall_clock_offset_ms = wall_ms as i64 - now as i64;
     }
 
-    /// The time of day at the steady time `now`, in milliseconds.
+    /// The time of day at the monotonic time `now`, in milliseconds.
     pub fn wall_ms(&self, now: Millis) -> u64 {
         (now as i64 + self.wall_clock_offset_ms).max(0) as u64
     }
--- a/src/cluster/objectives.rs
+++ b/src/cluster/objectives.rs
@@ -1,21 +1,21 @@
-//! Service-level objectives: within how long the jobs of a class are to start and to end.
+//! Service-level objectives: how soon the jobs of a class have to start and to complete.
 
 use crate::{
     cluster::{ClusterState, index::ClassIndex},
     config::Objective,
 };
 
-/// The factor by which estimated run times are raised: they are often too low.
+/// The factor by which estimated run times are increased, as users' estimates are often too low.
 pub const ESTIMATE_MARGIN: f64 = 1.3;
 
-/// The objectives of a class of jobs, in seconds from their submission.
+/// The objectives of a class of jobs.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceLevelObjectives {
-    /// Within how many seconds of its release a job is to start.
+    /// Start objectives: the seconds from a job's release within which it has to start.
     pub start_s: Vec<f64>,
-    /// Within how many seconds of its release a job is to be done.
+    /// Completion objectives: the seconds from a job's release within which it has to be done.
     pub finish_s: Vec<f64>,
-    /// Multiples of a job's own deadline by which it is to be done.
+    /// Multiples of a job's own deadline within which it has to be done.
     pub deadline_multiples: Vec<f64>,
 }
 
@@ -25,7 +25,8 @@
         self.start_s.iter().copied().reduce(f64::min)
     }
 
-    /// The completion objectives of a job with a deadline, in seconds from its submission.
+    /// The completion objectives that follow from a job's deadline, both in seconds from its submission. A
+    /// class without multiples has the deadline itself as its objective.
     pub fn completion_objectives_s(&self, deadline_s: Option<f64>) -> impl Iterator<Item = f64> {
         let times = if self.deadline_multiples.is_empty() {
             &[1.0][..]
@@ -36,8 +37,9 @@
         due.flat_map(move |due| times.iter().map(move |times| due * times))
     }
 
-    /// How many seconds the tasks of a job can wait from its release, `held_s` after its submission, to
-    /// end in time. Objectives that can't be met even by starting at once are left out.
+    /// For each completion objective: how many seconds after the job's release its tasks may start at the
+    /// latest. The release is `held_s` after the submission. Objectives that can't be met even by
+    /// an immediate start are left out.
     pub(super) fn completion_slacks_s(
         &self,
         estimate_s: f64,
@@ -56,7 +58,8 @@
 }
 
 impl ClusterState {
-    /// The completion objectives of a job of a class, in seconds from its submission.
+    /// The completion objectives that follow from the deadline of a job of a class, both in seconds from its
+    /// submission.
     pub fn completion_objectives_s(&self, class: &str, deadline_s: Option<f64>) -> Vec<f64> {
         match self.class_interner.get(class) {
             Some(class) => self.objectives[class as usize]
@@ -66,6 +69,7 @@
         }
     }
 
+    /// Returns the index of a class, adding the class without objectives if it is new.
     pub(super) fn intern_class(&mut self, name: &str) -> ClassIndex {
         let index = self.class_interner.intern(name);
         if index as usize == self.objectives.len() {
@@ -74,6 +78,7 @@
         ClassIndex(index)
     }
 
+    /// Adds an objective from the settings.
     pub(super) fn add_objective(&mut self, objective: &Objective) {
         if objective.kind == "guarantee" {
             self.guarantee_objective_s = objective.target_s;
--- a/src/cluster/records.rs
+++ b/src/cluster/records.rs
@@ -1,4 +1,4 @@
-//! Storage records built from the cluster state: task snapshots, log entries and image tables.
+//! Storage records built from the cluster state: task snapshots, log records and image records.
 
 use std::{cmp::Reverse, collections::HashMap, iter::Peekable};
 
@@ -13,31 +13,32 @@
     },
 };
 
-/// Quarantined jobs that are recorded.
+/// The most quarantined jobs that are recorded.
 const MAX_QUARANTINED_JOBS_RECORDED: usize = 64;
-/// The longest id of a job as JSON, with its quotes and a comma.
+/// The length of the longest job id in JSON, with its quotes and a comma.
 const MAX_JOB_ID_JSON_BYTES: usize = 25;
-/// The bytes of a record besides its lists' entries.
+/// The length of an image record's JSON without the elements of its lists.
 const IMAGES_RECORD_HEADER_BYTES: usize = 64;
 
-/// An image on some machines.
+/// An image that some machines cache.
 struct CachedImage {
     index: ImageIndex,
     machine_count: usize,
     size_gb: f64,
 }
 
-/// The images that records name, and what each record spends on them.
+/// The images that the records list, and the JSON length of that list.
 struct ImageTable {
-    /// Name and size in gigabytes.
+    /// Names and sizes in gigabytes.
     images: Vec<(String, f64)>,
     bit_by_image: HashMap<ImageIndex, usize>,
-    /// The bytes of a record without machines and quarantined jobs.
+    /// The JSON length of a record without machines and quarantined jobs.
     header_bytes: usize,
 }
 
 impl ImageTable {
-    /// The images on the most machines come first; half of a record is left for the machines.
+    /// Lists the images on the most machines first. Half of a record's `record_bytes` is left for the
+    /// machines.
     fn new(cluster: &ClusterState, record_bytes: usize) -> Self {
         let mut names: HashMap<ImageIndex, &str> = HashMap::new();
         for (name, index) in cluster.image_interner.iter() {
@@ -65,7 +66,7 @@
         }
     }
 
-    /// A bit for each image that the machine holds, and [`REPLACEMENT_BIT`].
+    /// A bit for each listed image that the machine caches, and [`REPLACEMENT_BIT`] if it is draining.
     fn machine_bits(&self, machine: &Machine) -> u64 {
         let images = machine
             .cached_images
@@ -76,7 +77,7 @@
     }
 }
 
-/// Images of the machines that are up, those on the most machines first.
+/// The images cached on machines that are up, those on the most machines first.
 fn most_cached_images(cluster: &ClusterState) -> Vec<CachedImage> {
     let mut by_index: HashMap<ImageIndex, CachedImage> = HashMap::new();
     for &(index, size_gb) in machines_up(cluster).flat_map(|machine| &machine.cached_images) {
@@ -98,7 +99,7 @@
     machines.filter(|machine| machine.state == MachineState::Up)
 }
 
-/// The quarantined jobs that one record can name.
+/// The quarantined jobs that fit into one record: their ids take a quarter of it at most.
 fn quarantined_jobs(cluster: &ClusterState, record_bytes: usize) -> Vec<JobId> {
     let jobs = cluster.jobs_by_id.values().map(|index| cluster.job(*index));
     jobs.filter(|job| job.quarantined && !job.closed)
@@ -107,8 +108,8 @@
         .collect()
 }
 
-/// The images and faults of the machines that are up, in records whose JSON has at most
-/// `record_bytes` bytes each.
+/// The cached images and draining flags of the machines that are up, and the quarantined jobs, in records
+/// whose JSON has at most `record_bytes` bytes each.
 pub fn images_records(cluster: &ClusterState, record_bytes: usize) -> Vec<ImagesRecord> {
     let table = ImageTable::new(cluster, record_bytes);
     let mut quarantined = quarantined_jobs(cluster, record_bytes);
@@ -137,7 +138,7 @@
     records
 }
 
-/// Machines that a record names, each once.
+/// The machines that a record refers to, each listed once.
 #[derive(Default)]
 struct MachineTable {
     index_by_machine: HashMap<MachineIndex, u32>,
@@ -184,7 +185,7 @@
     }
 }
 
-/// The snapshot of a range of a job's tasks as they stand now.
+/// Builds the snapshot of one range of a job's tasks from their current states.
 pub fn snapshot_record(cluster: &ClusterState, index: JobIndex, chunk: u32) -> SnapshotRecord {
     let tasks = &cluster.job(index).tasks;
     let first = (chunk * cluster.task_range_len) as usize;
@@ -203,11 +204,11 @@
     }
 }
 
-/// An entry without any job or machine, with the largest numbers.
+/// The JSON length of a log record without jobs and machines, with the largest numbers.
 const LOG_RECORD_HEADER_BYTES: usize = 96;
 
-/// Takes tasks off the front of `tasks` for one log entry whose JSON has at most `bytes` bytes; at
-/// least one is taken.
+/// Consumes tasks from the front of `tasks` and builds one log record of them whose JSON has at most
+/// `bytes` bytes. At least one task is consumed, even if its record is longer.
 pub fn log_record(
     cluster: &ClusterState,
     tasks: &mut Peekable<impl Iterator<Item = (JobIndex, u32)>>,
--- a/src/cluster/reservations.rs
+++ b/src/cluster/reservations.rs
@@ -1,4 +1,4 @@
-//! Reservations: placing attempts, following them, and releasing what they hold.
+//! Resource reservations: placing attempts, tracking their phases, and releasing their resources.
 
 use crate::{
     cluster::{
@@ -13,7 +13,7 @@
 };
 
 impl ClusterState {
-    /// Places an attempt of a starved class.
+    /// Places an attempt of a task whose workload class is starved, so that arrays can't preempt it.
     pub fn place_for_fair_share(
         &mut self,
         job: JobIndex,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Places an attempt; its start may be sent once that is stored.
+    /// Places a new attempt of a waiting task. Its start may be sent once the placement is stored.
     pub fn place(&mut self, job: JobIndex, task: u32, on: MachineIndex, now: Millis) {
         let entry = &mut self.jobs[job.as_usize()].tasks[task as usize];
         debug_assert_eq!(entry.status, TaskStatus::Waiting);
@@ -57,7 +57,7 @@
         );
     }
 
-    /// Reserves what an attempt holds that may be running: its team's share and its machine's room.
+    /// Reserves resources for an attempt that may be running, on its machine and for its team.
     pub fn reserve(&mut self, attempt: Attempt, on: MachineIndex) {
         let machine = &mut self.machines[on.as_usize()];
         let job = &mut self.jobs[attempt.job.as_usize()];
@@ -75,7 +75,7 @@
         machine.attempts.push(attempt);
     }
 
-    /// Releases what an attempt holds: it is known to run no more.
+    /// Releases the resources of an attempt that is confirmed to have ended or to be gone.
     fn release_reservation(&mut self, on: MachineIndex, attempt: &Attempt, now: Millis) {
         let machine = &mut self.machines[on.as_usize()];
         let job = &mut self.jobs[attempt.job.as_usize()];
@@ -92,7 +92,7 @@
         self.scheduling_needed = true;
     }
 
-    /// Follows a report by which the attempt is in `phase` now.
+    /// Moves an attempt to the phase that a heartbeat reports. An ended attempt stays ended.
     pub fn advance_phase(&mut self, on: MachineIndex, at: usize, phase: Phase, now: Millis) {
         let attempt = &mut self.machines[on.as_usize()].attempts[at];
         let before = attempt.phase;
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Removes an attempt that is known to be gone. Its task, if this was still its attempt, waits
-    /// again.
+    /// Removes an attempt that is confirmed gone. Its task waits again if this was its latest attempt and its
+    /// result was not processed.
     pub fn remove_attempt(&mut self, on: MachineIndex, at: usize, now: Millis) {
         let attempt = self.machines[on.as_usize()].attempts.swap_remove(at);
         if attempt.phase != Phase::Ended {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The task waits again, if this attempt was its latest.
+    /// Puts a task back into the queue if it is active and this attempt is its latest.
     pub fn requeue(&mut self, job: JobIndex, task: u32, attempt: u32) {
         let entry = &mut self.jobs[job.as_usize()];
         let state = &mut entry.tasks[task as usize];
@@ -148,7 +148,7 @@
         self.teams[entry.team.as_usize()].queue.insert(key);
     }
 
-    /// The task has completed.
+    /// Marks a task as completed.
     pub fn complete_task(&mut self, job: JobIndex, task: u32) {
         let entry = &mut self.jobs[job.as_usize()];
         let state = &mut entry.tasks[task as usize];
@@ -167,7 +167,8 @@
         self.unlogged_tasks.insert((job, task));
     }
 
-    /// The job is over: nothing of it is placed any more, and what runs is to be stopped.
+    /// Closes a job that is over: none of its tasks is placed any more, and its attempts that may be running
+    /// have to stop, without time to save.
     pub fn close_job(&mut self, index: JobIndex) {
         let job = &mut self.jobs[index.as_usize()];
         job.closed = true;
@@ -192,7 +193,7 @@
         self.scheduling_needed = true;
     }
 
-    /// Has an attempt stopped, giving it `grace_s` seconds to save.
+    /// Requests the stop of an attempt, which gets `grace_s` seconds to save its state.
     pub fn request_stop(&mut self, on: MachineIndex, at: usize, grace_s: f64) {
         let attempt = &mut self.machines[on.as_usize()].attempts[at];
         attempt.stop_grace_s = Some(grace_s);
--- a/src/cluster/resources.rs
+++ b/src/cluster/resources.rs
@@ -11,11 +11,11 @@
     pub ram_gb: f64,
 }
 
-/// Sums of decimal amounts may miss a whole number by a rounding error.
+/// The tolerance of comparisons: sums of decimal amounts deviate from exact values by rounding errors.
 pub(super) const RESOURCE_EPSILON: f64 = 1e-6;
 
 impl Resources {
-    /// Whether this amount is available in `room`, up to rounding errors.
+    /// Whether `room` has at least this amount of each resource, up to rounding errors.
     pub fn fits_in(&self, room: &Resources) -> bool {
         self.cpus <= room.cpus + RESOURCE_EPSILON
             && self.gpus <= room.gpus + RESOURCE_EPSILON
--- a/src/cluster/straggler.rs
+++ b/src/cluster/straggler.rs
@@ -1,24 +1,25 @@
-//! Which machines are slow. Estimates are of the users' making and tasks of one job differ, so a
-//! machine's tasks are compared with what other tasks of their jobs took, and several must agree.
+//! Detection of slow machines. Users' estimates are unreliable and the run times of one job's tasks differ.
+//! A machine's tasks are therefore compared with the mean run time of their jobs' tasks, and several slow
+//! tasks are needed.
 
-#![expect(missing_docs, reason = "its items are still to be documented")]
-
-/// Completed tasks of a job from which on they are a norm.
+/// The number of completed tasks from which on a job's mean run time is used for comparison.
 const MIN_JOB_SAMPLES: u32 = 6;
-/// Tasks of a machine that must have been compared.
+/// The number of compared tasks from which on a machine can count as slow.
 const MIN_MACHINE_SAMPLES: u32 = 4;
-/// A mean over this many takes in what is new and forgets what is old.
+/// The number of samples after which each new sample has the same weight, 1 / `RUNNING_MEAN_SAMPLES`, so that
+/// older samples fade out.
 const RUNNING_MEAN_SAMPLES: u32 = 8;
-/// How many times longer than elsewhere tasks take on a machine that counts as slow. Tasks of one job
-/// differ by half either way; the mean of several does so by far less.
+/// A machine counts as slow if its tasks take on average more than this multiple of their jobs' mean run
+/// times. The run times of single tasks deviate from the mean by up to a half; the mean of several deviates
+/// far less.
 const STRAGGLER_FACTOR: f64 = 2.2;
 
-/// Running tasks that take longer than this, times the mean of their jobs, are late; two of them on one
-/// machine tell what those that end there will tell much later.
+/// A running task is late if it has run for more than this multiple of its job's mean run time. Two late tasks
+/// on one machine show that it is slow long before slow tasks complete on it.
 const LATE_TASK_FACTOR: f64 = 2.5;
 const MIN_LATE_TASKS: usize = 2;
 
-/// A mean that follows the latest values.
+/// A moving mean that weights the latest samples most.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunningMean {
     count: u32,
@@ -26,13 +27,15 @@
 }
 
 impl RunningMean {
+    /// Adds a sample.
     pub fn add(&mut self, value: f64) {
         self.count = (self.count + 1).min(RUNNING_MEAN_SAMPLES);
         self.mean += (value - self.mean) / f64::from(self.count);
     }
 }
 
-/// A task of the job took `ran_s` on the machine. Returns whether the machine counts as slow.
+/// Records that a task of the job completed on the machine after `ran_s` seconds. Returns whether the machine
+/// counts as slow.
 pub fn record_completion(job: &mut RunningMean, machine: &mut RunningMean, ran_s: f64) -> bool {
     if job.count >= MIN_JOB_SAMPLES && job.mean > 0.0 {
         machine.add(ran_s / job.mean);
@@ -41,8 +44,8 @@
     machine.count >= MIN_MACHINE_SAMPLES && machine.mean > STRAGGLER_FACTOR
 }
 
-/// Whether tasks that are still running show a machine to be slow: each with its job's pace and how
-/// long it has run.
+/// Whether the running tasks of a machine show that it is slow. Each task is given as its job's mean run
+/// time, in seconds, and how long it has run, in seconds.
 pub fn is_straggling<'a>(running: impl Iterator<Item = (&'a RunningMean, f64)>) -> bool {
     let late = running.filter(|(job, ran_s)| {
         job.count >= MIN_JOB_SAMPLES && *ran_s > LATE_TASK_FACTOR * job.mean
--- a/src/cluster/straggler/tests.rs
+++ b/src/cluster/straggler/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-/// Tasks of a job take 0.6 to 1.5 times its mean, in a fixed order that mixes them.
+/// The run time of a job's `n`-th task as a multiple of the job's typical run time: 0.6 to 1.5, in a fixed
+/// mixed order.
 fn spread(n: u32) -> f64 {
     0.6 + 0.9 * f64::from(n * 7 % 10) / 9.0
 }
@@ -15,7 +16,7 @@
     ));
     assert!(
         !is_straggling([(&RunningMean::default(), 90.0); 3].into_iter()),
-        "no norm"
+        "no completed tasks to compare with"
     );
 }
 
@@ -29,12 +30,15 @@
     let mut found = None;
     for n in 0..200 {
         let long = record_completion(&mut job, &mut usual, 30.0 * spread(n));
-        assert!(!long, "a usual machine after {n} tasks");
-        // One task in nine runs on the machine that takes three times as long.
+        assert!(
+            !long,
+            "a machine of normal speed counts as slow after {n} tasks"
+        );
+        // One task in nine runs on the slow machine, where it takes three times as long.
         if n % 8 == 7 && record_completion(&mut job, &mut slow, 90.0 * spread(n / 8)) {
             found.get_or_insert(n / 8);
         }
     }
-    let found = found.expect("the slow machine is found");
-    assert!((3..8).contains(&found), "after {found} tasks");
+    let found = found.expect("the slow machine is detected");
+    assert!((3..8).contains(&found), "detected after {found} tasks");
 }
--- a/src/cluster/submission.rs
+++ b/src/cluster/submission.rs
@@ -1,4 +1,4 @@
-//! Entering jobs into the cluster state, and keeping their places in the queues up to date.
+//! Adding jobs to the cluster state, and updating their positions in the queues.
 
 use std::collections::VecDeque;
 
@@ -21,13 +21,13 @@
 pub struct InheritedUrgency {
     /// The highest priority of any of them.
     pub priority: Priority,
-    /// By when the job has to be done for each of their objectives, in milliseconds of the time of
-    /// day, the earliest first.
+    /// For each of their objectives: the time by which this job has to be done, in milliseconds of the time
+    /// of day, the earliest first.
     pub finish_by_ms: Vec<u64>,
 }
 
 impl InheritedUrgency {
-    /// Keeps the earliest times only.
+    /// Keeps the `count` earliest times, without duplicates.
     pub fn keep_earliest(&mut self, count: usize) {
         self.finish_by_ms.sort_unstable();
         self.finish_by_ms.dedup();
@@ -36,8 +36,9 @@
 }
 
 impl ClusterState {
-    /// Moves jobs that have missed an objective to their places for the next one: they yield to those
-    /// that can still meet theirs. In their old order all waiting jobs would come too late.
+    /// Recomputes the placement deadlines that have passed and reorders the queues: jobs that missed an
+    /// objective move behind those that can still meet theirs. In the old order, all waiting jobs would
+    /// be late.
     pub fn refresh_placement_deadlines(&mut self, now: Millis) {
         let wall_ms = self.wall_ms(now);
         for team in &mut self.teams {
@@ -58,7 +59,8 @@
         }
     }
 
-    /// Enters an unfinished job without dependencies. `None`: its team is unknown here.
+    /// Adds an unfinished job without dependencies, submitted at `submitted_ms` of the time of day. Returns
+    /// `None` if its team is not in the settings.
     pub fn add_job(
         &mut self,
         spec: &Submission,
@@ -68,8 +70,10 @@
         self.add_released_job(spec, (submitted_ms, submitted_ms), now)
     }
 
-    /// Enters an unfinished job whose dependencies are all done. Jobs with pending dependencies are not
-    /// in the cluster state at all, so that they have no weight in it. `None`: its team is unknown here.
+    /// Adds an unfinished job whose dependencies are all done, with the times of its submission and release
+    /// in milliseconds of the time of day. Jobs with pending dependencies are not part of the cluster
+    /// state, so that they influence neither scheduling nor provisioning. Returns `None` if its team is not
+    /// in the settings.
     pub fn add_released_job(
         &mut self,
         spec: &Submission,
@@ -101,7 +105,7 @@
         Some(index)
     }
 
-    /// A job none of whose tasks was ever placed, without its place in the queue.
+    /// Creates a job whose tasks all wait, without slacks and without adding it to a queue.
     #[expect(clippy::too_many_lines, reason = "still to be split")]
     fn new_job(
         &mut self,
@@ -176,9 +180,9 @@
         }
     }
 
-    /// How many seconds a job's tasks can wait for its own objectives: to start, and to end.
+    /// The slacks of a job's own start objectives and completion objectives, in seconds from its release.
     fn own_slacks_s(&self, job: &Job) -> (Vec<f64>, Vec<f64>) {
-        // Replicas do not end: they are ordered by age.
+        // Services do not complete: they are ordered by age.
         if job.kind == JobKind::Service {
             return Default::default();
         }
@@ -188,8 +192,8 @@
         (objectives.start_s.clone(), to_end)
     }
 
-    /// Makes a job as urgent as the most urgent of those that depend on it: it is to end by the latest
-    /// times at which they can still meet their objectives.
+    /// Makes a job as urgent as the most urgent of the jobs that depend on it: it has to be done by the
+    /// latest times at which they can still meet their objectives.
     pub fn inherit_urgency(&mut self, index: JobIndex, pull: &InheritedUrgency, now: Millis) {
         let wall_ms = self.wall_ms(now);
         let (to_start, mut to_end) = self.own_slacks_s(self.job(index));
--- a/src/cluster/task.rs
+++ b/src/cluster/task.rs
@@ -2,12 +2,12 @@
 
 use crate::cluster::index::MachineIndex;
 
-/// How a task stands.
+/// The state of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskStatus {
-    /// To be placed.
+    /// Waits to be placed.
     Waiting,
-    /// Its latest attempt may be on this machine.
+    /// Its latest attempt may be running on this machine.
     Active(MachineIndex),
     /// Completed.
     Done,
@@ -16,20 +16,21 @@
 /// One task of a job.
 #[derive(Clone, Copy, Debug)]
 pub struct Task {
-    /// How it stands.
+    /// Its state.
     pub status: TaskStatus,
-    /// The number of the latest attempt; 0: never placed.
+    /// The number of the latest attempt; 0 if it was never placed.
     pub attempt: u32,
-    /// The sequence number of the last log entry with a change of it; 0: none that is still needed.
+    /// The sequence number of the last log record with a change of this task; 0 if there is none that is
+    /// still needed.
     pub last_log_seq: u64,
 }
 
-/// How the stored snapshot of a range of a job's tasks stands.
+/// The state of the stored snapshot of a range of a job's tasks.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TaskRange {
-    /// The snapshot key's version; 0: not in the store.
+    /// The version of the snapshot's key; 0 if the snapshot is not stored.
     pub key_version: u64,
-    /// The snapshot covers all log entries up to this one.
+    /// The sequence number of the last log record that the snapshot covers.
     pub snapshot_seq: u64,
     /// A write of the snapshot is in flight.
     pub in_flight: bool,
--- a/src/cluster/team.rs
+++ b/src/cluster/team.rs
@@ -1,4 +1,4 @@
-//! Teams: what they are guaranteed, limited to and hold, and their queues of waiting jobs.
+//! Teams: their guarantees, limits and reservations, and their queues of waiting jobs.
 
 use std::collections::BTreeSet;
 
@@ -11,31 +11,31 @@
     protocol::job::Priority,
 };
 
-/// A limit as the settings give it, where 0 means none.
+/// Converts a limit from the settings, where 0 means no limit.
 fn limit_or_infinite(amount: f64) -> f64 {
     if amount > 0.0 { amount } else { f64::INFINITY }
 }
 
-/// A job's place in its team's queue: by priority, then by placement deadline in milliseconds of
-/// the time of day.
+/// The sort key of a job in its team's queue: priority, then placement deadline in milliseconds of the
+/// time of day.
 pub type QueueKey = (Priority, u64, JobIndex);
 
-/// A team of users, among which the scheduler divides the machines.
+/// A team of users. The scheduler divides the machines' capacity among the teams.
 pub struct Team {
     /// Its unique name.
     pub name: String,
-    /// What it can always have, if it wants it.
+    /// The resources that it gets whenever it requests them.
     pub guarantee: Resources,
-    /// What it may reserve at most; infinite where there is no limit.
+    /// The most that it may reserve; infinite where there is no limit.
     pub limit: Resources,
-    /// The sum of what its attempts that may be running hold.
+    /// The resources reserved for its attempts that may be running.
     pub reserved: Resources,
     /// Jobs with waiting tasks, the most urgent and oldest first.
     pub queue: BTreeSet<QueueKey>,
 }
 
 impl Team {
-    /// A team as the settings tell of it, with nothing reserved.
+    /// Creates a team from its settings, with nothing reserved.
     pub(super) fn from_settings(settings: &config::Team) -> Self {
         Team {
             name: settings.name.clone(),
