--- a/src/cluster/durability.rs
+++ b/src/cluster/durability.rs
@@ -19,8 +19,8 @@
     pub fn mark_machines_for_commands(&mut self, tasks: &BTreeSet<(JobIndex, u32)>) {
         for &(job, task) in tasks {
             let task = self.jobs[job.as_usize()].tasks.get(task as usize);
-            if let Some(TaskStatus::Active(on)) = task.map(|task| task.status) {
-                self.machines_needing_commands.insert(on);
+            if let Some(TaskStatus::Active(machine)) = task.map(|task| task.status) {
+                self.machines_needing_commands.insert(machine);
             }
         }
     }
@@ -50,20 +50,21 @@
     }
 
     /// Records the version of the key of a job's snapshot; 0 if the snapshot is not stored.
-    pub fn record_snapshot_version(&mut self, id: JobId, page: SnapshotNumber, version: u64) {
+    pub fn record_snapshot_version(&mut self, id: JobId, number: SnapshotNumber, version: u64) {
         let Some(&job) = self.jobs_by_id.get(&id) else {
             return;
         };
         let job = &mut self.jobs[job.as_usize()];
-        if let Some(index) = page.range_index(self.task_range_len) {
+        if let Some(index) = number.range_index(self.task_range_len) {
             if let Some(range) = job.task_ranges.get_mut(index as usize) {
                 range.key_version = version;
                 range.in_flight = false;
             }
         } else {
-            job.foreign_snapshots.retain(|(other, _)| *other != page);
+            job.other_length_snapshots
+                .retain(|(other, _)| *other != number);
             if version > 0 {
-                job.foreign_snapshots.push((page, version));
+                job.other_length_snapshots.push((number, version));
             }
         }
     }
@@ -80,7 +81,7 @@
         });
         snapshots
             .filter(|(_, version)| *version > 0)
-            .chain(job.foreign_snapshots.iter().copied())
+            .chain(job.other_length_snapshots.iter().copied())
             .collect()
     }
 
--- a/src/cluster/fault_attribution.rs
+++ b/src/cluster/fault_attribution.rs
@@ -30,20 +30,26 @@
 
 impl Job {
     /// Whether its tasks avoid the machine because one of them failed on it.
-    pub fn is_avoiding(&self, on: MachineIndex, now: Millis) -> bool {
-        now < self.last_failed_at + JOB_AVOIDS_MACHINE_MS && self.recently_failed_on.contains(&on)
+    pub fn is_avoiding(&self, machine_index: MachineIndex, now: Millis) -> bool {
+        now < self.last_failed_at + JOB_AVOIDS_MACHINE_MS
+            && self.recently_failed_on.contains(&machine_index)
     }
 }
 
 impl ClusterState {
     /// Handles the failure of a task on a machine: delays the job's next attempts after repeated failures,
     /// quarantines the job or drains the machine.
-    pub fn on_task_failed(&mut self, index: JobIndex, on: MachineIndex, now: Millis) {
-        let job = &mut self.jobs[index.as_usize()];
+    pub fn on_task_failed(
+        &mut self,
+        job_index: JobIndex,
+        machine_index: MachineIndex,
+        now: Millis,
+    ) {
+        let job = &mut self.jobs[job_index.as_usize()];
         job.consecutive_failures += 1;
         job.last_failed_at = now;
-        if !job.recently_failed_on.contains(&on) {
-            job.recently_failed_on.push_back(on);
+        if !job.recently_failed_on.contains(&machine_index) {
+            job.recently_failed_on.push_back(machine_index);
         }
         if job.recently_failed_on.len() > MAX_REMEMBERED_MACHINES {
             job.recently_failed_on.pop_front();
@@ -59,72 +65,81 @@
         }
         // A job that has completed tasks is not at fault, so that each of its failures counts against
         // the machine.
-        let (id, sound) = (job.id, job.done_count > 0);
-        let machine = &mut self.machines[on.as_usize()];
+        let (id, has_completed_tasks) = (job.id, job.done_count > 0);
+        let machine = &mut self.machines[machine_index.as_usize()];
         machine.avoid_until = now + MACHINE_AVOIDED_MS;
-        if sound || !machine.recent_failures.contains(&id) {
+        if has_completed_tasks || !machine.recent_failures.contains(&id) {
             machine.recent_failures.push(id);
         }
-        if self.is_failing_everywhere(index, now) {
-            return self.quarantine_job(index, now);
+        if self.is_failing_everywhere(job_index, now) {
+            return self.quarantine_job(job_index, now);
         }
-        if self.machine(on).recent_failures.len() >= FAULTY_MACHINE_FAILURES
-            && self.drain_for_replacement(on, MAX_DRAINING_DIVISOR, "fails every task")
+        if self.machine(machine_index).recent_failures.len() >= FAULTY_MACHINE_FAILURES
+            && self.drain_for_replacement(machine_index, MAX_DRAINING_DIVISOR, "fails every task")
         {
-            self.machines[on.as_usize()].faulty = true;
+            self.machines[machine_index.as_usize()].faulty = true;
         }
     }
 
     /// Handles progress of a job: one of its tasks has completed or has run for [`PROGRESS_RUN_MS`].
-    pub fn on_task_progress(&mut self, index: JobIndex) {
-        let job = &mut self.jobs[index.as_usize()];
+    pub fn on_task_progress(&mut self, job_index: JobIndex) {
+        let job = &mut self.jobs[job_index.as_usize()];
         if job.quarantined {
             tracing::info!(job = %job.id, "job made progress, quarantine lifted");
             job.quarantined = false;
             job.backoff_until = 0;
             self.scheduling_needed = true;
         }
-        let job = &mut self.jobs[index.as_usize()];
+        let job = &mut self.jobs[job_index.as_usize()];
         job.consecutive_failures = 0;
         job.recently_failed_on.clear();
     }
 
-    fn is_failing_everywhere(&self, index: JobIndex, now: Millis) -> bool {
-        let job = self.job(index);
-        let alone = |on: &&MachineIndex| {
-            let others = &self.machine(**on).recent_failures;
-            others.iter().all(|other| *other == job.id)
+    fn is_failing_everywhere(&self, job_index: JobIndex, now: Millis) -> bool {
+        let job = self.job(job_index);
+        let is_only_failing_job = |machine_index: &&MachineIndex| {
+            let failed_jobs = &self.machine(**machine_index).recent_failures;
+            failed_jobs.iter().all(|failed_job| *failed_job == job.id)
         };
         job.done_count == 0
-            && job.recently_failed_on.iter().filter(alone).count() >= QUARANTINE_MACHINE_COUNT
-            && !self.has_progressing_attempt(index, now)
+            && job
+                .recently_failed_on
+                .iter()
+                .filter(is_only_failing_job)
+                .count()
+                >= QUARANTINE_MACHINE_COUNT
+            && !self.has_progressing_attempt(job_index, now)
     }
 
-    fn has_progressing_attempt(&self, index: JobIndex, now: Millis) -> bool {
-        let attempts = self.job(index).tasks.iter().filter_map(|task| {
-            let TaskStatus::Active(on) = task.status else {
+    fn has_progressing_attempt(&self, job_index: JobIndex, now: Millis) -> bool {
+        let attempts = self.job(job_index).tasks.iter().filter_map(|task| {
+            let TaskStatus::Active(machine_index) = task.status else {
                 return None;
             };
-            let held = &self.machine(on).attempts;
-            held.iter().find(|each| {
-                each.job == index && each.phase == Phase::Running && each.attempt == task.attempt
+            let machine_attempts = &self.machine(machine_index).attempts;
+            machine_attempts.iter().find(|attempt| {
+                attempt.job == job_index
+                    && attempt.phase == Phase::Running
+                    && attempt.attempt == task.attempt
             })
         });
-        let mut since = attempts.filter_map(|attempt| attempt.running_since);
-        since.any(|since| since + PROGRESS_RUN_MS <= now)
+        let mut start_times = attempts.filter_map(|attempt| attempt.running_since);
+        start_times.any(|running_since| running_since + PROGRESS_RUN_MS <= now)
     }
 
     /// Quarantines a job, so that only one of its tasks is placed at a time, and removes its failures from the
     /// machines: those that counted as faulty because of it accept tasks again.
-    fn quarantine_job(&mut self, index: JobIndex, now: Millis) {
-        let job = &mut self.jobs[index.as_usize()];
+    fn quarantine_job(&mut self, job_index: JobIndex, now: Millis) {
+        let job = &mut self.jobs[job_index.as_usize()];
         job.quarantined = true;
         let id = job.id;
         tracing::warn!(job = %id, "job fails on every machine, quarantined to one task at a time");
         for machine in &mut self.machines {
-            let before = machine.recent_failures.len();
-            machine.recent_failures.retain(|other| *other != id);
-            if machine.recent_failures.len() == before {
+            let failures_before = machine.recent_failures.len();
+            machine
+                .recent_failures
+                .retain(|failed_job| *failed_job != id);
+            if machine.recent_failures.len() == failures_before {
                 continue;
             }
             if machine.recent_failures.is_empty() {
@@ -143,12 +158,21 @@
     }
 
     /// Drains a machine, so that it is released once it is idle, unless more than the fleet size divided by
-    /// `part` would then be draining; at least one may always drain. Returns whether the drain began.
-    pub fn drain_for_replacement(&mut self, on: MachineIndex, part: usize, why: &str) -> bool {
+    /// `max_draining_divisor` would then be draining; at least one may always drain. Returns whether the
+    /// drain began.
+    pub fn drain_for_replacement(
+        &mut self,
+        machine_index: MachineIndex,
+        max_draining_divisor: usize,
+        why: &str,
+    ) -> bool {
         let fleet = self.machines.iter().filter(|m| m.state == MachineState::Up);
-        let (all, draining) = fleet.fold((0, 0), |(a, d), m| (a + 1, d + usize::from(m.draining)));
-        let machine = &mut self.machines[on.as_usize()];
-        if machine.draining || (draining + 1) * part > all.max(part) {
+        let (total, draining) =
+            fleet.fold((0, 0), |(a, d), m| (a + 1, d + usize::from(m.draining)));
+        let machine = &mut self.machines[machine_index.as_usize()];
+        if machine.draining
+            || (draining + 1) * max_draining_divisor > total.max(max_draining_divisor)
+        {
             return false;
         }
         tracing::warn!(
--- a/src/cluster/job.rs
+++ b/src/cluster/job.rs
@@ -95,7 +95,7 @@
     pub task_ranges: Vec<TaskRange>,
     /// Stored snapshots with another range length than `task_range_len`, with the versions of their keys.
     /// They are read, never written, and deleted when the job is over.
-    pub foreign_snapshots: Vec<(SnapshotNumber, u64)>,
+    pub other_length_snapshots: Vec<(SnapshotNumber, u64)>,
     /// The tasks that wait to be placed.
     pub waiting: BTreeSet<u32>,
     /// How many tasks are done.
@@ -138,39 +138,39 @@
 
     /// Sets its slacks, in seconds from its release: those of its start objectives and those of its
     /// completion objectives.
-    pub(super) fn set_slacks(&mut self, to_start: &[f64], to_end: Vec<f64>) {
-        let mut waits = [to_start, &to_end].concat();
-        waits.sort_by(f64::total_cmp);
-        self.completion_slacks_s = to_end;
+    pub(super) fn set_slacks(&mut self, start_slacks_s: &[f64], completion_slacks_s: Vec<f64>) {
+        let mut slacks_s = [start_slacks_s, &completion_slacks_s].concat();
+        slacks_s.sort_by(f64::total_cmp);
+        self.completion_slacks_s = completion_slacks_s;
         // After a missed objective, tasks are due well before the last moment of the next one:
         // otherwise many of them reach their last moment at the same time.
-        let latest = waits.iter().enumerate().map(|(number, wait)| {
-            let part = if number == 0 {
+        let latest_placements = slacks_s.iter().enumerate().map(|(position, slack_s)| {
+            let fraction = if position == 0 {
                 1.0
             } else {
                 LATER_OBJECTIVE_FRACTION
             };
-            millis(wait * part).saturating_sub(PLACEMENT_LEAD_MS)
+            millis(slack_s * fraction).saturating_sub(PLACEMENT_LEAD_MS)
         });
-        self.latest_placements_ms = latest.collect();
-        self.objective_slacks_s = waits;
+        self.latest_placements_ms = latest_placements.collect();
+        self.objective_slacks_s = slacks_s;
     }
 
     /// Sets its placement deadline for the first objective that can still be met at `wall_ms`, in
     /// milliseconds of the time of day.
     pub(super) fn refresh_placement_deadline(&mut self, wall_ms: u64) {
-        let waited = wall_ms.saturating_sub(self.released_ms);
-        let next = self
+        let waited_ms = wall_ms.saturating_sub(self.released_ms);
+        let next_placement_ms = self
             .latest_placements_ms
             .iter()
-            .find(|latest| **latest > waited);
-        let within = match (next, self.latest_placements_ms.last()) {
-            (Some(&next), _) => next,
-            (None, Some(&last)) => last + MISSED_OBJECTIVES_DELAY_MS,
+            .find(|latest_ms| **latest_ms > waited_ms);
+        let wait_ms = match (next_placement_ms, self.latest_placements_ms.last()) {
+            (Some(&next_placement_ms), _) => next_placement_ms,
+            (None, Some(&last_placement_ms)) => last_placement_ms + MISSED_OBJECTIVES_DELAY_MS,
             (None, None) => NO_OBJECTIVE_SLACK_MS,
         };
-        self.placement_deadline_ms = self.released_ms + within;
-        self.placement_deadline_valid_until_ms = match next {
+        self.placement_deadline_ms = self.released_ms + wait_ms;
+        self.placement_deadline_valid_until_ms = match next_placement_ms {
             Some(_) => self.placement_deadline_ms,
             None => u64::MAX,
         };
@@ -205,12 +205,12 @@
         if !self.quarantined {
             return waiting;
         }
-        let tried = self.tasks.len() - waiting > self.done_count as usize;
-        waiting.min(usize::from(!tried))
+        let has_active_task = self.tasks.len() - waiting > self.done_count as usize;
+        waiting.min(usize::from(!has_active_task))
     }
 
     /// Whether its tasks may run on machines of this type.
-    pub fn allows_type(&self, index: MachineTypeIndex) -> bool {
-        self.allowed_types & (1 << index.0) != 0
+    pub fn allows_type(&self, machine_type: MachineTypeIndex) -> bool {
+        self.allowed_types & (1 << machine_type.0) != 0
     }
 }
--- a/src/cluster/machine.rs
+++ b/src/cluster/machine.rs
@@ -110,7 +110,9 @@
 
     /// Whether the image is on its disk.
     pub fn has_image(&self, image: ImageIndex) -> bool {
-        self.cached_images.iter().any(|(held, _)| *held == image)
+        self.cached_images
+            .iter()
+            .any(|(cached, _)| *cached == image)
     }
 
     /// Whether new tasks may be placed on it.
@@ -152,13 +154,13 @@
     pub fn add_machine(
         &mut self,
         name: &str,
-        type_ix: MachineTypeIndex,
+        type_index: MachineTypeIndex,
         zone: ZoneIndex,
         spot: bool,
         now: Millis,
     ) -> MachineIndex {
-        if let Some(&known) = self.machines_by_name.get(name) {
-            return known;
+        if let Some(&existing) = self.machines_by_name.get(name) {
+            return existing;
         }
         let index = MachineIndex(self.machines.len() as u32);
         let (images, draining) = self
@@ -168,7 +170,7 @@
         self.machines.push(Machine {
             name: name.to_owned(),
             addr: None,
-            machine_type: type_ix,
+            machine_type: type_index,
             zone,
             spot,
             state: MachineState::Booting,
@@ -215,10 +217,10 @@
         let images = images.map(|(name, gb)| (ImageIndex(self.image_interner.intern(&name)), gb));
         let images = images.collect();
         match self.machines_by_name.get(&machine) {
-            Some(known) => {
-                let known = &mut self.machines[known.as_usize()];
-                known.cached_images = images;
-                known.draining |= draining;
+            Some(index) => {
+                let existing = &mut self.machines[index.as_usize()];
+                existing.cached_images = images;
+                existing.draining |= draining;
             }
             None => {
                 self.recovered_machine_hints
@@ -229,11 +231,11 @@
 
     /// The machine's capacity minus the reservations of its attempts.
     pub fn free_resources(&self, machine: &Machine) -> Resources {
-        let whole = &self.machine_types[machine.machine_type.as_usize()];
+        let capacity = &self.machine_types[machine.machine_type.as_usize()];
         Resources {
-            cpus: whole.cpus - machine.reserved.cpus,
-            gpus: whole.gpus - machine.reserved.gpus,
-            ram_gb: whole.ram_gb - machine.reserved.ram_gb,
+            cpus: capacity.cpus - machine.reserved.cpus,
+            gpus: capacity.gpus - machine.reserved.gpus,
+            ram_gb: capacity.ram_gb - machine.reserved.ram_gb,
         }
     }
 
@@ -264,13 +266,23 @@
 
     /// Records that the image was used on the machine, evicting the least recently used images that exceed
     /// its disk cache.
-    pub(super) fn cache_image(&mut self, on: MachineIndex, image: ImageIndex, gb: f64) {
-        let machine = &mut self.machines[on.as_usize()];
-        machine.cached_images.retain(|(held, _)| *held != image);
-        machine.cached_images.push((image, gb));
-        let cache = self.machine_types[machine.machine_type.as_usize()].cache_gb;
+    pub(super) fn cache_image(
+        &mut self,
+        machine_index: MachineIndex,
+        image: ImageIndex,
+        size_gb: f64,
+    ) {
+        let machine = &mut self.machines[machine_index.as_usize()];
+        machine.cached_images.retain(|(cached, _)| *cached != image);
+        machine.cached_images.push((image, size_gb));
+        let cache_gb = self.machine_types[machine.machine_type.as_usize()].cache_gb;
         while machine.cached_images.len() > 1
-            && machine.cached_images.iter().map(|(_, gb)| gb).sum::<f64>() > cache
+            && machine
+                .cached_images
+                .iter()
+                .map(|(_, size_gb)| size_gb)
+                .sum::<f64>()
+                > cache_gb
         {
             machine.cached_images.remove(0);
         }
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -158,7 +158,9 @@
     /// Whether teams' shares are measured in GPUs. They are measured in CPUs if no machine type has
     /// GPUs.
     pub fn shares_gpus(&self) -> bool {
-        self.machine_types.iter().any(|each| each.gpus > 0.0)
+        self.machine_types
+            .iter()
+            .any(|machine_type| machine_type.gpus > 0.0)
     }
 
     /// The part of `amounts` that teams' shares are measured in: GPUs or CPUs.
@@ -172,15 +174,15 @@
 
     /// Adds machine types, or replaces those with the same names.
     pub fn set_machine_types(&mut self, types: &[MachineType]) {
-        for each in types {
-            for zone in &each.zones {
+        for machine_type in types {
+            for zone in &machine_type.zones {
                 self.intern_zone(zone);
             }
-            let index = self.type_interner.intern(&each.name) as usize;
+            let index = self.type_interner.intern(&machine_type.name) as usize;
             if index < self.machine_types.len() {
-                self.machine_types[index] = each.clone();
+                self.machine_types[index] = machine_type.clone();
             } else {
-                self.machine_types.push(each.clone());
+                self.machine_types.push(machine_type.clone());
             }
         }
         self.scheduling_needed = true;
--- a/src/cluster/objectives.rs
+++ b/src/cluster/objectives.rs
@@ -28,32 +28,32 @@
     /// The completion objectives that follow from a job's deadline, both in seconds from its submission. A
     /// class without multiples has the deadline itself as its objective.
     pub fn completion_objectives_s(&self, deadline_s: Option<f64>) -> impl Iterator<Item = f64> {
-        let times = if self.deadline_multiples.is_empty() {
+        let multiples = if self.deadline_multiples.is_empty() {
             &[1.0][..]
         } else {
             &self.deadline_multiples
         };
-        let due = deadline_s.into_iter();
-        due.flat_map(move |due| times.iter().map(move |times| due * times))
+        let deadlines = deadline_s.into_iter();
+        deadlines.flat_map(move |due_s| multiples.iter().map(move |multiple| due_s * multiple))
     }
 
     /// For each completion objective: how many seconds after the job's release its tasks may start at the
-    /// latest. The release is `held_s` after the submission. Objectives that can't be met even by
+    /// latest. The release is `dependency_wait_s` after the submission. Objectives that can't be met even by
     /// an immediate start are left out.
     pub(super) fn completion_slacks_s(
         &self,
         estimate_s: f64,
         deadline_s: Option<f64>,
-        held_s: f64,
+        dependency_wait_s: f64,
     ) -> Vec<f64> {
         let run_s = estimate_s * ESTIMATE_MARGIN;
-        let deadlines = self
+        let deadline_slacks = self
             .completion_objectives_s(deadline_s)
-            .map(|due| due - held_s - run_s);
-        let finishes = self.finish_s.iter().map(|within| within - run_s);
-        let mut waits: Vec<f64> = finishes.chain(deadlines).collect();
-        waits.retain(|wait| *wait > 0.0);
-        waits
+            .map(|due_s| due_s - dependency_wait_s - run_s);
+        let finish_slacks = self.finish_s.iter().map(|finish_s| finish_s - run_s);
+        let mut slacks: Vec<f64> = finish_slacks.chain(deadline_slacks).collect();
+        slacks.retain(|slack_s| *slack_s > 0.0);
+        slacks
     }
 }
 
@@ -89,8 +89,8 @@
         let class = self.intern_class(class);
         let objectives = &mut self.objectives[class.as_usize()];
         match (objective.kind.as_str(), objective.target_s) {
-            ("wait", Some(within)) => objectives.start_s.push(within),
-            ("finished", Some(within)) => objectives.finish_s.push(within),
+            ("wait", Some(target_s)) => objectives.start_s.push(target_s),
+            ("finished", Some(target_s)) => objectives.finish_s.push(target_s),
             ("deadline", _) => objectives
                 .deadline_multiples
                 .push(objective.times.unwrap_or(1.0)),
--- a/src/cluster/records.rs
+++ b/src/cluster/records.rs
@@ -163,14 +163,14 @@
     }
 
     fn task_record(&mut self, cluster: &ClusterState, index: u32, task: &Task) -> TaskRecord {
-        let note = match task.status {
+        let status = match task.status {
             TaskStatus::Waiting => RecordedStatus::Waiting,
             TaskStatus::Done => RecordedStatus::Done,
             TaskStatus::Active(machine) => {
                 RecordedStatus::OnMachine(self.machine_index(cluster, machine))
             }
         };
-        TaskRecord(index, task.attempt, note)
+        TaskRecord(index, task.attempt, status)
     }
 }
 
@@ -186,21 +186,25 @@
 }
 
 /// Builds the snapshot of one range of a job's tasks from their current states.
-pub fn snapshot_record(cluster: &ClusterState, index: JobIndex, chunk: u32) -> SnapshotRecord {
+pub fn snapshot_record(
+    cluster: &ClusterState,
+    index: JobIndex,
+    range_index: u32,
+) -> SnapshotRecord {
     let tasks = &cluster.job(index).tasks;
-    let first = (chunk * cluster.task_range_len) as usize;
+    let first = (range_index * cluster.task_range_len) as usize;
     let last = (first + cluster.task_range_len as usize).min(tasks.len());
-    let mut named = MachineTable::default();
-    let notes = tasks[first..last]
+    let mut machine_table = MachineTable::default();
+    let task_records = tasks[first..last]
         .iter()
         .enumerate()
         .filter(|(_, task)| task.attempt > 0 || task.status != TaskStatus::Waiting)
-        .map(|(at, task)| named.task_record(cluster, (first + at) as u32, task))
+        .map(|(offset, task)| machine_table.task_record(cluster, (first + offset) as u32, task))
         .collect();
     SnapshotRecord {
         job: job_summary(cluster, index),
-        machines: named.records,
-        tasks: notes,
+        machines: machine_table.records,
+        tasks: task_records,
     }
 }
 
@@ -208,47 +212,47 @@
 const LOG_RECORD_HEADER_BYTES: usize = 96;
 
 /// Consumes tasks from the front of `tasks` and builds one log record of them whose JSON has at most
-/// `bytes` bytes. At least one task is consumed, even if its record is longer.
+/// `max_bytes` bytes. At least one task is consumed, even if its record is longer.
 pub fn log_record(
     cluster: &ClusterState,
     tasks: &mut Peekable<impl Iterator<Item = (JobIndex, u32)>>,
     (seq, first): (u64, u64),
-    bytes: usize,
+    max_bytes: usize,
 ) -> LogRecord {
-    let mut named = MachineTable::default();
+    let mut machine_table = MachineTable::default();
     let mut jobs: Vec<(JobId, JobSummary, Vec<TaskRecord>)> = Vec::new();
-    let mut used = LOG_RECORD_HEADER_BYTES;
+    let mut used_bytes = LOG_RECORD_HEADER_BYTES;
     while let Some(&(index, task)) = tasks.peek() {
         let job = cluster.job(index);
         let entry = &job.tasks[task as usize];
-        let machines = named.records.len();
-        let note = named.task_record(cluster, task, entry);
-        used += json_len(&note) + 1;
-        used += named.records[machines..]
+        let machine_count = machine_table.records.len();
+        let task_record = machine_table.task_record(cluster, task, entry);
+        used_bytes += json_len(&task_record) + 1;
+        used_bytes += machine_table.records[machine_count..]
             .iter()
             .map(|machine| json_len(machine) + 1)
             .sum::<usize>();
-        let new_job = jobs.last().is_none_or(|(id, ..)| *id != job.id);
-        let head = new_job.then(|| job_summary(cluster, index));
-        if let Some(head) = &head {
-            used += json_len(&job.id) + json_len(head) + 6;
+        let is_new_job = jobs.last().is_none_or(|(id, ..)| *id != job.id);
+        let summary = is_new_job.then(|| job_summary(cluster, index));
+        if let Some(summary) = &summary {
+            used_bytes += json_len(&job.id) + json_len(summary) + 6;
         }
-        if used > bytes && !jobs.is_empty() {
-            named.records.truncate(machines);
+        if used_bytes > max_bytes && !jobs.is_empty() {
+            machine_table.records.truncate(machine_count);
             break;
         }
-        if let Some(head) = head {
-            jobs.push((job.id, head, Vec::new()));
+        if let Some(summary) = summary {
+            jobs.push((job.id, summary, Vec::new()));
         }
-        if let Some((.., notes)) = jobs.last_mut() {
-            notes.push(note);
+        if let Some((.., task_records)) = jobs.last_mut() {
+            task_records.push(task_record);
         }
         tasks.next();
     }
     LogRecord {
         seq,
         first_live_seq: first,
-        machines: named.records,
+        machines: machine_table.records,
         jobs,
     }
 }
--- a/src/cluster/reservations.rs
+++ b/src/cluster/reservations.rs
@@ -18,20 +18,20 @@
         &mut self,
         job: JobIndex,
         task: u32,
-        on: MachineIndex,
+        machine_index: MachineIndex,
         now: Millis,
     ) {
-        self.place(job, task, on, now);
-        if let Some(attempt) = self.machines[on.as_usize()].attempts.last_mut() {
+        self.place(job, task, machine_index, now);
+        if let Some(attempt) = self.machines[machine_index.as_usize()].attempts.last_mut() {
             attempt.placed_for_fair_share = true;
         }
     }
 
     /// Places a new attempt of a waiting task. Its start may be sent once the placement is stored.
-    pub fn place(&mut self, job: JobIndex, task: u32, on: MachineIndex, now: Millis) {
-        let entry = &mut self.jobs[job.as_usize()].tasks[task as usize];
-        debug_assert_eq!(entry.status, TaskStatus::Waiting);
-        let attempt = entry.attempt + 1;
+    pub fn place(&mut self, job: JobIndex, task: u32, machine_index: MachineIndex, now: Millis) {
+        let task_entry = &mut self.jobs[job.as_usize()].tasks[task as usize];
+        debug_assert_eq!(task_entry.status, TaskStatus::Waiting);
+        let attempt = task_entry.attempt + 1;
         self.unlogged_tasks.insert((job, task));
         self.reserve(
             Attempt {
@@ -53,16 +53,16 @@
                 direct_start_term: 0,
                 placed_for_fair_share: false,
             },
-            on,
+            machine_index,
         );
     }
 
     /// Reserves resources for an attempt that may be running, on its machine and for its team.
-    pub fn reserve(&mut self, attempt: Attempt, on: MachineIndex) {
-        let machine = &mut self.machines[on.as_usize()];
+    pub fn reserve(&mut self, attempt: Attempt, machine_index: MachineIndex) {
+        let machine = &mut self.machines[machine_index.as_usize()];
         let job = &mut self.jobs[attempt.job.as_usize()];
         let task = &mut job.tasks[attempt.task as usize];
-        task.status = TaskStatus::Active(on);
+        task.status = TaskStatus::Active(machine_index);
         task.attempt = attempt.attempt;
         job.waiting.remove(&attempt.task);
         job.active_by_zone[machine.zone.as_usize()] += 1;
@@ -76,8 +76,8 @@
     }
 
     /// Releases the resources of an attempt that is confirmed to have ended or to be gone.
-    fn release_reservation(&mut self, on: MachineIndex, attempt: &Attempt, now: Millis) {
-        let machine = &mut self.machines[on.as_usize()];
+    fn release_reservation(&mut self, machine_index: MachineIndex, attempt: &Attempt, now: Millis) {
+        let machine = &mut self.machines[machine_index.as_usize()];
         let job = &mut self.jobs[attempt.job.as_usize()];
         job.active_by_zone[machine.zone.as_usize()] -= 1;
         if attempt.phase >= Phase::Running && attempt.phase < Phase::Ended {
@@ -93,38 +93,51 @@
     }
 
     /// Moves an attempt to the phase that a heartbeat reports. An ended attempt stays ended.
-    pub fn advance_phase(&mut self, on: MachineIndex, at: usize, phase: Phase, now: Millis) {
-        let attempt = &mut self.machines[on.as_usize()].attempts[at];
-        let before = attempt.phase;
-        if before == phase || before == Phase::Ended {
+    pub fn advance_phase(
+        &mut self,
+        machine_index: MachineIndex,
+        attempt_index: usize,
+        phase: Phase,
+        now: Millis,
+    ) {
+        let attempt = &mut self.machines[machine_index.as_usize()].attempts[attempt_index];
+        let previous_phase = attempt.phase;
+        if previous_phase == phase || previous_phase == Phase::Ended {
             return;
         }
-        let counted = |phase| matches!(phase, Phase::Running | Phase::Saving);
-        let (job, shown) = (attempt.job, attempt.clone());
+        let counts_as_running = |phase| matches!(phase, Phase::Running | Phase::Saving);
+        let (job, previous) = (attempt.job, attempt.clone());
         attempt.phase = phase;
         if phase == Phase::Running {
             attempt.running_since = Some(now);
         }
         if phase == Phase::Ended {
-            self.release_reservation(on, &shown, now);
+            self.release_reservation(machine_index, &previous, now);
             return;
         }
-        let entry = &mut self.jobs[job.as_usize()];
-        if counted(phase) && !counted(before) {
-            entry.running_count += 1;
-            let (image, gb) = (entry.image, entry.image_gb);
-            self.cache_image(on, image, gb);
-        } else if counted(before) && !counted(phase) {
-            entry.running_count -= 1;
+        let job_entry = &mut self.jobs[job.as_usize()];
+        if counts_as_running(phase) && !counts_as_running(previous_phase) {
+            job_entry.running_count += 1;
+            let (image, image_gb) = (job_entry.image, job_entry.image_gb);
+            self.cache_image(machine_index, image, image_gb);
+        } else if counts_as_running(previous_phase) && !counts_as_running(phase) {
+            job_entry.running_count -= 1;
         }
     }
 
     /// Removes an attempt that is confirmed gone. Its task waits again if this was its latest attempt and its
     /// result was not processed.
-    pub fn remove_attempt(&mut self, on: MachineIndex, at: usize, now: Millis) {
-        let attempt = self.machines[on.as_usize()].attempts.swap_remove(at);
+    pub fn remove_attempt(
+        &mut self,
+        machine_index: MachineIndex,
+        attempt_index: usize,
+        now: Millis,
+    ) {
+        let attempt = self.machines[machine_index.as_usize()]
+            .attempts
+            .swap_remove(attempt_index);
         if attempt.phase != Phase::Ended {
-            self.release_reservation(on, &attempt, now);
+            self.release_reservation(machine_index, &attempt, now);
         }
         if !attempt.reconciled {
             self.requeue(attempt.job, attempt.task, attempt.attempt);
@@ -133,34 +146,34 @@
 
     /// Puts a task back into the queue if it is active and this attempt is its latest.
     pub fn requeue(&mut self, job: JobIndex, task: u32, attempt: u32) {
-        let entry = &mut self.jobs[job.as_usize()];
-        let state = &mut entry.tasks[task as usize];
-        if state.attempt != attempt || !matches!(state.status, TaskStatus::Active(_)) {
+        let job_entry = &mut self.jobs[job.as_usize()];
+        let task_entry = &mut job_entry.tasks[task as usize];
+        if task_entry.attempt != attempt || !matches!(task_entry.status, TaskStatus::Active(_)) {
             return;
         }
-        state.status = TaskStatus::Waiting;
+        task_entry.status = TaskStatus::Waiting;
         self.scheduling_needed = true;
-        if entry.closed {
+        if job_entry.closed {
             return;
         }
-        entry.waiting.insert(task);
-        let key = entry.queue_key(job);
-        self.teams[entry.team.as_usize()].queue.insert(key);
+        job_entry.waiting.insert(task);
+        let key = job_entry.queue_key(job);
+        self.teams[job_entry.team.as_usize()].queue.insert(key);
     }
 
     /// Marks a task as completed.
     pub fn complete_task(&mut self, job: JobIndex, task: u32) {
-        let entry = &mut self.jobs[job.as_usize()];
-        let state = &mut entry.tasks[task as usize];
-        if state.status != TaskStatus::Done {
-            state.status = TaskStatus::Done;
-            entry.done_count += 1;
-            entry.waiting.remove(&task);
-            if entry.waiting.is_empty() {
-                let key = entry.queue_key(job);
-                self.teams[entry.team.as_usize()].queue.remove(&key);
+        let job_entry = &mut self.jobs[job.as_usize()];
+        let task_entry = &mut job_entry.tasks[task as usize];
+        if task_entry.status != TaskStatus::Done {
+            task_entry.status = TaskStatus::Done;
+            job_entry.done_count += 1;
+            job_entry.waiting.remove(&task);
+            if job_entry.waiting.is_empty() {
+                let key = job_entry.queue_key(job);
+                self.teams[job_entry.team.as_usize()].queue.remove(&key);
             }
-            if entry.is_complete() {
+            if job_entry.is_complete() {
                 self.completed_jobs.insert(job);
             }
         }
@@ -177,16 +190,16 @@
         self.teams[job.team.as_usize()].queue.remove(&key);
         self.completed_jobs.remove(&index);
         let unlogged = self.unlogged_tasks.range(task_keys_of_job(index)).copied();
-        for note in unlogged.collect::<Vec<_>>() {
-            self.unlogged_tasks.remove(&note);
+        for task_key in unlogged.collect::<Vec<_>>() {
+            self.unlogged_tasks.remove(&task_key);
         }
-        for (number, machine) in self.machines.iter_mut().enumerate() {
+        for (machine_number, machine) in self.machines.iter_mut().enumerate() {
             for attempt in &mut machine.attempts {
                 if attempt.job == index && attempt.phase != Phase::Ended {
                     attempt.stop_grace_s = Some(0.0);
                     attempt.stop_sent = false;
                     self.machines_needing_commands
-                        .insert(MachineIndex(number as u32));
+                        .insert(MachineIndex(machine_number as u32));
                 }
             }
         }
@@ -194,10 +207,15 @@
     }
 
     /// Requests the stop of an attempt, which gets `grace_s` seconds to save its state.
-    pub fn request_stop(&mut self, on: MachineIndex, at: usize, grace_s: f64) {
-        let attempt = &mut self.machines[on.as_usize()].attempts[at];
+    pub fn request_stop(
+        &mut self,
+        machine_index: MachineIndex,
+        attempt_index: usize,
+        grace_s: f64,
+    ) {
+        let attempt = &mut self.machines[machine_index.as_usize()].attempts[attempt_index];
         attempt.stop_grace_s = Some(grace_s);
         attempt.stop_sent = false;
-        self.machines_needing_commands.insert(on);
+        self.machines_needing_commands.insert(machine_index);
     }
 }
--- a/src/cluster/resources.rs
+++ b/src/cluster/resources.rs
@@ -15,11 +15,11 @@
 pub(super) const RESOURCE_EPSILON: f64 = 1e-6;
 
 impl Resources {
-    /// Whether `room` has at least this amount of each resource, up to rounding errors.
-    pub fn fits_in(&self, room: &Resources) -> bool {
-        self.cpus <= room.cpus + RESOURCE_EPSILON
-            && self.gpus <= room.gpus + RESOURCE_EPSILON
-            && self.ram_gb <= room.ram_gb + RESOURCE_EPSILON
+    /// Whether `available` has at least this amount of each resource, up to rounding errors.
+    pub fn fits_in(&self, available: &Resources) -> bool {
+        self.cpus <= available.cpus + RESOURCE_EPSILON
+            && self.gpus <= available.gpus + RESOURCE_EPSILON
+            && self.ram_gb <= available.ram_gb + RESOURCE_EPSILON
     }
 
     /// Adds the other amount to this one.
--- a/src/cluster/straggler.rs
+++ b/src/cluster/straggler.rs
@@ -34,23 +34,27 @@
     }
 }
 
-/// Records that a task of the job completed on the machine after `ran_s` seconds. Returns whether the machine
+/// Records that a task of the job completed on the machine after `run_s` seconds. Returns whether the machine
 /// counts as slow.
-pub fn record_completion(job: &mut RunningMean, machine: &mut RunningMean, ran_s: f64) -> bool {
-    if job.count >= MIN_JOB_SAMPLES && job.mean > 0.0 {
-        machine.add(ran_s / job.mean);
+pub fn record_completion(
+    job_mean: &mut RunningMean,
+    machine_mean: &mut RunningMean,
+    run_s: f64,
+) -> bool {
+    if job_mean.count >= MIN_JOB_SAMPLES && job_mean.mean > 0.0 {
+        machine_mean.add(run_s / job_mean.mean);
     }
-    job.add(ran_s);
-    machine.count >= MIN_MACHINE_SAMPLES && machine.mean > STRAGGLER_FACTOR
+    job_mean.add(run_s);
+    machine_mean.count >= MIN_MACHINE_SAMPLES && machine_mean.mean > STRAGGLER_FACTOR
 }
 
 /// Whether the running tasks of a machine show that it is slow. Each task is given as its job's mean run
 /// time, in seconds, and how long it has run, in seconds.
 pub fn is_straggling<'a>(running: impl Iterator<Item = (&'a RunningMean, f64)>) -> bool {
-    let late = running.filter(|(job, ran_s)| {
-        job.count >= MIN_JOB_SAMPLES && *ran_s > LATE_TASK_FACTOR * job.mean
+    let late_tasks = running.filter(|(job_mean, run_s)| {
+        job_mean.count >= MIN_JOB_SAMPLES && *run_s > LATE_TASK_FACTOR * job_mean.mean
     });
-    late.take(MIN_LATE_TASKS).count() == MIN_LATE_TASKS
+    late_tasks.take(MIN_LATE_TASKS).count() == MIN_LATE_TASKS
 }
 
 #[cfg(test)]
--- a/src/cluster/submission.rs
+++ b/src/cluster/submission.rs
@@ -42,7 +42,7 @@
     pub fn refresh_placement_deadlines(&mut self, now: Millis) {
         let wall_ms = self.wall_ms(now);
         for team in &mut self.teams {
-            let passed: Vec<_> = team
+            let expired_keys: Vec<_> = team
                 .queue
                 .iter()
                 .filter(|(.., job)| {
@@ -50,7 +50,7 @@
                 })
                 .copied()
                 .collect();
-            for key in passed {
+            for key in expired_keys {
                 team.queue.remove(&key);
                 let job = &mut self.jobs[key.2.as_usize()];
                 job.refresh_placement_deadline(wall_ms);
@@ -80,13 +80,13 @@
         (submitted_ms, released_ms): (u64, u64),
         now: Millis,
     ) -> Option<JobIndex> {
-        if let Some(&known) = self.jobs_by_id.get(&spec.id) {
-            return Some(known);
+        if let Some(&existing) = self.jobs_by_id.get(&spec.id) {
+            return Some(existing);
         }
         let team = TeamIndex(self.team_interner.get(&spec.team)?);
         let mut job = self.new_job(spec, team, (submitted_ms, released_ms), now);
-        let (to_start, to_end) = self.own_slacks_s(&job);
-        job.set_slacks(&to_start, to_end);
+        let (start_slacks_s, completion_slacks_s) = self.own_slacks_s(&job);
+        job.set_slacks(&start_slacks_s, completion_slacks_s);
         job.refresh_placement_deadline(self.wall_ms(now));
         let index = match self.free_job_slots.pop() {
             Some(index) => {
@@ -164,7 +164,7 @@
                 count as usize
             ],
             task_ranges: vec![TaskRange::default(); count.div_ceil(self.task_range_len) as usize],
-            foreign_snapshots: Vec::new(),
+            other_length_snapshots: Vec::new(),
             waiting: (0..count).collect(),
             done_count: 0,
             running_count: 0,
@@ -186,30 +186,31 @@
         if job.kind == JobKind::Service {
             return Default::default();
         }
-        let held_s = job.released_ms.saturating_sub(job.submitted_ms) as f64 / 1000.0;
+        let dependency_wait_s = job.released_ms.saturating_sub(job.submitted_ms) as f64 / 1000.0;
         let objectives = &self.objectives[job.class.as_usize()];
-        let to_end = objectives.completion_slacks_s(job.estimate_s, job.deadline_s, held_s);
-        (objectives.start_s.clone(), to_end)
+        let completion_slacks_s =
+            objectives.completion_slacks_s(job.estimate_s, job.deadline_s, dependency_wait_s);
+        (objectives.start_s.clone(), completion_slacks_s)
     }
 
     /// Makes a job as urgent as the most urgent of the jobs that depend on it: it has to be done by the
     /// latest times at which they can still meet their objectives.
-    pub fn inherit_urgency(&mut self, index: JobIndex, pull: &InheritedUrgency, now: Millis) {
+    pub fn inherit_urgency(&mut self, index: JobIndex, urgency: &InheritedUrgency, now: Millis) {
         let wall_ms = self.wall_ms(now);
-        let (to_start, mut to_end) = self.own_slacks_s(self.job(index));
+        let (start_slacks_s, mut completion_slacks_s) = self.own_slacks_s(self.job(index));
         let job = &mut self.jobs[index.as_usize()];
         let queue = &mut self.teams[job.team.as_usize()].queue;
-        let queued = queue.remove(&job.queue_key(index));
+        let was_queued = queue.remove(&job.queue_key(index));
         let run_ms = millis(job.estimate_s * ESTIMATE_MARGIN);
-        let due = pull.finish_by_ms.iter().filter_map(|due| {
-            let wait = due.checked_sub(job.released_ms + run_ms)?;
-            (wait > 0).then_some(wait as f64 / 1000.0)
+        let inherited_slacks_s = urgency.finish_by_ms.iter().filter_map(|finish_by_ms| {
+            let slack_ms = finish_by_ms.checked_sub(job.released_ms + run_ms)?;
+            (slack_ms > 0).then_some(slack_ms as f64 / 1000.0)
         });
-        to_end.extend(due);
-        job.set_slacks(&to_start, to_end);
-        job.priority = job.submitted_priority.min(pull.priority);
+        completion_slacks_s.extend(inherited_slacks_s);
+        job.set_slacks(&start_slacks_s, completion_slacks_s);
+        job.priority = job.submitted_priority.min(urgency.priority);
         job.refresh_placement_deadline(wall_ms);
-        if queued {
+        if was_queued {
             queue.insert(job.queue_key(index));
             self.scheduling_needed = true;
         }
