--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -1,6 +1,4 @@
-//! Which machines to rent and which to return.
-
-#![expect(missing_docs, reason = "its items are still to be documented")]
+//! The autoscaler: decides which machines to provision and which idle machines to release.
 
 use std::collections::HashMap;
 
@@ -13,115 +11,133 @@
     time::{Millis, millis},
 };
 
-/// What can be rented: a type in a zone, spot or not.
+/// A kind of machine that the cloud offers: a machine type in a zone, as a spot or an on-demand machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Offer {
+    /// The machine type.
     pub machine_type: MachineTypeIndex,
+    /// The zone.
     pub zone: ZoneIndex,
+    /// Whether the machine is a spot machine, which the cloud may reclaim at any time.
     pub spot: bool,
 }
 
-/// A rental under way.
+/// A request to the cloud for new machines of one kind.
 #[derive(Clone, Debug)]
 pub struct InstanceRequest {
+    /// The kind of machine.
     pub offer: Offer,
+    /// The number of machines.
     pub count: u32,
 }
 
-/// A machine costs a minute at least; a return that is decided on a little earlier is carried out
-/// when that is over.
+/// The age from which an idle machine may be released. The cloud bills at least a minute; a machine that is
+/// selected a little earlier is deleted when that minute is over.
 const MIN_BILLED_MS: Millis = 57_000;
-/// An empty machine is kept this long: the next job may want it.
+/// How long an idle machine is kept, since the next job may use it.
 const SCALE_IN_IDLE_MS: Millis = 12_000;
-/// An offer that had nothing is not asked again for this long.
+/// How long an offer is not requested again after the cloud had too few machines for a request.
 const UNAVAILABLE_OFFER_BACKOFF_MS: Millis = 20_000;
-/// Estimates are often too low; so much of the time that a task can wait is counted on.
+/// The fraction of a job's slack that the forecast counts on, as run-time estimates are often too low.
 const SLACK_SAFETY_FACTOR: f64 = 0.5;
-/// How long an array without any aim waits for others to finish before more is rented for it.
+/// The slack assumed for an array without objectives: how long it waits for running tasks to free capacity before
+/// machines are provisioned for it.
 const NO_OBJECTIVE_SLACK_S: f64 = 60.0;
+/// The most machines in one request to the cloud.
 const MAX_INSTANCES_PER_REQUEST: u32 = 50;
-/// Arrivals of services are counted over this time.
+/// The period over which arriving service tasks are counted.
 const ARRIVAL_WINDOW_MS: Millis = 120_000;
-/// Tasks of services that room is kept for on the strength of one burst. What is more has to have come
-/// in other parts of the window too: a deployment's start brings thousands at once that nobody follows.
-/// Taken for the most that could ever be wanted, it had one replica in ten wait for a machine on calm days of
-/// 1,213 machines, where 140 come while one boots.
+/// The most service tasks that headroom is kept for because of one burst. Headroom for more tasks needs
+/// arrivals in other parts of the window too: when a deployment starts, thousands arrive at the same time and no
+/// more follow. This must not limit the headroom as a whole: with that limit, one replica in ten waited for a
+/// machine in normal operation of 1,213 machines, where 140 replicas arrive while a machine boots.
 const MAX_BURST_HEADROOM_TASKS: usize = 64;
+/// The number of equal parts of the arrival window in which bursts are detected.
 const ARRIVAL_WINDOW_PARTS: usize = 8;
-/// Room is looked for, for each, in each plan.
+/// The most service tasks that headroom is kept for. Each plan searches a machine for each of them.
 const MAX_HEADROOM_TASKS: usize = 2048;
-/// Fewer silent machines than this say nothing of their zone.
+/// The number of unresponsive machines from which on their zone can count as partitioned.
 const MIN_UNRESPONSIVE_MACHINES: usize = 3;
-/// Machines that arrays may ask for in one plan: few rentals are under way at a time, and the next plan is
-/// made anew.
+/// The number of new machines in one plan from which on none is added for arrays: only a few requests are in
+/// flight at a time, and the next plan is computed from scratch.
 const MAX_NEW_MACHINES_PER_PLAN: usize = 100;
 
+/// The autoscaler's memory between plans.
 #[derive(Default)]
 pub struct Autoscaler {
-    /// Offers that were refused, and until when they are passed over.
+    /// Offers for which the cloud had too few machines, and until when they are not requested again.
     unavailable_until: HashMap<Offer, Millis>,
-    /// Service tasks that came lately: when, by the time of day, and what each took. A successor knows them
-    /// from the jobs' records: without, the room that was kept ready was returned after each takeover.
+    /// Recently arrived service tasks: their arrival times, in milliseconds of the time of day, and resource
+    /// requests. A new leader restores them from the jobs' records; without them the headroom was released
+    /// after each takeover.
     service_arrivals: Vec<(u64, Resources)>,
+    /// When the counting of arrivals began, in milliseconds of the time of day.
     observed_since_ms: Option<u64>,
 }
 
-/// A machine that is there, coming, or wanted.
+/// A machine that is up, booting, requested, or to be provisioned by this plan.
 struct PlannedMachine {
     offer: Offer,
     free: Resources,
     to_provision: bool,
 }
 
+/// The machines of a plan.
 struct PlannedFleet {
     machines: Vec<PlannedMachine>,
-    /// How many there are in each zone.
+    /// The number of machines in each zone.
     machines_by_zone: Vec<usize>,
-    /// How many of them are to be rented.
+    /// The number of machines to provision.
     to_provision: usize,
-    /// Zones that seem to be cut off.
+    /// For each zone, whether it seems to be partitioned from this node.
     partitioned_zones: Vec<bool>,
 }
 
 impl PlannedFleet {
-    fn new(cluster: &ClusterState, bins: Vec<PlannedMachine>, dark: Vec<bool>) -> Self {
-        let mut crowd = vec![0; cluster.zone_names.len()];
-        for bin in &bins {
-            crowd[bin.offer.zone.as_usize()] += 1;
+    fn new(
+        cluster: &ClusterState,
+        planned_machines: Vec<PlannedMachine>,
+        partitioned: Vec<bool>,
+    ) -> Self {
+        let mut counts_by_zone = vec![0; cluster.zone_names.len()];
+        for machine in &planned_machines {
+            counts_by_zone[machine.offer.zone.as_usize()] += 1;
         }
         PlannedFleet {
-            machines: bins,
-            machines_by_zone: crowd,
+            machines: planned_machines,
+            machines_by_zone: counts_by_zone,
             to_provision: 0,
-            partitioned_zones: dark,
+            partitioned_zones: partitioned,
         }
     }
 
-    /// A new one, for a task that takes `need` of it.
+    /// Adds a machine to provision, with `need` of it taken by a task.
     fn add(&mut self, cluster: &ClusterState, offer: Offer, need: &Resources) {
-        let mut room = capacity_of(cluster, offer.machine_type);
-        room.sub(need);
+        let mut remaining = capacity_of(cluster, offer.machine_type);
+        remaining.sub(need);
         self.machines_by_zone[offer.zone.as_usize()] += 1;
         self.to_provision += 1;
         self.machines.push(PlannedMachine {
             offer,
-            free: room,
+            free: remaining,
             to_provision: true,
         });
     }
 }
 
 impl Autoscaler {
+    /// Records that the cloud had too few machines for a request. The offer is not requested again for 20 seconds.
     pub fn mark_unavailable(&mut self, offer: Offer, now: Millis) {
         self.unavailable_until
             .insert(offer, now + UNAVAILABLE_OFFER_BACKOFF_MS);
     }
 
-    /// A service came, at this time of day: room for the next of its kind is kept.
+    /// Records the arrival of a service whose `tasks` tasks each request `need`, at `at_ms` of the time of day.
+    /// Headroom is kept for the services that follow.
     pub fn record_service_arrival(&mut self, need: Resources, tasks: usize, at_ms: u64) {
         self.observed_since_ms = Some(
             self.observed_since_ms
-                .map_or(at_ms, |began| began.min(at_ms)),
+                .map_or(at_ms, |since_ms| since_ms.min(at_ms)),
         );
         self.service_arrivals.extend(std::iter::repeat_n(
             (at_ms, need),
@@ -129,144 +145,149 @@
         ));
     }
 
-    /// Room that services of the near future may want before a machine could be up.
+    /// The resource requests of the service tasks that are expected to arrive while a machine boots.
     fn service_headroom(&mut self, cluster: &ClusterState, wall_ms: u64) -> Vec<Resources> {
-        let began = *self.observed_since_ms.get_or_insert(wall_ms);
+        let observed_since_ms = *self.observed_since_ms.get_or_insert(wall_ms);
         self.service_arrivals
-            .retain(|(at, _)| at + ARRIVAL_WINDOW_MS > wall_ms);
-        let window = wall_ms
-            .saturating_sub(began)
+            .retain(|(at_ms, _)| at_ms + ARRIVAL_WINDOW_MS > wall_ms);
+        let window_s = wall_ms
+            .saturating_sub(observed_since_ms)
             .clamp(30_000, ARRIVAL_WINDOW_MS) as f64
             / 1000.0;
         let boot_s = cluster
             .machine_types
             .iter()
-            .map(|kind| kind.boot_s)
+            .map(|machine_type| machine_type.boot_s)
             .fold(f64::INFINITY, f64::min);
         if self.service_arrivals.is_empty() || !boot_s.is_finite() {
             return Vec::new();
         }
-        let expected = |arrivals: usize, window: f64| {
-            (arrivals as f64 / window * boot_s * 1.5).ceil() as usize
+        let expected_arrivals = |arrivals: usize, window_s: f64| {
+            (arrivals as f64 / window_s * boot_s * 1.5).ceil() as usize
         };
-        // All of them but those of the two parts on end that brought the most.
+        // The steady rate leaves out the two adjacent parts of the window with the most arrivals.
         let mut parts = [0; ARRIVAL_WINDOW_PARTS];
-        for (at, _) in &self.service_arrivals {
-            let age = wall_ms.saturating_sub(*at) as usize;
-            parts[(age * ARRIVAL_WINDOW_PARTS / ARRIVAL_WINDOW_MS as usize)
+        for (at_ms, _) in &self.service_arrivals {
+            let age_ms = wall_ms.saturating_sub(*at_ms) as usize;
+            parts[(age_ms * ARRIVAL_WINDOW_PARTS / ARRIVAL_WINDOW_MS as usize)
                 .min(ARRIVAL_WINDOW_PARTS - 1)] += 1;
         }
-        let most: usize = parts
+        let burst_arrivals: usize = parts
             .windows(2)
-            .map(|two| two[0] + two[1])
+            .map(|pair| pair[0] + pair[1])
             .max()
             .unwrap_or(0);
-        let others = window * (ARRIVAL_WINDOW_PARTS - 2) as f64 / ARRIVAL_WINDOW_PARTS as f64;
-        let steady = expected(self.service_arrivals.len() - most, others);
-        let count =
-            expected(self.service_arrivals.len(), window).min(steady.max(MAX_BURST_HEADROOM_TASKS));
+        let steady_window_s =
+            window_s * (ARRIVAL_WINDOW_PARTS - 2) as f64 / ARRIVAL_WINDOW_PARTS as f64;
+        let steady_tasks = expected_arrivals(
+            self.service_arrivals.len() - burst_arrivals,
+            steady_window_s,
+        );
+        let task_count = expected_arrivals(self.service_arrivals.len(), window_s)
+            .min(steady_tasks.max(MAX_BURST_HEADROOM_TASKS));
         let mut needs: Vec<Resources> = self
             .service_arrivals
             .iter()
             .map(|(_, need)| *need)
             .collect();
         needs.sort_by(|a, b| b.cpus.total_cmp(&a.cpus));
-        needs.truncate(count.min(MAX_HEADROOM_TASKS));
+        needs.truncate(task_count.min(MAX_HEADROOM_TASKS));
         needs
     }
 
-    /// What to rent now, given what is under way.
+    /// Plans which machines to request now, given the requests that are in flight, and which machines to release.
+    /// None is released while any is requested. `now` is the monotonic time, `wall_ms` the time of day.
     #[expect(clippy::too_many_lines, reason = "still to be split")]
     pub fn plan_scaling(
         &mut self,
         cluster: &ClusterState,
-        under_way: &[InstanceRequest],
+        requests_in_flight: &[InstanceRequest],
         now: Millis,
         wall_ms: u64,
     ) -> (Vec<InstanceRequest>, Vec<MachineIndex>) {
         self.unavailable_until.retain(|_, until| *until > now);
-        let dark = find_partitioned_zones(cluster, now);
-        let mut bins: Vec<PlannedMachine> = Vec::new();
+        let partitioned_zones = find_partitioned_zones(cluster, now);
+        let mut machines: Vec<PlannedMachine> = Vec::new();
         for machine in &cluster.machines {
-            let room = match machine.state {
-                MachineState::Booting if dark[machine.zone.as_usize()] => continue,
+            let available = match machine.state {
+                MachineState::Booting if partitioned_zones[machine.zone.as_usize()] => continue,
                 MachineState::Booting if !machine.draining => cluster.free_resources(machine),
                 MachineState::Up if machine.is_schedulable() => cluster.free_resources(machine),
                 _ => continue,
             };
-            bins.push(PlannedMachine {
+            machines.push(PlannedMachine {
                 offer: Offer {
                     machine_type: machine.machine_type,
                     zone: machine.zone,
                     spot: machine.spot,
                 },
-                free: room,
+                free: available,
                 to_provision: false,
             });
         }
-        for rental in under_way {
-            for _ in 0..rental.count {
-                bins.push(PlannedMachine {
-                    offer: rental.offer,
-                    free: capacity_of(cluster, rental.offer.machine_type),
+        for request in requests_in_flight {
+            for _ in 0..request.count {
+                machines.push(PlannedMachine {
+                    offer: request.offer,
+                    free: capacity_of(cluster, request.offer.machine_type),
                     to_provision: false,
                 });
             }
         }
-        let mut bins = PlannedFleet::new(cluster, bins, dark);
-        self.fit_waiting_jobs(cluster, &mut bins, now, wall_ms);
-        let spare = self.service_headroom(cluster, wall_ms);
-        let mut missing = Vec::new();
-        for need in &spare {
-            match bins
+        let mut fleet = PlannedFleet::new(cluster, machines, partitioned_zones);
+        self.fit_waiting_jobs(cluster, &mut fleet, now, wall_ms);
+        let headroom = self.service_headroom(cluster, wall_ms);
+        let mut unassigned = Vec::new();
+        for need in &headroom {
+            match fleet
                 .machines
                 .iter_mut()
-                .find(|bin| !bin.offer.spot && need.fits_in(&bin.free))
+                .find(|machine| !machine.offer.spot && need.fits_in(&machine.free))
             {
-                Some(bin) => bin.free.sub(need),
-                None => missing.push(*need),
+                Some(machine) => machine.free.sub(need),
+                None => unassigned.push(*need),
             }
         }
-        for need in missing {
-            if let Some(bin) = bins
+        for need in unassigned {
+            if let Some(machine) = fleet
                 .machines
                 .iter_mut()
-                .find(|bin| !bin.offer.spot && need.fits_in(&bin.free))
+                .find(|machine| !machine.offer.spot && need.fits_in(&machine.free))
             {
-                bin.free.sub(&need);
+                machine.free.sub(&need);
             } else if let Some(offer) =
-                self.cheapest_offer(cluster, &bins, &need, u64::MAX, 1, false, false, |_| true)
+                self.cheapest_offer(cluster, &fleet, &need, u64::MAX, 1, false, false, |_| true)
             {
-                bins.add(cluster, offer, &need);
+                fleet.add(cluster, offer, &need);
             }
         }
-        let mut wanted: HashMap<Offer, u32> = HashMap::new();
-        for bin in bins.machines.iter().filter(|bin| bin.to_provision) {
-            *wanted.entry(bin.offer).or_default() += 1;
+        let mut counts_by_offer: HashMap<Offer, u32> = HashMap::new();
+        for machine in fleet.machines.iter().filter(|machine| machine.to_provision) {
+            *counts_by_offer.entry(machine.offer).or_default() += 1;
         }
-        let mut rentals: Vec<InstanceRequest> = wanted
+        let mut requests: Vec<InstanceRequest> = counts_by_offer
             .into_iter()
             .map(|(offer, count)| InstanceRequest {
                 offer,
                 count: count.min(MAX_INSTANCES_PER_REQUEST),
             })
             .collect();
-        // The largest first: few can be asked for at a time.
-        rentals.sort_by_key(|rental| (std::cmp::Reverse(rental.count), rental.offer));
-        let returns = if rentals.is_empty() {
-            self.select_scale_in(cluster, &spare, now)
+        // The largest requests come first, as only a few can be in flight at a time.
+        requests.sort_by_key(|request| (std::cmp::Reverse(request.count), request.offer));
+        let released = if requests.is_empty() {
+            self.select_scale_in(cluster, &headroom, now)
         } else {
             Vec::new()
         };
-        (rentals, returns)
+        (requests, released)
     }
 
-    /// Puts what waits into the bins, and into new ones where need be: the most urgent first, for an
-    /// array may want more machines than are asked for at once.
+    /// Assigns waiting tasks to machines of the plan, and adds machines where none fits. The most urgent jobs
+    /// come first, since an array may need more machines than one plan requests.
     fn fit_waiting_jobs(
         &self,
         cluster: &ClusterState,
-        bins: &mut PlannedFleet,
+        fleet: &mut PlannedFleet,
         now: Millis,
         wall_ms: u64,
     ) {
@@ -276,137 +297,141 @@
             .flat_map(|team| team.queue.iter().copied())
             .collect();
         jobs.sort_unstable();
-        let freed = CapacityForecast::new(cluster, now);
-        let mut budgets: Vec<Resources> = cluster.teams.iter().map(|team| team.reserved).collect();
-        // How many waiting tasks count on places that running tasks will leave in time.
-        let mut spoken_for = 0;
-        let mut unmet: Vec<&Job> = Vec::new();
+        let forecast = CapacityForecast::new(cluster, now);
+        let mut reserved: Vec<Resources> = cluster.teams.iter().map(|team| team.reserved).collect();
+        // The number of waiting tasks that count on capacity that running tasks will free in time.
+        let mut deferred_tasks = 0;
+        let mut unplaced: Vec<&Job> = Vec::new();
         for (.., job) in jobs {
             let job = cluster.job(job);
-            // Nothing is rented for a job that fails everywhere.
+            // No machine is provisioned for a job that fails on every machine.
             if job.quarantined {
                 continue;
             }
-            let mut slots = job.waiting.len();
+            let mut task_count = job.waiting.len();
             if job.kind == JobKind::Array {
-                // What found nothing finds nothing for those who ask for as much.
-                let hopeless = |other: &&Job| {
+                // If no machine fits an earlier job, none fits a job with at least the same requirements.
+                let rules_out = |other: &&Job| {
                     other.requested.fits_in(&job.requested)
                         && job.allowed_types & !other.allowed_types == 0
                         && (other.spot || !job.spot)
                         && (!is_spot_only(other) || is_spot_only(job))
                 };
-                if bins.to_provision >= MAX_NEW_MACHINES_PER_PLAN || unmet.iter().any(hopeless) {
+                if fleet.to_provision >= MAX_NEW_MACHINES_PER_PLAN || unplaced.iter().any(rules_out)
+                {
                     continue;
                 }
-                let window = remaining_slack_s(job, wall_ms) * SLACK_SAFETY_FACTOR;
-                let places = freed.tasks_startable_within(job, window) as usize;
-                let covered = slots.min(places.saturating_sub(spoken_for));
-                spoken_for += covered;
-                slots -= covered;
+                let window_s = remaining_slack_s(job, wall_ms) * SLACK_SAFETY_FACTOR;
+                let startable = forecast.tasks_startable_within(job, window_s) as usize;
+                let deferred = task_count.min(startable.saturating_sub(deferred_tasks));
+                deferred_tasks += deferred;
+                task_count -= deferred;
             }
             let limit = &cluster.teams[job.team.as_usize()].limit;
-            let budget = &mut budgets[job.team.as_usize()];
-            let mut by_zone = job.active_by_zone.clone();
-            let mut from = 0;
-            for _ in 0..slots {
-                let mut asked = *budget;
-                asked.add(&job.requested);
-                if asked.cpus > limit.cpus + 1e-6 || asked.gpus > limit.gpus + 1e-6 {
+            let team_reserved = &mut reserved[job.team.as_usize()];
+            let mut tasks_by_zone = job.active_by_zone.clone();
+            let mut first_machine = 0;
+            for _ in 0..task_count {
+                let mut increased = *team_reserved;
+                increased.add(&job.requested);
+                if increased.cpus > limit.cpus + 1e-6 || increased.gpus > limit.gpus + 1e-6 {
                     break;
                 }
-                *budget = asked;
-                let Some(zone) = self.fit_task(cluster, job, &by_zone, bins, &mut from) else {
+                *team_reserved = increased;
+                let Some(zone) =
+                    self.fit_task(cluster, job, &tasks_by_zone, fleet, &mut first_machine)
+                else {
                     if job.kind == JobKind::Array
                         && job.zone.is_none()
                         && !job.one_zone
                         && !job.spread
                     {
-                        unmet.push(job);
+                        unplaced.push(job);
                     }
                     break;
                 };
-                by_zone[zone.as_usize()] += 1;
+                tasks_by_zone[zone.as_usize()] += 1;
             }
         }
     }
 
-    /// Puts a task into a bin, a new one if need be; the zone it went to. The bins before `from` were
-    /// too small for the job's earlier tasks, or in zones that are full of them.
+    /// Assigns a task to a machine of the plan, or to an added one if none fits, and returns its zone. The
+    /// search begins at position `first_machine`: the machines before it had too little free capacity for the
+    /// job's earlier tasks, or were in zones that already ran as many of its tasks as allowed.
     fn fit_task(
         &self,
         cluster: &ClusterState,
         job: &Job,
-        by_zone: &[u32],
-        bins: &mut PlannedFleet,
-        from: &mut usize,
+        tasks_by_zone: &[u32],
+        fleet: &mut PlannedFleet,
+        first_machine: &mut usize,
     ) -> Option<ZoneIndex> {
-        let half = job.tasks.len().div_ceil(2) as u32;
-        let zone_ok = |zone: ZoneIndex| {
-            job.zone.is_none_or(|only| only == zone)
-                && (!job.spread || by_zone[zone.as_usize()] < half)
+        let zone_limit = job.tasks.len().div_ceil(2) as u32;
+        let allows_zone = |zone: ZoneIndex| {
+            job.zone.is_none_or(|required_zone| required_zone == zone)
+                && (!job.spread || tasks_by_zone[zone.as_usize()] < zone_limit)
                 && (!job.one_zone
-                    || by_zone
+                    || tasks_by_zone
                         .iter()
                         .enumerate()
                         .all(|(other, &count)| count == 0 || other == zone.as_usize()))
         };
-        let found = bins.machines[*from..].iter().position(|bin| {
-            (!bin.offer.spot || job.spot)
-                && job.allows_type(bin.offer.machine_type)
-                && zone_ok(bin.offer.zone)
-                && job.requested.fits_in(&bin.free)
+        let position = fleet.machines[*first_machine..].iter().position(|machine| {
+            (!machine.offer.spot || job.spot)
+                && job.allows_type(machine.offer.machine_type)
+                && allows_zone(machine.offer.zone)
+                && job.requested.fits_in(&machine.free)
         });
-        if let Some(found) = found {
-            *from += found;
-            let bin = &mut bins.machines[*from];
-            bin.free.sub(&job.requested);
-            return Some(bin.offer.zone);
+        if let Some(position) = position {
+            *first_machine += position;
+            let machine = &mut fleet.machines[*first_machine];
+            machine.free.sub(&job.requested);
+            return Some(machine.offer.zone);
         }
-        *from = bins.machines.len();
-        if job.kind == JobKind::Array && bins.to_provision >= MAX_NEW_MACHINES_PER_PLAN {
+        *first_machine = fleet.machines.len();
+        if job.kind == JobKind::Array && fleet.to_provision >= MAX_NEW_MACHINES_PER_PLAN {
             return None;
         }
         let offer = self.cheapest_offer(
             cluster,
-            bins,
+            fleet,
             &job.requested,
             job.allowed_types,
             job.waiting.len(),
             job.spot,
             is_spot_only(job),
-            zone_ok,
+            allows_zone,
         )?;
-        bins.add(cluster, offer, &job.requested);
+        fleet.add(cluster, offer, &job.requested);
         Some(offer.zone)
     }
 
-    /// The offer with the least price for each task that it would hold; among equals the zone
-    /// with the fewest machines.
+    /// The offer with the lowest price per task that a machine would run; among offers with equal prices,
+    /// the one in the zone with the fewest machines. `allowed_types` has a bit for each allowed machine type.
     #[allow(clippy::too_many_arguments)]
     fn cheapest_offer(
         &self,
         cluster: &ClusterState,
-        bins: &PlannedFleet,
+        fleet: &PlannedFleet,
         need: &Resources,
-        types: u64,
+        allowed_types: u64,
         tasks: usize,
         spot_allowed: bool,
         spot_only: bool,
-        zone_ok: impl Fn(ZoneIndex) -> bool,
+        allows_zone: impl Fn(ZoneIndex) -> bool,
     ) -> Option<Offer> {
         let mut best: Option<(f64, usize, Offer)> = None;
-        for (index, kind) in cluster.machine_types.iter().enumerate() {
-            let type_ix = MachineTypeIndex(index as u32);
-            let room = capacity_of(cluster, type_ix);
-            if types & (1 << index) == 0 || !need.fits_in(&room) {
+        for (index, machine_type) in cluster.machine_types.iter().enumerate() {
+            let type_index = MachineTypeIndex(index as u32);
+            let capacity = capacity_of(cluster, type_index);
+            if allowed_types & (1 << index) == 0 || !need.fits_in(&capacity) {
                 continue;
             }
-            let holds = [
-                room.cpus / need.cpus,
-                room.ram_gb / need.ram_gb,
+            let tasks_per_machine = [
+                capacity.cpus / need.cpus,
+                capacity.ram_gb / need.ram_gb,
                 if need.gpus > 0.0 {
-                    room.gpus / need.gpus
+                    capacity.gpus / need.gpus
                 } else {
                     f64::INFINITY
                 },
@@ -415,17 +440,17 @@
             .fold(f64::INFINITY, f64::min)
             .floor()
             .max(1.0);
-            let used = holds.min(tasks.max(1) as f64);
-            for name in &kind.zones {
+            let tasks_run = tasks_per_machine.min(tasks.max(1) as f64);
+            for name in &machine_type.zones {
                 let Some(zone) = cluster.zone_interner.get(name).map(ZoneIndex) else {
                     continue;
                 };
-                if !zone_ok(zone) || bins.partitioned_zones[zone.as_usize()] {
+                if !allows_zone(zone) || fleet.partitioned_zones[zone.as_usize()] {
                     continue;
                 }
                 for spot in [false, true] {
                     let offer = Offer {
-                        machine_type: type_ix,
+                        machine_type: type_index,
                         zone,
                         spot,
                     };
@@ -435,17 +460,18 @@
                     {
                         continue;
                     }
-                    let price = match kind.spot_price {
+                    let price = match machine_type.spot_price {
                         Some(price) if spot => price,
                         _ if spot => continue,
-                        _ => kind.price,
+                        _ => machine_type.price,
                     };
-                    let crowd = bins.machines_by_zone[zone.as_usize()];
-                    let cost = price / used;
-                    if best.is_none_or(|(least, few, _)| {
-                        cost < least - 1e-9 || (cost < least + 1e-9 && crowd < few)
+                    let machines_in_zone = fleet.machines_by_zone[zone.as_usize()];
+                    let cost = price / tasks_run;
+                    if best.is_none_or(|(lowest_cost, fewest_machines, _)| {
+                        cost < lowest_cost - 1e-9
+                            || (cost < lowest_cost + 1e-9 && machines_in_zone < fewest_machines)
                     }) {
-                        best = Some((cost, crowd, offer));
+                        best = Some((cost, machines_in_zone, offer));
                     }
                 }
             }
@@ -453,16 +479,16 @@
         best.map(|(.., offer)| offer)
     }
 
-    /// Machines that have stood empty long enough and are not needed as spare room.
+    /// The machines that have been idle long enough, or are draining and idle, and are not needed as headroom.
     fn select_scale_in(
         &self,
         cluster: &ClusterState,
-        spare: &[Resources],
+        headroom: &[Resources],
         now: Millis,
     ) -> Vec<MachineIndex> {
-        let mut returns: Vec<MachineIndex> = Vec::new();
-        let mut leaving = vec![false; cluster.machines.len()];
-        let mut empty: Vec<(bool, Millis, MachineIndex)> = cluster
+        let mut released: Vec<MachineIndex> = Vec::new();
+        let mut is_released = vec![false; cluster.machines.len()];
+        let mut idle_machines: Vec<(bool, Millis, MachineIndex)> = cluster
             .machines
             .iter()
             .enumerate()
@@ -477,54 +503,55 @@
                             && machine.provisioned_at + MIN_BILLED_MS <= now))
             })
             .map(|(index, machine)| {
-                let boot = millis(cluster.machine_types[machine.machine_type.as_usize()].boot_s);
+                let boot_ms = millis(cluster.machine_types[machine.machine_type.as_usize()].boot_s);
                 (
                     !machine.draining,
-                    machine.idle_since + boot,
+                    machine.idle_since + boot_ms,
                     MachineIndex(index as u32),
                 )
             })
             .collect();
-        empty.sort();
-        for (.., index) in empty {
+        idle_machines.sort();
+        for (.., index) in idle_machines {
             let machine = cluster.machine(index);
-            let mut rooms: Vec<Resources> = cluster
+            let mut free_by_machine: Vec<Resources> = cluster
                 .machines
                 .iter()
                 .enumerate()
-                .filter(|(other, each)| {
+                .filter(|(other, other_machine)| {
                     *other != index.as_usize()
-                        && each.is_schedulable()
-                        && !each.spot
-                        && !leaving[*other]
+                        && other_machine.is_schedulable()
+                        && !other_machine.spot
+                        && !is_released[*other]
                 })
-                .map(|(_, each)| cluster.free_resources(each))
+                .map(|(_, other_machine)| cluster.free_resources(other_machine))
                 .collect();
-            let covered = machine.spot
+            let is_spare = machine.spot
                 || machine.draining
-                || spare.iter().all(|need| {
-                    rooms
+                || headroom.iter().all(|need| {
+                    free_by_machine
                         .iter_mut()
-                        .find(|room| need.fits_in(room))
-                        .map(|room| room.sub(need))
+                        .find(|free| need.fits_in(free))
+                        .map(|free| free.sub(need))
                         .is_some()
                 });
-            if covered {
-                leaving[index.as_usize()] = true;
-                returns.push(index);
+            if is_spare {
+                is_released[index.as_usize()] = true;
+                released.push(index);
             }
         }
-        returns
+        released
     }
 }
 
-/// Zones most of whose machines are silent. What boots there can't be heard of either: while one was cut off
-/// for a minute, most of what was rented came up in it and was of no use, as it had the fewest machines left.
+/// For each zone, whether more than half of its machines are unresponsive. Machines that boot there can't
+/// reach this node either. While a zone was partitioned for a minute, most new machines were provisioned in it
+/// and could not be used, because the zone had the fewest remaining machines.
 fn find_partitioned_zones(cluster: &ClusterState, now: Millis) -> Vec<bool> {
-    let mut zones = vec![(0, 0); cluster.zone_names.len()];
+    let mut counts_by_zone = vec![(0, 0); cluster.zone_names.len()];
     for machine in &cluster.machines {
-        let silent = match machine.state {
-            // After a takeover the workers have to find their leader first.
+        let is_unresponsive = match machine.state {
+            // After a takeover the workers have to discover the new leader first.
             MachineState::Up
                 if machine.last_heartbeat_at.is_none() && now < cluster.workers_expected_by =>
             {
@@ -534,62 +561,66 @@
             MachineState::Lost => true,
             _ => continue,
         };
-        let (dark, all) = &mut zones[machine.zone.as_usize()];
-        *dark += usize::from(silent);
-        *all += 1;
+        let (unresponsive, total) = &mut counts_by_zone[machine.zone.as_usize()];
+        *unresponsive += usize::from(is_unresponsive);
+        *total += 1;
     }
-    let dark =
-        |(silent, all): (usize, usize)| silent >= MIN_UNRESPONSIVE_MACHINES && silent * 2 > all;
-    zones.into_iter().map(dark).collect()
+    let is_partitioned = |(unresponsive, total): (usize, usize)| {
+        unresponsive >= MIN_UNRESPONSIVE_MACHINES && unresponsive * 2 > total
+    };
+    counts_by_zone.into_iter().map(is_partitioned).collect()
 }
 
-/// How long the job's tasks can wait for a place and still be on time: by its deadline, by what is aimed
-/// at for its class, or by what those that need it need.
+/// The seconds that the job's tasks can still wait and meet the tightest of its objectives: those of its class, its
+/// deadline, and those inherited from the jobs that depend on it.
 fn remaining_slack_s(job: &Job, wall_ms: u64) -> f64 {
-    let waited = wall_ms.saturating_sub(job.released_ms) as f64 / 1000.0;
-    let due = job
+    let waited_s = wall_ms.saturating_sub(job.released_ms) as f64 / 1000.0;
+    let slack_s = job
         .objective_slacks_s
         .first()
         .copied()
         .unwrap_or(NO_OBJECTIVE_SLACK_S);
-    (due - waited).max(0.0)
+    (slack_s - waited_s).max(0.0)
 }
 
-/// Nothing is aimed at for the job, and it may run on spot machines: ordinary ones are not rented for it,
-/// which cost several times as much.
+/// Whether only spot machines are provisioned for the job: an array without objectives that may run on them.
+/// On-demand machines cost several times as much.
 fn is_spot_only(job: &Job) -> bool {
     job.kind == JobKind::Array && job.latest_placements_ms.is_empty() && job.spot
 }
 
-fn capacity_of(cluster: &ClusterState, type_ix: MachineTypeIndex) -> Resources {
-    let kind = &cluster.machine_types[type_ix.as_usize()];
+/// The capacity of a machine of a type.
+fn capacity_of(cluster: &ClusterState, type_index: MachineTypeIndex) -> Resources {
+    let machine_type = &cluster.machine_types[type_index.as_usize()];
     Resources {
-        cpus: kind.cpus,
-        gpus: kind.gpus,
-        ram_gb: kind.ram_gb,
+        cpus: machine_type.cpus,
+        gpus: machine_type.gpus,
+        ram_gb: machine_type.ram_gb,
     }
 }
 
-/// When running array tasks will leave their places, for those that offer alike.
+/// When running array tasks of one job will free their capacity on machines of one type, spot or not.
 struct FreeingCapacity {
     machine_type: MachineTypeIndex,
     spot: bool,
+    /// The capacity that each task frees.
     released: Resources,
-    /// Seconds from now, in order, and their sums from the start.
+    /// The estimated remaining run times of the tasks in seconds, ascending.
     remaining_s: Vec<f64>,
+    /// The prefix sums of `remaining_s`.
     cumulative_remaining_s: Vec<f64>,
 }
 
-/// The places that running array tasks will leave. Hundreds of jobs ask in one plan, so they are
-/// sorted out once.
+/// The capacity that running array tasks will free. It is computed once for each plan, since hundreds of jobs
+/// query it.
 struct CapacityForecast {
     groups: Vec<FreeingCapacity>,
 }
 
 impl CapacityForecast {
     fn new(cluster: &ClusterState, now: Millis) -> Self {
-        let mut index: HashMap<(MachineTypeIndex, bool, JobIndex), usize> = HashMap::new();
-        let mut places: Vec<FreeingCapacity> = Vec::new();
+        let mut group_indices: HashMap<(MachineTypeIndex, bool, JobIndex), usize> = HashMap::new();
+        let mut freeing_groups: Vec<FreeingCapacity> = Vec::new();
         for machine in cluster
             .machines
             .iter()
@@ -600,54 +631,58 @@
                 if attempt.phase == Phase::Ended || job.kind != JobKind::Array {
                     continue;
                 }
-                let ran = attempt
+                let ran_s = attempt
                     .running_since
                     .map_or(0.0, |since| now.saturating_sub(since) as f64 / 1000.0);
                 let key = (machine.machine_type, machine.spot, attempt.job);
-                let at = *index.entry(key).or_insert_with(|| {
-                    places.push(FreeingCapacity {
+                let group_index = *group_indices.entry(key).or_insert_with(|| {
+                    freeing_groups.push(FreeingCapacity {
                         machine_type: machine.machine_type,
                         spot: machine.spot,
                         released: job.requested,
                         remaining_s: Vec::new(),
                         cumulative_remaining_s: Vec::new(),
                     });
-                    places.len() - 1
+                    freeing_groups.len() - 1
                 });
-                let left = (job.estimate_s - ran).max(job.estimate_s * 0.25);
-                places[at].remaining_s.push(left);
+                let left_s = (job.estimate_s - ran_s).max(job.estimate_s * 0.25);
+                freeing_groups[group_index].remaining_s.push(left_s);
             }
         }
-        for each in &mut places {
-            each.remaining_s.sort_by(f64::total_cmp);
-            let sums = each.remaining_s.iter().scan(0.0, |sum, left| {
-                *sum += left;
+        for group in &mut freeing_groups {
+            group.remaining_s.sort_by(f64::total_cmp);
+            let sums = group.remaining_s.iter().scan(0.0, |sum, left_s| {
+                *sum += left_s;
                 Some(*sum)
             });
-            each.cumulative_remaining_s = sums.collect();
+            group.cumulative_remaining_s = sums.collect();
+        }
+        CapacityForecast {
+            groups: freeing_groups,
         }
-        CapacityForecast { groups: places }
     }
 
-    /// How many tasks of this job could be started within `window_s` in places that are left: one
-    /// when it is left, and others after it in the time that remains.
+    /// How many tasks of this job could start within `window_s` seconds on capacity that running tasks free: for
+    /// each of these, one task when it ends and more in sequence in the rest of the window.
     fn tasks_startable_within(&self, job: &Job, window_s: f64) -> f64 {
         if window_s <= 0.0 {
             return 0.0;
         }
-        let suits = |each: &&FreeingCapacity| {
-            (!each.spot || job.spot)
-                && job.allows_type(each.machine_type)
-                && job.requested.fits_in(&each.released)
+        let is_usable = |group: &&FreeingCapacity| {
+            (!group.spot || job.spot)
+                && job.allows_type(group.machine_type)
+                && job.requested.fits_in(&group.released)
         };
-        let all = self.groups.iter().filter(suits).map(|each| {
-            let count = each.remaining_s.partition_point(|left| *left < window_s);
+        let task_counts = self.groups.iter().filter(is_usable).map(|group| {
+            let count = group
+                .remaining_s
+                .partition_point(|left_s| *left_s < window_s);
             let sum = count
                 .checked_sub(1)
-                .map_or(0.0, |last| each.cumulative_remaining_s[last]);
+                .map_or(0.0, |last| group.cumulative_remaining_s[last]);
             let count = count as f64;
             count + (count * window_s - sum) / job.estimate_s.max(1.0)
         });
-        all.sum()
+        task_counts.sum()
     }
 }
