--- a/src/cluster/attempt.rs
+++ b/src/cluster/attempt.rs
@@ -32,11 +32,11 @@
     pub cause: Option<FailureCause>,
     /// When it was placed, or recovered by a leader that took over.
     pub placed_at: Millis,
-    /// When this leader first learned that it is running.
+    /// When a heartbeat first reported to this leader that it is running.
     pub running_since: Option<Millis>,
     /// A start was sent, by this leader or perhaps by an earlier one.
     pub start_sent: bool,
-    /// It was recovered from the previous leader's log and is not reported by its worker yet. Its start is
+    /// It was recovered from the previous leader's log, and its worker has not reported it yet. Its start is
     /// never sent again: the previous leader may have found that it is gone and have placed other tasks on
     /// the freed resources, which are not in the log yet.
     pub recovered: bool,
--- a/src/cluster/fault_attribution.rs
+++ b/src/cluster/fault_attribution.rs
@@ -1,6 +1,6 @@
 //! Decides whether the machine or the job is at fault when tasks fail. On a faulty machine the tasks of
-//! every job fail; a job that was submitted with a mistake fails on every machine. They are distinguished by
-//! which other jobs fail on the same machines and which jobs make progress on other machines.
+//! every job fail; a job that was submitted with a mistake fails on every machine. The two are distinguished
+//! by which other jobs fail on the same machines and which jobs make progress on other machines.
 
 use crate::{
     cluster::{ClusterState, Job, JobIndex, MachineIndex, MachineState, Phase, TaskStatus},
@@ -18,8 +18,8 @@
 const MAX_DRAINING_DIVISOR: usize = 3;
 /// The number of machines that a job avoids after its tasks failed on them.
 const MAX_REMEMBERED_MACHINES: usize = 4;
-/// How long a job avoids them. It ends because the failures may have been temporary, and because no
-/// other machine may have free capacity.
+/// How long a job avoids them. The time is limited because the failures may have been temporary, and because
+/// the other machines may have no free capacity.
 const JOB_AVOIDS_MACHINE_MS: Millis = 40_000;
 /// How long no task is placed on a machine after a task failed on it.
 const MACHINE_AVOIDED_MS: Millis = 10_000;
--- a/src/cluster/job.rs
+++ b/src/cluster/job.rs
@@ -25,7 +25,7 @@
 /// How much later than its last objective's placement deadline a job is ordered once it can't meet any
 /// objective, so that jobs that still can go first.
 const MISSED_OBJECTIVES_DELAY_MS: Millis = 300_000;
-/// The fraction of the slack for each objective but the tightest after which a task has to be placed.
+/// The fraction of the slack within which a task has to be placed, for each objective but the tightest.
 const LATER_OBJECTIVE_FRACTION: f64 = 0.7;
 /// How long before its latest start a task has to be placed to start in time.
 const PLACEMENT_LEAD_MS: Millis = 500;
@@ -65,7 +65,7 @@
     pub latest_placements_ms: Vec<Millis>,
     /// When it was added to this node's cluster state.
     pub first_seen_at: Millis,
-    /// What each of its tasks requests.
+    /// The resources that each of its tasks requests.
     pub requested: Resources,
     /// A bit for each machine type on which its tasks may run.
     pub allowed_types: u64,
--- a/src/cluster/machine.rs
+++ b/src/cluster/machine.rs
@@ -44,13 +44,13 @@
     pub state: MachineState,
     /// The worker's incarnation; 0 if it is not known.
     pub incarnation: u64,
-    /// The sequence number of its latest heartbeat.
+    /// The sequence number of its latest report, in a heartbeat or in a response to a command.
     pub seq: u64,
     /// The highest fencing token that its worker has reported.
     pub token: u64,
     /// How many heartbeats were received, without outdated ones and responses to direct commands.
     pub heartbeats_received: u64,
-    /// When its latest heartbeat arrived.
+    /// When its latest report arrived.
     pub last_heartbeat_at: Option<Millis>,
     /// The time by which its worker's lease has certainly expired, given every renewal that a node of this
     /// cluster may have sent.
@@ -91,7 +91,7 @@
     pub mean_slowdown: RunningMean,
     /// No task is placed on it before this time.
     pub avoid_until: Millis,
-    /// Set if a start got no response, or if the only heartbeat of the machine may be an old one: the worker
+    /// Set if a start got no response, or if the only report of the machine may be an old one: the worker
     /// may not receive commands, or the machine may be gone, until the worker responds to a command or
     /// reports a fencing token at least as high as this. 0 if the worker is reachable.
     pub unconfirmed_token: u64,
