--- a/src/cluster/records.rs
+++ b/src/cluster/records.rs
@@ -1,4 +1,4 @@
-//! Storage records built from the cluster state: task snapshots, log entries and image tables.
+//! Storage records built from the cluster state: task snapshots, log records and image records.
 
 use std::{cmp::Reverse, collections::HashMap, iter::Peekable};
 
@@ -13,31 +13,32 @@
     },
 };
 
-/// Quarantined jobs that are recorded.
+/// The most quarantined jobs that are recorded.
 const MAX_QUARANTINED_JOBS_RECORDED: usize = 64;
-/// The longest id of a job as JSON, with its quotes and a comma.
+/// The length of the longest job id in JSON, with its quotes and a comma.
 const MAX_JOB_ID_JSON_BYTES: usize = 25;
-/// The bytes of a record besides its lists' entries.
+/// The length of an image record's JSON without the elements of its lists.
 const IMAGES_RECORD_HEADER_BYTES: usize = 64;
 
-/// An image on some machines.
+/// An image that some machines cache.
 struct CachedImage {
     index: ImageIndex,
     machine_count: usize,
     size_gb: f64,
 }
 
-/// The images that records name, and what each record spends on them.
+/// The images that the records list, and the JSON length of that list.
 struct ImageTable {
-    /// Name and size in gigabytes.
+    /// Names and sizes in gigabytes.
     images: Vec<(String, f64)>,
     bit_by_image: HashMap<ImageIndex, usize>,
-    /// The bytes of a record without machines and quarantined jobs.
+    /// The JSON length of a record without machines and quarantined jobs.
     header_bytes: usize,
 }
 
 impl ImageTable {
-    /// The images on the most machines come first; half of a record is left for the machines.
+    /// Lists the images on the most machines first. Half of a record's `record_bytes` is left for the
+    /// machines.
     fn new(cluster: &ClusterState, record_bytes: usize) -> Self {
         let mut names: HashMap<ImageIndex, &str> = HashMap::new();
         for (name, index) in cluster.image_interner.iter() {
@@ -65,7 +66,7 @@
         }
     }
 
-    /// A bit for each image that the machine holds, and [`REPLACEMENT_BIT`].
+    /// A bit for each listed image that the machine caches, and [`REPLACEMENT_BIT`] if it is draining.
     fn machine_bits(&self, machine: &Machine) -> u64 {
         let images = machine
             .cached_images
@@ -76,7 +77,7 @@
     }
 }
 
-/// Images of the machines that are up, those on the most machines first.
+/// The images cached on machines that are up, those on the most machines first.
 fn most_cached_images(cluster: &ClusterState) -> Vec<CachedImage> {
     let mut by_index: HashMap<ImageIndex, CachedImage> = HashMap::new();
     for &(index, size_gb) in machines_up(cluster).flat_map(|machine| &machine.cached_images) {
@@ -98,7 +99,7 @@
     machines.filter(|machine| machine.state == MachineState::Up)
 }
 
-/// The quarantined jobs that one record can name.
+/// The quarantined jobs that fit into one record: their ids take a quarter of it at most.
 fn quarantined_jobs(cluster: &ClusterState, record_bytes: usize) -> Vec<JobId> {
     let jobs = cluster.jobs_by_id.values().map(|index| cluster.job(*index));
     jobs.filter(|job| job.quarantined && !job.closed)
@@ -107,8 +108,8 @@
         .collect()
 }
 
-/// The images and faults of the machines that are up, in records whose JSON has at most
-/// `record_bytes` bytes each.
+/// The cached images and draining flags of the machines that are up, and the quarantined jobs, in records
+/// whose JSON has at most `record_bytes` bytes each.
 pub fn images_records(cluster: &ClusterState, record_bytes: usize) -> Vec<ImagesRecord> {
     let table = ImageTable::new(cluster, record_bytes);
     let mut quarantined = quarantined_jobs(cluster, record_bytes);
@@ -137,7 +138,7 @@
     records
 }
 
-/// Machines that a record names, each once.
+/// The machines that a record refers to, each listed once.
 #[derive(Default)]
 struct MachineTable {
     index_by_machine: HashMap<MachineIndex, u32>,
@@ -162,14 +163,14 @@
     }
 
     fn task_record(&mut self, cluster: &ClusterState, index: u32, task: &Task) -> TaskRecord {
-        let note = match task.status {
+        let status = match task.status {
             TaskStatus::Waiting => RecordedStatus::Waiting,
             TaskStatus::Done => RecordedStatus::Done,
             TaskStatus::Active(machine) => {
                 RecordedStatus::OnMachine(self.machine_index(cluster, machine))
             }
         };
-        TaskRecord(index, task.attempt, note)
+        TaskRecord(index, task.attempt, status)
     }
 }
 
@@ -184,70 +185,74 @@
     }
 }
 
-/// The snapshot of a range of a job's tasks as they stand now.
-pub fn snapshot_record(cluster: &ClusterState, index: JobIndex, chunk: u32) -> SnapshotRecord {
+/// Builds the snapshot of one range of a job's tasks from their current states.
+pub fn snapshot_record(
+    cluster: &ClusterState,
+    index: JobIndex,
+    range_index: u32,
+) -> SnapshotRecord {
     let tasks = &cluster.job(index).tasks;
-    let first = (chunk * cluster.task_range_len) as usize;
+    let first = (range_index * cluster.task_range_len) as usize;
     let last = (first + cluster.task_range_len as usize).min(tasks.len());
-    let mut named = MachineTable::default();
-    let notes = tasks[first..last]
+    let mut machine_table = MachineTable::default();
+    let task_records = tasks[first..last]
         .iter()
         .enumerate()
         .filter(|(_, task)| task.attempt > 0 || task.status != TaskStatus::Waiting)
-        .map(|(at, task)| named.task_record(cluster, (first + at) as u32, task))
+        .map(|(offset, task)| machine_table.task_record(cluster, (first + offset) as u32, task))
         .collect();
     SnapshotRecord {
         job: job_summary(cluster, index),
-        machines: named.records,
-        tasks: notes,
+        machines: machine_table.records,
+        tasks: task_records,
     }
 }
 
-/// An entry without any job or machine, with the largest numbers.
+/// The JSON length of a log record without jobs and machines, with the largest numbers.
 const LOG_RECORD_HEADER_BYTES: usize = 96;
 
-/// Takes tasks off the front of `tasks` for one log entry whose JSON has at most `bytes` bytes; at
-/// least one is taken.
+/// Consumes tasks from the front of `tasks` and builds one log record of them whose JSON has at most
+/// `max_bytes` bytes. At least one task is consumed, even if its record is longer.
 pub fn log_record(
     cluster: &ClusterState,
     tasks: &mut Peekable<impl Iterator<Item = (JobIndex, u32)>>,
     (seq, first): (u64, u64),
-    bytes: usize,
+    max_bytes: usize,
 ) -> LogRecord {
-    let mut named = MachineTable::default();
+    let mut machine_table = MachineTable::default();
     let mut jobs: Vec<(JobId, JobSummary, Vec<TaskRecord>)> = Vec::new();
-    let mut used = LOG_RECORD_HEADER_BYTES;
+    let mut used_bytes = LOG_RECORD_HEADER_BYTES;
     while let Some(&(index, task)) = tasks.peek() {
         let job = cluster.job(index);
         let entry = &job.tasks[task as usize];
-        let machines = named.records.len();
-        let note = named.task_record(cluster, task, entry);
-        used += json_len(&note) + 1;
-        used += named.records[machines..]
+        let machine_count = machine_table.records.len();
+        let task_record = machine_table.task_record(cluster, task, entry);
+        used_bytes += json_len(&task_record) + 1;
+        used_bytes += machine_table.records[machine_count..]
             .iter()
             .map(|machine| json_len(machine) + 1)
             .sum::<usize>();
-        let new_job = jobs.last().is_none_or(|(id, ..)| *id != job.id);
-        let head = new_job.then(|| job_summary(cluster, index));
-        if let Some(head) = &head {
-            used += json_len(&job.id) + json_len(head) + 6;
+        let is_new_job = jobs.last().is_none_or(|(id, ..)| *id != job.id);
+        let summary = is_new_job.then(|| job_summary(cluster, index));
+        if let Some(summary) = &summary {
+            used_bytes += json_len(&job.id) + json_len(summary) + 6;
         }
-        if used > bytes && !jobs.is_empty() {
-            named.records.truncate(machines);
+        if used_bytes > max_bytes && !jobs.is_empty() {
+            machine_table.records.truncate(machine_count);
             break;
         }
-        if let Some(head) = head {
-            jobs.push((job.id, head, Vec::new()));
+        if let Some(summary) = summary {
+            jobs.push((job.id, summary, Vec::new()));
         }
-        if let Some((.., notes)) = jobs.last_mut() {
-            notes.push(note);
+        if let Some((.., task_records)) = jobs.last_mut() {
+            task_records.push(task_record);
         }
         tasks.next();
     }
     LogRecord {
         seq,
         first_live_seq: first,
-        machines: named.records,
+        machines: machine_table.records,
         jobs,
     }
 }
--- a/src/cluster/submission.rs
+++ b/src/cluster/submission.rs
@@ -1,4 +1,4 @@
-//! Entering jobs into the cluster state, and keeping their places in the queues up to date.
+//! Adding jobs to the cluster state, and updating their positions in the queues.
 
 use std::collections::VecDeque;
 
@@ -21,13 +21,13 @@
 pub struct InheritedUrgency {
     /// The highest priority of any of them.
     pub priority: Priority,
-    /// By when the job has to be done for each of their objectives, in milliseconds of the time of
-    /// day, the earliest first.
+    /// For each of their objectives: the time by which this job has to be done, in milliseconds of the time
+    /// of day, the earliest first.
     pub finish_by_ms: Vec<u64>,
 }
 
 impl InheritedUrgency {
-    /// Keeps the earliest times only.
+    /// Keeps the `count` earliest times, without duplicates.
     pub fn keep_earliest(&mut self, count: usize) {
         self.finish_by_ms.sort_unstable();
         self.finish_by_ms.dedup();
@@ -36,12 +36,13 @@
 }
 
 impl ClusterState {
-    /// Moves jobs that have missed an objective to their places for the next one: they yield to those
-    /// that can still meet theirs. In their old order all waiting jobs would come too late.
+    /// Recomputes the placement deadlines that have passed and reorders the queues: jobs that missed an
+    /// objective move behind those that can still meet theirs. In the old order, all waiting jobs would
+    /// be late.
     pub fn refresh_placement_deadlines(&mut self, now: Millis) {
         let wall_ms = self.wall_ms(now);
         for team in &mut self.teams {
-            let passed: Vec<_> = team
+            let expired_keys: Vec<_> = team
                 .queue
                 .iter()
                 .filter(|(.., job)| {
@@ -49,7 +50,7 @@
                 })
                 .copied()
                 .collect();
-            for key in passed {
+            for key in expired_keys {
                 team.queue.remove(&key);
                 let job = &mut self.jobs[key.2.as_usize()];
                 job.refresh_placement_deadline(wall_ms);
@@ -58,7 +59,8 @@
         }
     }
 
-    /// Enters an unfinished job without dependencies. `None`: its team is unknown here.
+    /// Adds an unfinished job without dependencies, submitted at `submitted_ms` of the time of day. Returns
+    /// `None` if its team is not in the settings.
     pub fn add_job(
         &mut self,
         spec: &Submission,
@@ -68,21 +70,23 @@
         self.add_released_job(spec, (submitted_ms, submitted_ms), now)
     }
 
-    /// Enters an unfinished job whose dependencies are all done. Jobs with pending dependencies are not
-    /// in the cluster state at all, so that they have no weight in it. `None`: its team is unknown here.
+    /// Adds an unfinished job whose dependencies are all done, with the times of its submission and release
+    /// in milliseconds of the time of day. Jobs with pending dependencies are not part of the cluster
+    /// state, so that they influence neither scheduling nor provisioning. Returns `None` if its team is not
+    /// in the settings.
     pub fn add_released_job(
         &mut self,
         spec: &Submission,
         (submitted_ms, released_ms): (u64, u64),
         now: Millis,
     ) -> Option<JobIndex> {
-        if let Some(&known) = self.jobs_by_id.get(&spec.id) {
-            return Some(known);
+        if let Some(&existing) = self.jobs_by_id.get(&spec.id) {
+            return Some(existing);
         }
         let team = TeamIndex(self.team_interner.get(&spec.team)?);
         let mut job = self.new_job(spec, team, (submitted_ms, released_ms), now);
-        let (to_start, to_end) = self.own_slacks_s(&job);
-        job.set_slacks(&to_start, to_end);
+        let (start_slacks_s, completion_slacks_s) = self.own_slacks_s(&job);
+        job.set_slacks(&start_slacks_s, completion_slacks_s);
         job.refresh_placement_deadline(self.wall_ms(now));
         let index = match self.free_job_slots.pop() {
             Some(index) => {
@@ -101,7 +105,7 @@
         Some(index)
     }
 
-    /// A job none of whose tasks was ever placed, without its place in the queue.
+    /// Creates a job whose tasks all wait, without slacks and without adding it to a queue.
     #[expect(clippy::too_many_lines, reason = "still to be split")]
     fn new_job(
         &mut self,
@@ -160,7 +164,7 @@
                 count as usize
             ],
             task_ranges: vec![TaskRange::default(); count.div_ceil(self.task_range_len) as usize],
-            foreign_snapshots: Vec::new(),
+            other_length_snapshots: Vec::new(),
             waiting: (0..count).collect(),
             done_count: 0,
             running_count: 0,
@@ -176,36 +180,37 @@
         }
     }
 
-    /// How many seconds a job's tasks can wait for its own objectives: to start, and to end.
+    /// The slacks of a job's own start objectives and completion objectives, in seconds from its release.
     fn own_slacks_s(&self, job: &Job) -> (Vec<f64>, Vec<f64>) {
-        // Replicas do not end: they are ordered by age.
+        // Services do not complete: they are ordered by age.
         if job.kind == JobKind::Service {
             return Default::default();
         }
-        let held_s = job.released_ms.saturating_sub(job.submitted_ms) as f64 / 1000.0;
+        let dependency_wait_s = job.released_ms.saturating_sub(job.submitted_ms) as f64 / 1000.0;
         let objectives = &self.objectives[job.class.as_usize()];
-        let to_end = objectives.completion_slacks_s(job.estimate_s, job.deadline_s, held_s);
-        (objectives.start_s.clone(), to_end)
+        let completion_slacks_s =
+            objectives.completion_slacks_s(job.estimate_s, job.deadline_s, dependency_wait_s);
+        (objectives.start_s.clone(), completion_slacks_s)
     }
 
-    /// Makes a job as urgent as the most urgent of those that depend on it: it is to end by the latest
-    /// times at which they can still meet their objectives.
-    pub fn inherit_urgency(&mut self, index: JobIndex, pull: &InheritedUrgency, now: Millis) {
+    /// Makes a job as urgent as the most urgent of the jobs that depend on it: it has to be done by the
+    /// latest times at which they can still meet their objectives.
+    pub fn inherit_urgency(&mut self, index: JobIndex, urgency: &InheritedUrgency, now: Millis) {
         let wall_ms = self.wall_ms(now);
-        let (to_start, mut to_end) = self.own_slacks_s(self.job(index));
+        let (start_slacks_s, mut completion_slacks_s) = self.own_slacks_s(self.job(index));
         let job = &mut self.jobs[index.as_usize()];
         let queue = &mut self.teams[job.team.as_usize()].queue;
-        let queued = queue.remove(&job.queue_key(index));
+        let was_queued = queue.remove(&job.queue_key(index));
         let run_ms = millis(job.estimate_s * ESTIMATE_MARGIN);
-        let due = pull.finish_by_ms.iter().filter_map(|due| {
-            let wait = due.checked_sub(job.released_ms + run_ms)?;
-            (wait > 0).then_some(wait as f64 / 1000.0)
+        let inherited_slacks_s = urgency.finish_by_ms.iter().filter_map(|finish_by_ms| {
+            let slack_ms = finish_by_ms.checked_sub(job.released_ms + run_ms)?;
+            (slack_ms > 0).then_some(slack_ms as f64 / 1000.0)
         });
-        to_end.extend(due);
-        job.set_slacks(&to_start, to_end);
-        job.priority = job.submitted_priority.min(pull.priority);
+        completion_slacks_s.extend(inherited_slacks_s);
+        job.set_slacks(&start_slacks_s, completion_slacks_s);
+        job.priority = job.submitted_priority.min(urgency.priority);
         job.refresh_placement_deadline(wall_ms);
-        if queued {
+        if was_queued {
             queue.insert(job.queue_key(index));
             self.scheduling_needed = true;
         }
