--- a/src/coordination/leader_log/append.rs
+++ b/src/coordination/leader_log/append.rs
@@ -1,4 +1,4 @@
-//! Appending to the log: what changed, what is logged again, and the end of jobs.
+//! Appends changed tasks, tasks to be logged again, and job completions to the log.
 
 use super::{
     LeaderLog, LoggedTask, MAX_TXN_BYTES, TXN_OVERHEAD_BYTES, UNANSWERED_RETRY_MS,
@@ -19,24 +19,25 @@
     time::Millis,
 };
 
-/// The part of the leader's writes that the log may take.
+/// Fraction of the permitted write rate that the log may use.
 const LOG_WRITE_FRACTION: f64 = 0.4;
-/// How many changed tasks one write tells of at the most.
+/// Maximum number of changed tasks in one write.
 const MAX_TASKS_PER_WRITE: usize = 2000;
-/// With less room than this, or than a whole value, a transaction takes no further record.
+/// A transaction gets no further record when less space than this, or than a whole value, is left.
 const MIN_RECORD_BYTES: usize = 4096;
-/// A part of a transaction, as a divisor, is left for the ends of jobs: others may wait for them.
-const JOB_END_OPS_DIVISOR: usize = 4;
+/// One in this many operations of a transaction is reserved for job completions, because other jobs
+/// may depend on them.
+const JOB_COMPLETION_OPS_DIVISOR: usize = 4;
 
-/// A write of the log under way.
+/// A write of the log that is in flight.
 struct LogWrite {
     records: Vec<LiveRecord>,
     completed_jobs: Vec<(JobIndex, JobId)>,
-    /// The wall clock that those ends tell, in milliseconds since the epoch.
+    /// The completion time written for these jobs, in milliseconds since the epoch.
     completed_at_ms: u64,
 }
 
-/// The writes of the log.
+/// The state of writes of the log.
 #[derive(Default)]
 pub(super) struct AppendState {
     in_flight: Option<LogWrite>,
@@ -44,7 +45,7 @@
     retry_at: Millis,
 }
 
-/// Tasks to log: those that changed come first, then those of which only old records tell.
+/// Tasks to log: first those that changed, then those whose state only old records hold.
 struct TasksToLog {
     tasks: Vec<(JobIndex, u32)>,
     changed_count: usize,
@@ -67,7 +68,7 @@
     }
 }
 
-/// Adds one record to a transaction: as many of `tasks` as it holds in `max_bytes`. Returns `None`
+/// Adds one record to a transaction, with as many of `tasks` as fit into `max_bytes`. Returns `None`
 /// when no slot is free.
 fn append_record(
     ring: &mut LogRing,
@@ -79,8 +80,8 @@
     let (slot, version) = ring.next_slot()?;
     let seq = ring.next_seq();
     let mut remaining = tasks.iter().copied().peekable();
-    let numbers = (seq, ring.first_live_seq());
-    let record = records::log_record(cluster, &mut remaining, numbers, max_bytes);
+    let seq_numbers = (seq, ring.first_live_seq());
+    let record = records::log_record(cluster, &mut remaining, seq_numbers, max_bytes);
     let task_count = record
         .jobs
         .iter()
@@ -100,7 +101,7 @@
     let value = storage::to_value(&record);
     let bytes = value.to_string().len();
     txn.put(storage::log_slot_key(slot), version, value);
-    // Not free until the answer says so.
+    // The slot can't be reused before the result of the write is known.
     ring.take_slot(slot);
     Some(LiveRecord {
         seq,
@@ -112,25 +113,25 @@
 }
 
 impl LeaderLog {
-    /// Whether a write of the log is due. `interval_ms`: the least time between two.
+    /// Whether a write of the log is due. `interval_ms`: minimum time between two writes.
     fn is_append_due(&self, cluster: &ClusterState, now: Millis, interval_ms: Millis) -> bool {
-        let is_possible = self.append.in_flight.is_none()
+        let can_write = self.append.in_flight.is_none()
             && self.append.retry_at <= now
             && self.append.written_at + interval_ms <= now;
         let has_changes = !cluster.unlogged_tasks.is_empty() || !cluster.completed_jobs.is_empty();
-        is_possible && (has_changes || self.ring.is_under_pressure())
+        can_write && (has_changes || self.ring.is_under_pressure())
     }
 }
 
 impl Node {
-    /// Least time between two records: the log takes a part of the leader's writes, and what comes
-    /// meanwhile shares the next one.
+    /// Minimum time between two writes of the log, which may use only a fraction of the write rate.
+    /// Changes that occur in between are written together.
     fn log_write_interval_ms(&self) -> Millis {
         let writes_per_s = self.config.settings.state.write_rps * LOG_WRITE_FRACTION;
         (1000.0 / writes_per_s.max(0.1)) as Millis
     }
 
-    /// Writes what changed, and the end of jobs whose tasks are all done.
+    /// Writes changed tasks, and the completion of jobs whose tasks are all done.
     pub(in crate::coordination) fn write_log(&mut self) {
         let interval_ms = self.log_write_interval_ms();
         let Some(leader) = &self.leader_state else {
@@ -166,9 +167,9 @@
         );
     }
 
-    /// Adds records of the log to a transaction, as many as it holds and what changed fills. Where the
-    /// last has room, it logs again what else only the oldest records tell: most records are short, as
-    /// they come many times a second, and were the ring to fill up with them, nothing could start.
+    /// Adds log records with the changed tasks to a transaction, up to its limits. Unused space in the
+    /// last record is filled with tasks whose state only the oldest records hold. Most records are
+    /// short, as they are written many times a second; if they filled up the ring, no task could start.
     fn append_log_records(&mut self, txn: &mut Txn) -> Vec<LiveRecord> {
         let limits = &self.config.settings.state;
         let max_ops = limits.max_txn_ops as usize;
@@ -190,21 +191,23 @@
         let reserved_ops = if cluster.completed_jobs.is_empty() {
             0
         } else {
-            (max_ops / JOB_END_OPS_DIVISOR).max(1)
+            (max_ops / JOB_COMPLETION_OPS_DIVISOR).max(1)
         };
         let mut task_count = 0;
         let mut txn_bytes = TXN_OVERHEAD_BYTES;
         while task_count < tasks.len() && txn.writes.len() + reserved_ops < max_ops {
-            // What is logged again has a write of its own only when the ring is getting full.
+            // Tasks are logged again in a record of their own only when the ring is getting full.
             let only_relogged = task_count >= changed_count;
             if only_relogged && !(ring.is_under_pressure() && records.is_empty()) {
                 break;
             }
-            let room = value_bytes.min(MAX_TXN_BYTES.saturating_sub(txn_bytes));
-            if room < value_bytes.min(MIN_RECORD_BYTES) && !records.is_empty() {
+            let max_record_bytes = value_bytes.min(MAX_TXN_BYTES.saturating_sub(txn_bytes));
+            if max_record_bytes < value_bytes.min(MIN_RECORD_BYTES) && !records.is_empty() {
                 break;
             }
-            let Some(record) = append_record(ring, cluster, txn, &tasks[task_count..], room) else {
+            let Some(record) =
+                append_record(ring, cluster, txn, &tasks[task_count..], max_record_bytes)
+            else {
                 break;
             };
             task_count += record.tasks.len();
@@ -214,16 +217,17 @@
         records
     }
 
-    /// Adds the end of jobs whose tasks are all done, and stored, to a transaction.
+    /// Adds the completion of jobs to a transaction: those whose tasks are all done, with all changes
+    /// of these tasks stored or in the same transaction.
     fn append_completed_jobs(&mut self, txn: &mut Txn) -> Vec<(JobIndex, JobId)> {
         let max_ops = self.config.settings.state.max_txn_ops as usize;
-        let mut ended = Vec::new();
+        let mut appended = Vec::new();
         let Some(cluster) = self
             .leader_state
             .as_mut()
             .and_then(|leader| leader.cluster.as_mut())
         else {
-            return ended;
+            return appended;
         };
         // Jobs that others depend on come first.
         let mut completed: Vec<JobIndex> = cluster.completed_jobs.iter().copied().collect();
@@ -244,12 +248,12 @@
             let at_ms = Some(self.wall_ms);
             live.append_outcome(id, &JobRecord::Done { at_ms }, txn);
             cluster.jobs[job.as_usize()].finishing = true;
-            ended.push((job, id));
+            appended.push((job, id));
         }
-        ended
+        appended
     }
 
-    /// Handles the answer to a write of the log.
+    /// Handles the response to a write of the log.
     pub(in crate::coordination) fn on_log_written(
         &mut self,
         lease: u64,
@@ -275,8 +279,8 @@
             cluster.mark_machines_for_commands(&logged);
             return self.on_log_stored(write, version);
         }
-        // What is not stored is logged again, in other slots; the late write, should it be applied
-        // after all, says nothing that the later one contradicts.
+        // Tasks that were not stored are logged again in other slots. If this write is still applied
+        // later, it holds nothing that contradicts the newer record.
         let to_retry = logged
             .into_iter()
             .filter(|(job, _)| !cluster.job(*job).closed);
@@ -297,12 +301,13 @@
             self.check_unconfirmed(lease, UnconfirmedWrite::Slot(record.slot));
         }
         if !write.completed_jobs.is_empty() {
-            // Cancelled meanwhile, or done after all: the job's record tells.
+            // The jobs may have been cancelled meanwhile, or their completion may be stored after all:
+            // the read barrier brings their current records.
             self.request_read_barrier();
         }
     }
 
-    /// Takes in a write of the log that was stored: its records count, and its jobs are done.
+    /// Applies a write of the log that was stored: its records are live, and its jobs are done.
     fn on_log_stored(&mut self, write: LogWrite, version: u64) {
         let Some(LeaderState {
             log,
--- a/src/coordination/leader_log/collection.rs
+++ b/src/coordination/leader_log/collection.rs
@@ -19,7 +19,7 @@
 
 const COLLECTION_INTERVAL_MS: Millis = 1000;
 
-/// The deletion of snapshots.
+/// The state of snapshot deletions.
 #[derive(Default)]
 pub(super) struct CollectionState {
     collected_at: Millis,
@@ -27,7 +27,7 @@
     in_flight: Vec<(JobId, SnapshotNumber)>,
 }
 
-/// Jobs of which a worker still reports something.
+/// Jobs that still have an attempt on a machine.
 fn jobs_with_attempts(cluster: &ClusterState) -> HashSet<JobIndex> {
     let attempts = cluster
         .machines
@@ -36,7 +36,7 @@
     attempts.map(|attempt| attempt.job).collect()
 }
 
-/// Jobs that are over, of which nothing can be running and no snapshot is being written.
+/// Finished jobs of which no attempt can be running and no snapshot is being written.
 fn collectable_jobs(cluster: &ClusterState) -> Vec<JobIndex> {
     let with_attempts = jobs_with_attempts(cluster);
     let is_collectable = |job: &JobIndex| {
@@ -53,7 +53,8 @@
         .collect()
 }
 
-/// Frees finished jobs without snapshots, and adds the deletion of the others' to a transaction.
+/// Frees finished jobs that have no snapshots, and adds the deletion of the other jobs' snapshots to a
+/// transaction.
 fn append_deletions(
     cluster: &mut ClusterState,
     txn: &mut Txn,
@@ -67,11 +68,11 @@
             cluster.free_job(job);
             continue;
         }
-        let room = max_ops - txn.writes.len();
-        if room == 0 {
+        let ops_left = max_ops - txn.writes.len();
+        if ops_left == 0 {
             break;
         }
-        for (snapshot, version) in snapshots.into_iter().take(room) {
+        for (snapshot, version) in snapshots.into_iter().take(ops_left) {
             deletions.push((id, snapshot));
             let key = storage::snapshot_key(id, snapshot);
             txn.conditions.push(Condition {
@@ -85,7 +86,7 @@
 }
 
 impl Node {
-    /// Removes what is stored of jobs that are over and of which nothing can be running.
+    /// Deletes the snapshots of finished jobs of which no attempt can be running, and frees the jobs.
     pub(in crate::coordination) fn collect_finished_jobs(&mut self) {
         let max_ops = self.config.settings.state.max_txn_ops as usize;
         let Some(leader) = &mut self.leader_state else {
@@ -117,7 +118,7 @@
         );
     }
 
-    /// Handles the answer to a deletion of snapshots.
+    /// Handles the response to a deletion of snapshots.
     pub(in crate::coordination) fn on_snapshots_deleted(
         &mut self,
         lease: u64,
@@ -139,7 +140,7 @@
                     cluster.record_snapshot_version(id, snapshot, 0);
                 }
             }
-            // Deleted after all, or a late write of this leader's came in between.
+            // The snapshots may be deleted, or a delayed write of this leader was applied before.
             WriteOutcome::Unknown => {
                 for &(id, snapshot) in &deletions {
                     mark_snapshot_in_flight(cluster, id, snapshot);
@@ -153,7 +154,7 @@
     }
 }
 
-/// Keeps the snapshot from being written or deleted until its key has been read.
+/// Prevents the snapshot from being written or deleted until its key has been read.
 fn mark_snapshot_in_flight(cluster: &mut ClusterState, id: JobId, snapshot: SnapshotNumber) {
     if let Some(range) = snapshot.range_index(cluster.task_range_len)
         && let Some(job) = cluster.jobs_by_id.get(&id)
--- a/src/coordination/leader_log/images.rs
+++ b/src/coordination/leader_log/images.rs
@@ -1,4 +1,4 @@
-//! Which machines hold which images, stored for a successor.
+//! Stores which machines hold which images, for the next leader.
 
 use super::{MAX_TXN_BYTES, SlotState, UnconfirmedWrite};
 use crate::{
@@ -14,16 +14,16 @@
 
 const IMAGES_INTERVAL_MS: Millis = 10_000;
 
-/// The writes of images.
+/// The state of writes of image records.
 #[derive(Default)]
 pub(super) struct ImageWrites {
     written_at: Millis,
-    /// The keys that tell of images, which are numbered from 0 on.
+    /// The keys of the image records, numbered from 0.
     pub(super) slots: Vec<SlotState>,
 }
 
 impl ImageWrites {
-    /// `key_versions`: those of the keys that predecessors have written.
+    /// `key_versions`: versions of the keys that previous leaders have written, by key number.
     pub(super) fn inherit(key_versions: &[u64]) -> Self {
         ImageWrites {
             slots: key_versions.iter().copied().map(SlotState::Free).collect(),
@@ -31,8 +31,8 @@
         }
     }
 
-    /// A transaction for each part whose key can be written now. Whether a part is stored does not
-    /// matter: the next one comes soon, and none overwrites a newer one.
+    /// Returns a transaction for each part whose key can be written now. A part that isn't stored needs
+    /// no retry: each is written again at the next interval, and no write overwrites a newer one.
     fn transactions(
         &mut self,
         cluster: &ClusterState,
@@ -61,8 +61,8 @@
 }
 
 impl Node {
-    /// Tells a successor which machines hold which images: without that it would have them fetched
-    /// where they are not, while users wait.
+    /// Stores which machines hold which images. Without this record, a new leader would start tasks on
+    /// machines that have to fetch the image first, while users wait.
     pub(in crate::coordination) fn store_images(&mut self) {
         let limits = &self.config.settings.state;
         let max_bytes = ((limits.max_value_kb * 1024.0) as usize).min(MAX_TXN_BYTES);
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Handles the answer to a write of images.
+    /// Handles the response to a write of an image record.
     pub(in crate::coordination) fn on_images_stored(
         &mut self,
         lease: u64,
--- a/src/coordination/leader_log/mod.rs
+++ b/src/coordination/leader_log/mod.rs
@@ -1,11 +1,12 @@
-//! The leader's log in the state service: records of what changed, snapshots, and the end of jobs.
+//! The leader's log in the state service: records of task changes, snapshots, and job completions.
 //!
-//! The store takes few writes a second, and tasks start and end far more often. So one record of the
-//! log carries all that changed since the one before, whatever jobs it belongs to. Records live in a
-//! ring of keys, each written against the version that it is known to have: a write that is applied
-//! late, after its slot was used again, changes nothing. Before the ring wraps around, what only the
-//! oldest records tell is logged again where newer ones have room, or, of large jobs, written into
-//! snapshots; later records say from where on the log counts.
+//! The state service accepts only a few writes per second, and tasks start and end far more often. One
+//! log record therefore carries all changes since the previous record, whichever jobs they belong to.
+//! Records are stored in a ring of keys, each written on condition that the key still has its last
+//! known version: a write that is applied late, after its slot was reused, changes nothing. Before the
+//! ring wraps around, state that only the oldest records hold is logged again in the unused space of
+//! newer records or, for large jobs, written into snapshots. Each record contains the sequence number
+//! of the first live record.
 
 mod append;
 mod collection;
@@ -31,39 +32,40 @@
 use snapshots::SnapshotState;
 use unconfirmed::UnconfirmedCheck;
 
-/// A write that was rejected is repeated after this.
+/// Delay before a rejected write is retried.
 const WRITE_RETRY_MS: Millis = 150;
-/// After a write without an answer: during a network partition each attempt costs a slot and a check
-/// of it.
+/// Delay before a write that got no answer is retried. During a network partition, each attempt
+/// takes a slot out of use until its key has been read.
 const UNANSWERED_RETRY_MS: Millis = 500;
-/// Kept below a transaction's 64 KiB.
+/// Size limit of a transaction, below the 64 KiB that the state service accepts.
 const MAX_TXN_BYTES: usize = 48 * 1024;
-/// What the rest of a transaction, and of each of its writes, takes at the most.
+/// Upper bound on the size of a transaction without its writes.
 const TXN_OVERHEAD_BYTES: usize = 512;
+/// Upper bound on the size of a write without its value.
 const WRITE_OVERHEAD_BYTES: usize = 256;
-/// What the oldest records tell is logged again for jobs of up to so many tasks. Of larger ones the
-/// ring could not hold all; they have snapshots.
+/// State that only the oldest records hold is logged again for jobs of up to this many tasks. The ring
+/// could not hold all tasks of larger jobs; those get snapshots instead.
 const MAX_RELOGGED_JOB_TASKS: usize = 4000;
 
-/// A task that a record names.
+/// A task whose state a log record holds.
 #[derive(Clone, Copy)]
 struct LoggedTask {
-    /// The job's place in the cluster state, which another job may take once it is over.
+    /// The job's index in the cluster state, which is reused for another job once this one is freed.
     job: JobIndex,
     id: JobId,
     task: u32,
 }
 
-/// A key as the leader knows it.
+/// Whether the leader can write a key.
 #[derive(Clone, Copy)]
 enum SlotState {
-    /// It may be written against this version.
+    /// The key can be written on condition that it has this version.
     Free(u64),
-    /// It holds a record that counts, or one of which is not known whether it was stored.
+    /// The key holds a live record, or a write to it is in flight or has an unknown result.
     Taken,
 }
 
-/// The leader's log, snapshots and images in the state service, and the writes of them under way.
+/// The leader's log, snapshots and image records in the state service, and the writes in flight.
 #[derive(Default)]
 pub struct LeaderLog {
     ring: LogRing,
@@ -75,8 +77,8 @@
 }
 
 impl LeaderLog {
-    /// Goes on where the predecessors' records end. `records`: slot, version, record.
-    /// `image_key_versions`: the versions of the keys that tell of images.
+    /// Continues the log after the last record of previous leaders. `records`: slot, version of its
+    /// key, and record. `image_key_versions`: versions of the image records' keys, by key number.
     pub fn inherit(
         records: &[(u32, u64, LogRecord)],
         image_key_versions: &[u64],
@@ -89,14 +91,14 @@
         }
     }
 
-    /// Records that a successor would read.
+    /// Number of records that a new leader would have to apply.
     pub fn live_record_count(&self) -> usize {
         self.ring.live_record_count()
     }
 }
 
-/// Whether record `seq` must be kept for what it tells of a task: no later record tells of it, and
-/// no snapshot. Of a job that is over, only what may still be running counts.
+/// Returns whether record `seq` must be kept for the state of a task: no later record and no later
+/// snapshot holds it. Of finished jobs, only those with attempts that may still be running matter.
 fn is_still_needed(
     cluster: &ClusterState,
     possibly_running: &HashSet<JobIndex>,
@@ -104,8 +106,8 @@
     seq: u64,
 ) -> bool {
     let &LoggedTask { job, id, task } = logged;
-    let is_known = cluster.jobs_by_id.get(&id) == Some(&job);
-    if !is_known || (cluster.job(job).closed && !possibly_running.contains(&job)) {
+    let is_same_job = cluster.jobs_by_id.get(&id) == Some(&job);
+    if !is_same_job || (cluster.job(job).closed && !possibly_running.contains(&job)) {
         return false;
     }
     let entry = cluster.job(job);
@@ -119,7 +121,7 @@
     !is_logged_later && range.is_some_and(|range| range.snapshot_seq < seq)
 }
 
-/// Jobs of which something may run on a machine.
+/// Jobs with an attempt that may be running on a machine.
 fn jobs_possibly_running(cluster: &ClusterState) -> HashSet<JobIndex> {
     let attempts = cluster
         .machines
--- a/src/coordination/leader_log/ring.rs
+++ b/src/coordination/leader_log/ring.rs
@@ -1,4 +1,4 @@
-//! The ring of keys that holds the log's records, as the leader knows it.
+//! The leader's view of the ring of keys that holds the log records.
 
 use std::collections::{BTreeSet, HashSet, VecDeque};
 
@@ -10,23 +10,24 @@
     storage::{self, LogRecord},
 };
 
-/// Records from which on the oldest are replaced.
+/// With more live records than this, the oldest are compacted.
 const COMPACTION_RECORDS: usize = storage::LOG_RING_SLOTS as usize / 2;
+/// With more bytes in live records than this, the oldest are compacted.
 const COMPACTION_BYTES: usize = 256 * 1024;
-/// Records from which on that is worth writes of its own.
+/// With more live records than this, tasks are logged again even when no task has changed.
 const PRESSURE_RECORDS: usize = COMPACTION_RECORDS * 3 / 2;
-/// Records from which on snapshots are written for whatever the oldest tell.
+/// With more live records than this, jobs of any size get snapshots.
 const SNAPSHOT_ALL_RECORDS: usize = COMPACTION_RECORDS * 7 / 4;
-/// How many tasks one write logs again at the most.
+/// No further record is searched once this many tasks to log again have been found.
 const MAX_RELOGGED_TASKS_PER_WRITE: usize = 100;
-/// Records that are looked at for that.
+/// Maximum number of records that one write searches for tasks to log again.
 const MAX_RECORDS_SCANNED: usize = 32;
 
-/// A record that a successor would read.
+/// A record that a new leader would have to apply.
 pub(super) struct LiveRecord {
     pub(super) seq: u64,
     pub(super) slot: u32,
-    /// The version of the slot's key; while the record is being written, the one before.
+    /// The version of the slot's key; while the record is being written, the key's previous version.
     pub(super) version: u64,
     pub(super) bytes: usize,
     pub(super) tasks: Vec<LoggedTask>,
@@ -37,7 +38,7 @@
     slots: Vec<SlotState>,
     next_slot_hint: u32,
     next_seq: u64,
-    /// Records before this one count no more.
+    /// Sequence number of the first live record: a new leader ignores earlier ones.
     first_live_seq: u64,
     live_records: VecDeque<LiveRecord>,
     live_bytes: usize,
@@ -57,12 +58,13 @@
 }
 
 impl LogRing {
-    /// Goes on where the predecessors' records end. `records`: slot, version, record.
+    /// Continues the log after the last record of previous leaders. `records`: slot, version of its
+    /// key, and record.
     pub(super) fn inherit(records: &[(u32, u64, LogRecord)], cluster: &mut ClusterState) -> Self {
         let mut ring = LogRing::default();
         for (slot, version, record) in records {
-            if let Some(known) = ring.slots.get_mut(*slot as usize) {
-                *known = SlotState::Free(*version);
+            if let Some(slot_state) = ring.slots.get_mut(*slot as usize) {
+                *slot_state = SlotState::Free(*version);
             }
             ring.next_seq = ring.next_seq.max(record.seq + 1);
             ring.first_live_seq = ring.first_live_seq.max(record.first_live_seq);
@@ -91,14 +93,14 @@
         ring
     }
 
-    /// Takes in a record that is stored.
+    /// Adds a record that was stored.
     pub(super) fn add_live_record(&mut self, record: LiveRecord) {
         self.slots[record.slot as usize] = SlotState::Taken;
         self.live_bytes += record.bytes;
         self.live_records.push_back(record);
     }
 
-    /// The next slot that can be written: its number and the version of its key.
+    /// Returns the next slot that can be written, and the version of its key.
     pub(super) fn next_slot(&mut self) -> Option<(u32, u64)> {
         for _ in 0..storage::LOG_RING_SLOTS {
             let slot = self.next_slot_hint % storage::LOG_RING_SLOTS;
@@ -110,46 +112,47 @@
         None
     }
 
-    /// Numbers the next record.
+    /// Returns the sequence number for a new record.
     pub(super) fn next_seq(&mut self) -> u64 {
         let seq = self.next_seq;
         self.next_seq += 1;
         seq
     }
 
-    /// The number of the last record that was written or tried.
+    /// Sequence number of the last record for which a write was attempted.
     pub(super) fn last_seq(&self) -> u64 {
         self.next_seq - 1
     }
 
-    /// Records before this one count no more.
+    /// Sequence number of the first live record.
     pub(super) fn first_live_seq(&self) -> u64 {
         self.first_live_seq
     }
 
-    /// The slot is not written until [`LogRing::free_slot`] or the record's end.
+    /// Marks a slot as taken until [`LogRing::free_slot`] is called or its record is compacted.
     pub(super) fn take_slot(&mut self, slot: u32) {
         self.slots[slot as usize] = SlotState::Taken;
     }
 
-    /// The slot's key is known to have this version, and what it holds does not count.
+    /// Marks a slot as free: its key has this version and holds no live record.
     pub(super) fn free_slot(&mut self, slot: u32, version: u64) {
         self.slots[slot as usize] = SlotState::Free(version);
     }
 
-    /// Records that a successor would read.
+    /// Number of records that a new leader would have to apply.
     pub(super) fn live_record_count(&self) -> usize {
         self.live_records.len()
     }
 
-    /// What the live records tell, the oldest first: the record's number and the task.
+    /// The tasks of all live records, oldest record first, with the record's sequence number.
     pub(super) fn live_tasks(&self) -> impl Iterator<Item = (u64, &LoggedTask)> {
         self.live_records
             .iter()
             .flat_map(|record| record.tasks.iter().map(|task| (record.seq, task)))
     }
 
-    /// Drops the oldest records as long as all that they tell is told elsewhere.
+    /// Removes the oldest records whose state is all held by later records or snapshots, until no
+    /// compaction is needed.
     pub(super) fn compact(&mut self, cluster: &ClusterState, possibly_running: &HashSet<JobIndex>) {
         while let Some(record) = self.live_records.front()
             && self.needs_compaction()
@@ -165,7 +168,8 @@
         }
     }
 
-    /// Tasks of which only the oldest records tell, as many as a write may have room for.
+    /// Tasks whose state only the oldest records hold, enough to fill the space that a write may have
+    /// left.
     pub(super) fn tasks_to_relog(&mut self, cluster: &ClusterState) -> Vec<(JobIndex, u32)> {
         if !self.needs_compaction() {
             return Vec::new();
@@ -190,23 +194,23 @@
         to_relog.into_iter().collect()
     }
 
-    /// The oldest records are to be replaced.
+    /// Whether the oldest records have to be compacted.
     pub(super) fn needs_compaction(&self) -> bool {
         self.live_records.len() > COMPACTION_RECORDS || self.live_bytes > COMPACTION_BYTES
     }
 
-    /// The ring is so full that replacing the oldest records is worth writes of its own.
+    /// Whether the ring is so full that tasks are logged again even when none has changed.
     pub(super) fn is_under_pressure(&self) -> bool {
         self.live_records.len() > PRESSURE_RECORDS
     }
 
-    /// The ring is so full that jobs of any size get snapshots.
+    /// Whether the ring is so full that jobs of any size get snapshots.
     pub(super) fn is_nearly_full(&self) -> bool {
         self.live_records.len() > SNAPSHOT_ALL_RECORDS
     }
 }
 
-/// The tasks of known jobs that a record names.
+/// The tasks in a record that belong to jobs in the cluster state.
 fn logged_tasks(record: &LogRecord, cluster: &ClusterState) -> Vec<LoggedTask> {
     let tasks_by_job = record.jobs.iter().filter_map(|(id, _, tasks)| {
         let job = *cluster.jobs_by_id.get(id)?;
--- a/src/coordination/leader_log/snapshots.rs
+++ b/src/coordination/leader_log/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots: the state of ranges of large jobs' tasks, which makes old records dispensable.
+//! Snapshots of task ranges of large jobs, which allow old log records to be dropped.
 
 use std::collections::{BTreeSet, HashSet};
 
@@ -20,10 +20,10 @@
     time::Millis,
 };
 
-/// Least time between two writes of snapshots, while there is room in the ring.
+/// Minimum time between two writes of snapshots, unless the ring is nearly full.
 const SNAPSHOT_INTERVAL_MS: Millis = 250;
 
-/// A range of a job's tasks, which one snapshot covers.
+/// A range of a job's tasks that one snapshot covers.
 #[derive(Clone, Copy)]
 struct TaskRange {
     job: JobIndex,
@@ -34,24 +34,24 @@
 /// Snapshots that are being written.
 struct SnapshotWrite {
     ranges: Vec<TaskRange>,
-    /// The last record that they cover.
+    /// Sequence number of the last record that the snapshots cover.
     covers_seq: u64,
 }
 
-/// The writes of snapshots.
+/// The state of writes of snapshots.
 #[derive(Default)]
 pub(super) struct SnapshotState {
     in_flight: Option<SnapshotWrite>,
     written_at: Millis,
 }
 
-/// Adds snapshots to a transaction, for the ranges of which only the oldest records tell: of large jobs,
-/// or of `any_job`.
+/// Adds snapshots to a transaction, for task ranges whose state only old records hold, oldest first:
+/// those of large jobs or, with `any_job_size`, of all jobs.
 fn append_snapshots(
     ring: &LogRing,
     cluster: &mut ClusterState,
     possibly_running: &HashSet<JobIndex>,
-    any_job: bool,
+    any_job_size: bool,
     txn: &mut Txn,
     max_writes: usize,
 ) -> Vec<TaskRange> {
@@ -65,7 +65,7 @@
         let &LoggedTask { job, id, task } = logged;
         let index = task / cluster.task_range_len;
         if !is_still_needed(cluster, possibly_running, logged, seq)
-            || !(any_job || cluster.job(job).tasks.len() > MAX_RELOGGED_JOB_TASKS)
+            || !(any_job_size || cluster.job(job).tasks.len() > MAX_RELOGGED_JOB_TASKS)
             || !seen.insert((job, index))
         {
             continue;
@@ -92,8 +92,8 @@
 }
 
 impl Node {
-    /// Writes snapshots for what the oldest records tell of large jobs, once the log is long, and of
-    /// any job when the ring is nearly full. Drops records that count no more.
+    /// Drops records that are no longer needed once the log has grown long. Then writes snapshots of
+    /// large jobs whose state only old records hold, and of all such jobs when the ring is nearly full.
     pub(in crate::coordination) fn write_snapshots(&mut self) {
         let max_writes = (self.config.settings.state.max_txn_ops as usize / 2).max(1);
         let Some(leader) = &mut self.leader_state else {
@@ -104,8 +104,8 @@
         let Some(cluster) = &mut leader.cluster else {
             return;
         };
-        let any_job = log.ring.is_nearly_full();
-        let is_due = log.snapshots.written_at + SNAPSHOT_INTERVAL_MS <= self.now || any_job;
+        let any_job_size = log.ring.is_nearly_full();
+        let is_due = log.snapshots.written_at + SNAPSHOT_INTERVAL_MS <= self.now || any_job_size;
         if log.snapshots.in_flight.is_some() || !log.ring.needs_compaction() || !is_due {
             return;
         }
@@ -120,7 +120,7 @@
             &log.ring,
             cluster,
             &possibly_running,
-            any_job,
+            any_job_size,
             &mut txn,
             max_writes,
         );
@@ -140,7 +140,7 @@
         );
     }
 
-    /// Handles the answer to a write of snapshots.
+    /// Handles the response to a write of snapshots.
     pub(in crate::coordination) fn on_snapshots_written(
         &mut self,
         lease: u64,
--- a/src/coordination/leader_log/unconfirmed.rs
+++ b/src/coordination/leader_log/unconfirmed.rs
@@ -1,4 +1,4 @@
-//! Writes that got no answer: their keys are read before they are written again.
+//! Writes with an unknown result: their keys are read before they are written again.
 
 use super::{LeaderLog, SlotState, UNANSWERED_RETRY_MS};
 use crate::{
@@ -11,14 +11,14 @@
     time::Millis,
 };
 
-/// A key of which is not known whether it was written; it is not written again before that is known.
+/// A key whose last write has an unknown result; it is read before it is written again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum UnconfirmedWrite {
     /// A slot of the log's ring.
     Slot(u32),
     /// A snapshot of a job's range of tasks.
     Snapshot(JobId, SnapshotNumber),
-    /// A part of what tells of images.
+    /// An image record, by its number.
     Images(usize),
 }
 
@@ -32,14 +32,14 @@
     }
 }
 
-/// A key that could not be read and is to be read again.
+/// A key that could not be read and has to be read again.
 pub(super) struct UnconfirmedCheck {
     due_at: Millis,
     write: UnconfirmedWrite,
 }
 
 impl LeaderLog {
-    /// Takes the checks that are due.
+    /// Removes and returns the checks that are due.
     fn take_due_checks(&mut self, now: Millis) -> Vec<UnconfirmedWrite> {
         let is_due = |check: &UnconfirmedCheck| check.due_at <= now;
         let due = self.unconfirmed.iter().filter(|check| is_due(check));
@@ -50,7 +50,7 @@
 }
 
 impl Node {
-    /// Reads a key that may have been written.
+    /// Reads a key whose last write has an unknown result.
     pub(super) fn check_unconfirmed(&mut self, lease: u64, unconfirmed: UnconfirmedWrite) {
         self.call_state_service(
             StateTag::CheckUnconfirmedWrite { lease, unconfirmed },
@@ -62,7 +62,7 @@
         );
     }
 
-    /// Handles what a key that may have been written holds: it can be written against its version.
+    /// Handles the response to the read of such a key, which can then be written against its version.
     pub(in crate::coordination) fn on_unconfirmed_checked(
         &mut self,
         lease: u64,
@@ -79,8 +79,8 @@
         let version = match result {
             Ok(StateReply::Row(row)) => row.version,
             Ok(StateReply::Missing) => 0,
-            // Refusals come back at once: if the key were read again at once, each check would be a
-            // request after the other for as long as the store is unavailable.
+            // A refusal returns immediately. Without a delay, each check would send requests back to
+            // back for as long as the state service is unavailable.
             _ => {
                 return log.unconfirmed.push(UnconfirmedCheck {
                     due_at: self.now + UNANSWERED_RETRY_MS,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Reads keys again that could not be read.
+    /// Repeats the reads of keys that failed, once they are due.
     pub(in crate::coordination) fn retry_unconfirmed_checks(&mut self) {
         let Some(leader) = &mut self.leader_state else {
             return;
