--- a/src/coordination/leader_log/ring.rs
+++ b/src/coordination/leader_log/ring.rs
@@ -151,8 +151,8 @@
             .flat_map(|record| record.tasks.iter().map(|task| (record.seq, task)))
     }
 
-    /// Removes the oldest records whose state is all held by later records or snapshots, until no
-    /// compaction is needed.
+    /// Removes the oldest records while none of their tasks still needs them, until no compaction is
+    /// needed.
     pub(super) fn compact(&mut self, cluster: &ClusterState, possibly_running: &HashSet<JobIndex>) {
         while let Some(record) = self.live_records.front()
             && self.needs_compaction()
--- a/src/coordination/leader_log/unconfirmed.rs
+++ b/src/coordination/leader_log/unconfirmed.rs
@@ -62,7 +62,8 @@
         );
     }
 
-    /// Handles the response to the read of such a key, which can then be written against its version.
+    /// Handles the read of a key whose last write had an unknown result. The key can then be written on
+    /// condition that it still has the version that was read.
     pub(in crate::coordination) fn on_unconfirmed_checked(
         &mut self,
         lease: u64,
--- a/src/coordination/registry/dependencies.rs
+++ b/src/coordination/registry/dependencies.rs
@@ -1,4 +1,4 @@
-//! Job records, and what the end of a job means for those that depend on it.
+//! Registers job records, and propagates the outcome of a job to the jobs that depend on it.
 
 use std::{collections::BTreeMap, rc::Rc};
 
@@ -11,7 +11,7 @@
     storage::{self, JobRecord},
 };
 
-/// What a live job's own key says, besides what was submitted.
+/// The fields of a live job's key other than its submission.
 #[derive(Clone, Copy)]
 struct RecordHeader {
     submitted_at_ms: u64,
@@ -19,7 +19,7 @@
     version: u64,
 }
 
-/// What has been read of a record that is kept under several keys.
+/// The keys read so far of a job record that is stored under several keys.
 #[derive(Default)]
 pub(super) struct PartialRecord {
     header: Option<RecordHeader>,
@@ -33,11 +33,11 @@
 }
 
 impl JobRegistry {
-    /// Takes in a job's record; what is final stays so.
+    /// Applies a job's record. A job that is done or cancelled never changes again.
     pub fn put_job_record(&mut self, id: JobId, record: JobRecord, version: u64) -> RegistryChange {
-        let known = self.jobs.get(&id);
+        let registered = self.jobs.get(&id);
         let ended = match record {
-            JobRecord::Live { .. } | JobRecord::Split { .. } if known.is_some() => {
+            JobRecord::Live { .. } | JobRecord::Split { .. } if registered.is_some() => {
                 return RegistryChange::Nothing;
             }
             JobRecord::Live { at_ms, spec } => {
@@ -59,9 +59,9 @@
             JobRecord::Done { at_ms } => RegisteredJob::Ended(JobStatus::Done, at_ms),
             JobRecord::Cancelled => RegisteredJob::Ended(JobStatus::Cancelled, None),
         };
-        // What it depends on is perhaps less urgent without it.
+        // Its dependencies may be less urgent without it.
         let mut changed = vec![id];
-        match known {
+        match registered {
             Some(RegisteredJob::Ended(..)) => return RegistryChange::Nothing,
             Some(RegisteredJob::Live(live)) => {
                 changed.extend(&live.spec.dependencies);
@@ -77,27 +77,30 @@
         self.propagate_outcomes(changed)
     }
 
-    /// Registers a job whose record is kept under several keys once all of them have been read. They are
-    /// written at once, but read page by page.
+    /// Registers a job whose record is stored under several keys, once all of them have been read. They
+    /// are written in one transaction, but may be read on different pages.
     pub(super) fn join_parts(&mut self, id: JobId) -> RegistryChange {
-        let Some(split) = self.partial_records.get(&id) else {
+        let Some(partial) = self.partial_records.get(&id) else {
             return RegistryChange::Nothing;
         };
-        let Some(header) = split.header.filter(|header| split.has_all_parts(header)) else {
+        let Some(header) = partial
+            .header
+            .filter(|header| partial.has_all_parts(header))
+        else {
             return RegistryChange::Nothing;
         };
-        let spec = storage::join_submission_parts(split.part_texts.values().map(String::as_str));
+        let spec = storage::join_submission_parts(partial.part_texts.values().map(String::as_str));
         self.partial_records.remove(&id);
         match spec {
             Ok(spec) => self.register_job(id, header, spec),
             Err(error) => {
-                tracing::error!(job = %id, %error, "a job's record can't be read");
+                tracing::error!(job = %id, %error, "can't decode a job's record");
                 RegistryChange::Nothing
             }
         }
     }
 
-    /// Registers a job that is not known yet.
+    /// Registers a job that isn't in the registry.
     fn register_job(
         &mut self,
         id: JobId,
@@ -122,7 +125,7 @@
                 Some(RegisteredJob::Ended(..) | RegisteredJob::CancelledByDependency(_)) => {
                     is_cancelled = true;
                 }
-                // While all is being read, it may come only later.
+                // During the initial load, a dependency may be read after this job.
                 Some(RegisteredJob::Live(_)) | None => {
                     live.dependencies_left += 1;
                     self.dependents.entry(*dependency).or_default().push(id);
@@ -140,13 +143,14 @@
         self.propagate_outcomes(vec![id])
     }
 
-    /// What follows from a job's new state for those that depend on it, directly or through others. Not
-    /// recursive: pipelines may be as deep as there are jobs.
+    /// Applies the outcome of jobs that have ended to the jobs that depend on them, directly or
+    /// transitively. Returns the jobs passed in and all that were released or cancelled. Not recursive,
+    /// because a chain of dependencies may be as long as the number of jobs.
     fn propagate_outcomes(&mut self, mut changed: Vec<JobId>) -> RegistryChange {
         let mut next = 0;
-        while let Some(&over) = changed.get(next) {
+        while let Some(&id) = changed.get(next) {
             next += 1;
-            let (cancelled, done_ms) = match self.jobs.get(&over) {
+            let (cancelled, done_ms) = match self.jobs.get(&id) {
                 Some(RegisteredJob::Ended(JobStatus::Done, done_ms)) => {
                     (false, done_ms.unwrap_or(0))
                 }
@@ -155,8 +159,8 @@
                 }
                 Some(RegisteredJob::Live(_)) | None => continue,
             };
-            for waiting in self.dependents.remove(&over).unwrap_or_default() {
-                let Some(entry) = self.jobs.get_mut(&waiting) else {
+            for dependent in self.dependents.remove(&id).unwrap_or_default() {
+                let Some(entry) = self.jobs.get_mut(&dependent) else {
                     continue;
                 };
                 let RegisteredJob::Live(job) = entry else {
@@ -164,14 +168,14 @@
                 };
                 if cancelled {
                     *entry = RegisteredJob::CancelledByDependency(job.clone());
-                    self.cancelled_by_dependency.push_back(waiting);
-                    changed.push(waiting);
+                    self.cancelled_by_dependency.push_back(dependent);
+                    changed.push(dependent);
                     continue;
                 }
                 job.dependencies_left -= 1;
                 job.released_at_ms = job.released_at_ms.max(done_ms);
                 if job.dependencies_left == 0 {
-                    changed.push(waiting);
+                    changed.push(dependent);
                 }
             }
         }
--- a/src/coordination/registry/job.rs
+++ b/src/coordination/registry/job.rs
@@ -1,4 +1,4 @@
-//! Jobs as the registry keeps them.
+//! The registry's representation of a job.
 
 use std::rc::Rc;
 
@@ -14,22 +14,24 @@
 /// A job that is neither done nor cancelled.
 #[derive(Clone, Debug)]
 pub struct LiveJob {
-    /// The version of its key.
+    /// The version of the job's key.
     pub version: u64,
     /// When it was accepted, in milliseconds since the epoch.
     pub submitted_at_ms: u64,
-    /// What its user submitted.
+    /// The user's submission.
     pub spec: Rc<Submission>,
-    /// How many further keys its record has.
+    /// Number of further keys that hold parts of the job's record.
     pub part_count: u32,
-    /// Dependencies whose records do not say `done`. Until there is none, no task may start.
+    /// Number of dependencies whose records are not `done`. No task may start before it is 0.
     pub dependencies_left: usize,
-    /// When the last dependency was done, or the job was submitted, if that was later.
+    /// When the last dependency was done or the job was submitted, whichever was later, in milliseconds
+    /// since the epoch.
     pub released_at_ms: u64,
 }
 
 impl LiveJob {
-    /// Adds the job's end to a transaction that is applied only if nobody else has ended it.
+    /// Adds the job's final record to a transaction, on condition that the job's key is unchanged. If
+    /// another write has already ended the job, the transaction is not applied.
     pub fn append_outcome(&self, id: JobId, record: &JobRecord, txn: &mut Txn) {
         txn.put(
             storage::job_key(id),
@@ -43,22 +45,24 @@
     }
 }
 
-/// What a node keeps of each job for good. It is kept small: finished jobs outnumber all others before
-/// long.
+/// The entry that a node keeps for each job and never removes. It is small because finished jobs soon
+/// outnumber all others.
 #[derive(Clone, Debug)]
 pub enum RegisteredJob {
     /// Neither done nor cancelled.
     Live(Box<LiveJob>),
-    /// A dependency was cancelled: so is this job from then on, whatever its own record says. Each node
-    /// derives that from two facts that never change, what the job depends on and how that ended, so no
-    /// node can tell its user otherwise later, and nothing is left half done by a crash.
+    /// A dependency was cancelled, which cancels this job as well, whatever its own record says. Each
+    /// node derives this from two facts that never change, the job's dependencies and their outcomes.
+    /// No node can therefore report another status later, and a crash can't leave the cancellation
+    /// half done.
     CancelledByDependency(Box<LiveJob>),
-    /// Done, with the time of that in milliseconds since the epoch where it is known, or cancelled.
+    /// Done or cancelled. The time is when the job was done, in milliseconds since the epoch, if it is
+    /// recorded.
     Ended(JobStatus, Option<u64>),
 }
 
 impl RegisteredJob {
-    /// How the job has ended; `None`: it has not.
+    /// The job's final status, or `None` if it has not ended.
     pub fn final_status(&self) -> Option<JobStatus> {
         match self {
             RegisteredJob::Live(_) => None,
--- a/src/coordination/registry/mod.rs
+++ b/src/coordination/registry/mod.rs
@@ -1,7 +1,8 @@
-//! The registry that every node keeps of `shared/`: jobs, leader, term, machine types.
+//! The registry: every node's copy of the keys under `shared/`, with jobs, leader, term, machine types,
+//! admission quotas and standby renewers.
 //!
-//! It is plain data: rows and events go in, and what they changed comes out. How it is kept up to date
-//! is the job of [`watch_cache`](super::watch_cache).
+//! It does no I/O: rows and events are put in, and each returns what it changed. The module
+//! [`watch_cache`](super::watch_cache) keeps it up to date.
 
 mod dependencies;
 mod job;
@@ -21,47 +22,50 @@
 };
 use dependencies::PartialRecord;
 
-/// What the keys under `shared/` say. It follows rows and events and asks for none.
+/// The decoded keys under `shared/`, updated from rows and events.
 #[derive(Default)]
 pub struct JobRegistry {
-    /// In order: what the cluster state is rebuilt from must not depend on chance.
+    /// Ordered by id, so that rebuilding the cluster state is deterministic.
     jobs: BTreeMap<JobId, RegisteredJob>,
-    /// Tasks of all unfinished jobs, which a leader holds in its memory.
+    /// Number of tasks of all unfinished jobs, which a leader holds in memory.
     unfinished_tasks: u64,
-    /// Records that are not complete yet.
+    /// Job records stored under several keys of which not all have been read yet.
     partial_records: HashMap<JobId, PartialRecord>,
-    /// Which live jobs depend on a job, from when the first of them is known until that job is over.
+    /// The live jobs that depend on a job. An entry exists from when the first of them is registered
+    /// until the job that they depend on is finished.
     dependents: HashMap<JobId, Vec<JobId>>,
-    /// Jobs whose records do not say yet that they are cancelled, each behind one from which that follows.
+    /// Jobs that are cancelled because of a dependency, and whose records are not yet updated. A job
+    /// comes after the dependency that it is cancelled by.
     cancelled_by_dependency: VecDeque<JobId>,
-    /// All changes up to here are in.
+    /// The state service's revision up to which all changes are applied.
     pub(super) revision: u64,
-    /// All rows have been read once.
+    /// Whether all rows have been read once.
     pub(super) loaded: bool,
     /// The leader, and the version of its key.
     pub leader: Option<(LeaderRecord, u64)>,
-    /// The highest term.
+    /// The highest term that was read.
     pub term: u64,
-    /// The version of its key.
+    /// The version of the term's key.
     pub term_version: u64,
     /// The machine types, and the version that completed them.
     pub machine_types: Option<(MachineTypes, u64)>,
-    /// The versions of the keys that they are kept under.
+    /// The versions of the keys that hold the machine types.
     pub machine_types_versions: HashMap<String, u64>,
-    /// How much each node may admit, and the version of the key.
+    /// How much each node may admit, and the version of the quotas' key.
     pub admission_quotas: Option<(AdmissionQuotas, u64)>,
-    /// Where they are kept under several keys: by the number of those, and which one it is.
+    /// Machine types stored under several keys, by the number of these keys and the key's index.
     machine_types_parts: BTreeMap<(u32, u32), Vec<MachineType>>,
-    /// Standby renewers: nodes that may renew workers' leases, with the version of their keys.
+    /// Standby renewers (nodes that may renew workers' leases) by label, with the version of each key.
     pub lease_renewers: BTreeMap<String, u64>,
 }
 
-/// What a row or an event has changed.
+/// What a row or an event changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegistryChange {
-    /// Jobs that were accepted, released or ended: the one whose record changed, and what follows.
+    /// Jobs that were accepted, released or ended: the one whose record changed and those affected by
+    /// it.
     Jobs(Vec<JobId>),
-    /// Who leads.
+    /// The leader.
     Leader,
     /// The term.
     Term,
@@ -69,22 +73,22 @@
     MachineTypes,
     /// The admission quotas.
     AdmissionQuotas,
-    /// A standby renewer's key was written anew, in this version.
+    /// The key of the standby renewer with this label was written, with this version.
     RenewerRegistered(String, u64),
-    /// A standby renewer's key is gone since this version.
+    /// The key of the standby renewer with this label was deleted, as of this version.
     RenewerGone(String, u64),
-    /// Nothing: the row was known, or newer ones were.
+    /// Nothing: the same or a newer version of the row was read before.
     Nothing,
 }
 
 impl JobRegistry {
-    /// Takes all rows for read.
+    /// Marks all rows as read.
     #[cfg(test)]
     pub fn mark_loaded_for_test(&mut self) {
         self.loaded = true;
     }
 
-    /// How many tasks all unfinished jobs have.
+    /// Number of tasks of all unfinished jobs.
     pub fn unfinished_task_count(&self) -> u64 {
         self.unfinished_tasks
     }
@@ -94,12 +98,12 @@
         self.loaded
     }
 
-    /// What is known of a job.
+    /// A job, finished or not; `None` if no complete record of it was read.
     pub fn get(&self, id: JobId) -> Option<&RegisteredJob> {
         self.jobs.get(&id)
     }
 
-    /// All live jobs, in the order of their ids.
+    /// All live jobs, ordered by id.
     pub fn live_jobs(&self) -> impl Iterator<Item = (JobId, &LiveJob)> {
         self.jobs.iter().filter_map(|(id, entry)| match entry {
             RegisteredJob::Live(live) => Some((*id, &**live)),
@@ -115,21 +119,21 @@
         }
     }
 
-    /// Live jobs that depend on an unfinished one.
+    /// The live jobs that depend on an unfinished job.
     pub fn dependents_of(&self, id: JobId) -> impl Iterator<Item = (JobId, &LiveJob)> {
-        let all = self.dependents.get(&id).into_iter().flatten();
-        all.filter_map(|id| match self.jobs.get(id) {
+        let dependents = self.dependents.get(&id).into_iter().flatten();
+        dependents.filter_map(|id| match self.jobs.get(id) {
             Some(RegisteredJob::Live(live)) => Some((*id, &**live)),
             _ => None,
         })
     }
 
-    /// Whether live jobs depend on this one.
+    /// Whether any live job depends on this one.
     pub fn has_dependents(&self, id: JobId) -> bool {
         self.dependents_of(id).next().is_some()
     }
 
-    /// The first jobs that were cancelled with a dependency and whose records don't say so.
+    /// Jobs that are cancelled because of a dependency, and whose records are not yet updated.
     pub fn jobs_cancelled_by_dependency(&mut self) -> impl Iterator<Item = (JobId, &LiveJob)> {
         while let Some(first) = self.cancelled_by_dependency.front()
             && !matches!(
@@ -147,7 +151,7 @@
             })
     }
 
-    /// How many jobs are known, finished ones included.
+    /// Number of registered jobs, including finished ones.
     pub(super) fn job_count(&self) -> usize {
         self.jobs.len()
     }
--- a/src/coordination/registry/rows.rs
+++ b/src/coordination/registry/rows.rs
@@ -1,4 +1,4 @@
-//! Rows and events of the state service, by the kind of their keys.
+//! Applies rows and events of the state service to the registry, by kind of key.
 
 use serde_json::Value;
 
@@ -13,7 +13,8 @@
 };
 
 impl JobRegistry {
-    /// Takes in a row, in whatever order rows come: an older one than is known changes nothing.
+    /// Applies a row. Rows may come in any order: one that is older than the registry's version of its
+    /// key changes nothing.
     pub(in crate::coordination) fn put_row(
         &mut self,
         key: &str,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Takes in a change that a watch or a read barrier brought.
+    /// Applies an event that a watch or a read barrier returned.
     pub(in crate::coordination) fn apply_event(&mut self, event: Event) -> RegistryChange {
         match event {
             Event::Put {
@@ -67,7 +68,7 @@
         match serde_json::from_value::<JobRecord>(value) {
             Ok(record) => self.put_job_record(id, record, version),
             Err(error) => {
-                tracing::error!(%key, %error, "a job's record can't be read");
+                tracing::error!(%key, %error, "can't decode a job's record");
                 RegistryChange::Nothing
             }
         }
@@ -75,7 +76,7 @@
 
     fn put_job_part(&mut self, id: JobId, part: u32, key: &str, value: Value) -> RegistryChange {
         let Value::String(text) = value else {
-            tracing::error!(%key, "a part of a job's record can't be read");
+            tracing::error!(%key, "can't decode a part of a job's record");
             return RegistryChange::Nothing;
         };
         if !self.jobs.contains_key(&id) {
@@ -89,26 +90,27 @@
     }
 
     fn put_lease_renewer(&mut self, label: &str, version: u64) -> RegistryChange {
-        let known = self.lease_renewers.entry(label.to_owned()).or_default();
-        if *known >= version {
+        let current = self.lease_renewers.entry(label.to_owned()).or_default();
+        if *current >= version {
             return RegistryChange::Nothing;
         }
-        *known = version;
+        *current = version;
         RegistryChange::RenewerRegistered(label.to_owned(), version)
     }
 
-    /// Returns whether the version is newer than what is known of the key.
+    /// Records a version of a machine types' key. Returns whether it is newer than the last recorded
+    /// one.
     fn raise_machine_types_version(&mut self, key: &str, version: u64) -> bool {
-        let known = self
+        let current = self
             .machine_types_versions
             .entry(key.to_owned())
             .or_default();
-        let is_newer = version > *known;
-        *known = version.max(*known);
+        let is_newer = version > *current;
+        *current = version.max(*current);
         is_newer
     }
 
-    /// Takes in one of `count` parts; the types are replaced once all parts are there.
+    /// Stores one of `count` parts. The machine types are replaced once all parts have been read.
     fn put_machine_types_part(
         &mut self,
         part: u32,
@@ -131,7 +133,7 @@
         if self
             .leader
             .as_ref()
-            .is_some_and(|(_, known)| *known >= version)
+            .is_some_and(|(_, current)| *current >= version)
         {
             return RegistryChange::Nothing;
         }
@@ -156,7 +158,7 @@
         if self
             .admission_quotas
             .as_ref()
-            .is_some_and(|(_, known)| *known >= version)
+            .is_some_and(|(_, current)| *current >= version)
         {
             return RegistryChange::Nothing;
         }
@@ -166,14 +168,15 @@
         RegistryChange::AdmissionQuotas
     }
 
-    /// Keys on leases go with those; nothing else here is ever deleted. An event may be older than a
-    /// key that was read since.
+    /// Applies the deletion of a key. The leader's and the standby renewers' keys are bound to leases
+    /// and are deleted when these end; no other deletion changes the registry. The event may be older
+    /// than a version of the key that was read since.
     fn delete_row(&mut self, key: &str, version: u64) -> RegistryChange {
         if let Some(label) = storage::parse_lease_renewer_key(key) {
             if self
                 .lease_renewers
                 .get(label)
-                .is_some_and(|known| *known < version)
+                .is_some_and(|current| *current < version)
             {
                 self.lease_renewers.remove(label);
                 return RegistryChange::RenewerGone(label.to_owned(), version);
@@ -184,7 +187,7 @@
             && self
                 .leader
                 .as_ref()
-                .is_some_and(|(_, known)| *known < version)
+                .is_some_and(|(_, current)| *current < version)
         {
             self.leader = None;
             return RegistryChange::Leader;
--- a/src/coordination/takeover/mod.rs
+++ b/src/coordination/takeover/mod.rs
@@ -44,7 +44,8 @@
         );
     }
 
-    /// Handles a page of the records of previous leaders, and rebuilds the cluster state after the last.
+    /// Handles a page of the records of previous leaders. After the last page, the cluster state can be
+    /// rebuilt.
     pub(super) fn on_leader_log_read(
         &mut self,
         lease: u64,
@@ -121,10 +122,10 @@
     /// Adds and enqueues the live jobs whose dependencies are all done. Returns the dependencies of all
     /// live jobs.
     fn add_live_jobs(&self, cluster: &mut ClusterState, leader: &mut LeaderState) -> Vec<JobId> {
-        let mut live: Vec<_> = self.registry.live_jobs().collect();
-        live.sort_by_key(|(id, job)| (job.released_at_ms, *id));
+        let mut live_jobs: Vec<_> = self.registry.live_jobs().collect();
+        live_jobs.sort_by_key(|(id, job)| (job.released_at_ms, *id));
         let mut dependencies = Vec::new();
-        for (_, job) in live {
+        for (_, job) in live_jobs {
             dependencies.extend(&job.spec.dependencies);
             if job.dependencies_left > 0 {
                 continue;
@@ -153,7 +154,8 @@
     );
 }
 
-/// Restores which machines hold which images, and which jobs are quarantined.
+/// Restores which machines hold which images, which machines are draining, and which jobs are
+/// quarantined.
 fn restore_images(cluster: &mut ClusterState, record: ImagesRecord) {
     let ImagesRecord {
         images,
@@ -172,11 +174,11 @@
             .enumerate()
             .take(storage::MAX_IMAGES_PER_RECORD)
             .filter(|(bit, _)| bits >> bit & 1 == 1);
-        let replace = bits & storage::REPLACEMENT_BIT != 0;
+        let draining = bits & storage::REPLACEMENT_BIT != 0;
         cluster.restore_machine_hints(
             machine,
             held_images.map(|(_, image)| image.clone()),
-            replace,
+            draining,
         );
     }
 }
@@ -198,9 +200,9 @@
             None => {
                 // A finished job is added only if an attempt of it may still be running, or if it
                 // has snapshots, which have to be deleted.
-                let mut latest = recovered_job.tasks.values();
-                let active = latest.any(|latest| latest.machine.is_some());
-                if !active && !jobs_with_snapshots.contains(&id) {
+                let mut attempts = recovered_job.tasks.values();
+                let may_run = attempts.any(|attempt| attempt.machine.is_some());
+                if !may_run && !jobs_with_snapshots.contains(&id) {
                     continue;
                 }
                 let Some(job) = add_finished_job(cluster, id, recovered_job.summary, now) else {
@@ -216,7 +218,7 @@
 }
 
 fn log_rebuild(cluster: &ClusterState, recovered: &RecoveredState, term: u64) {
-    let active = cluster
+    let attempts = cluster
         .machines
         .iter()
         .map(|machine| machine.attempts.len())
@@ -227,7 +229,7 @@
         machines = cluster.machines.len(),
         records = recovered.records.len(),
         snapshots = recovered.snapshots.len(),
-        active,
+        attempts,
         "cluster state rebuilt"
     );
 }
