--- a/src/coordination/watch_cache/load.rs
+++ b/src/coordination/watch_cache/load.rs
@@ -1,4 +1,4 @@
-//! Loading the registry page by page, at the start or after too long a gap.
+//! Loads the registry page by page, at startup or when it has fallen too far behind for a watch.
 
 use super::RETRY_MS;
 use crate::{
@@ -11,19 +11,19 @@
 const PAGE_ROWS: u32 = 500;
 const PAGE_TIMEOUT_MS: u64 = 3000;
 
-/// How far the load of the registry is.
+/// The state of the load of the registry.
 #[derive(Debug)]
 pub enum RegistryLoad {
-    /// A load is needed.
+    /// A load has to be started.
     Needed {
-        /// Not before this time.
+        /// The earliest time for its start.
         after: Millis,
     },
     /// Pages are being read.
     Reading {
-        /// The revision of the first page: later changes are asked for from there on.
+        /// The revision of the first page. The watch requests all changes after it.
         revision: Option<u64>,
-        /// The leader's key was on a page.
+        /// Whether the leader's key was on a page.
         leader_seen: bool,
         /// Standby renewers whose keys were on a page.
         renewers_seen: Vec<String>,
@@ -33,7 +33,7 @@
 }
 
 impl Node {
-    /// Asks for the rows behind a key.
+    /// Requests the page of rows after a key, or the first page.
     pub(super) fn request_registry_page(&mut self, after: Option<String>) {
         self.call_state_service(
             StateTag::LoadRegistry {
@@ -49,7 +49,7 @@
         );
     }
 
-    /// Takes in a page, and asks for the next or ends the load.
+    /// Applies a page to the registry, and requests the next or finishes the load.
     pub(in crate::coordination) fn on_registry_page(
         &mut self,
         generation: u64,
@@ -70,7 +70,7 @@
             self.registry_load = RegistryLoad::Needed {
                 after: self.now + RETRY_MS,
             };
-            return self.refuse_waiting_requests();
+            return self.relay_or_refuse_waiting();
         };
         let first_revision = *revision.get_or_insert(page.revision);
         let last_key = page.rows.last().map(|row| row.key.clone());
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Ends the load, and removes what was on no page.
+    /// Finishes the load, and removes the leader and standby renewers whose keys were on no page.
     fn finish_load(
         &mut self,
         revision: u64,
@@ -100,27 +100,32 @@
     ) -> Vec<RegistryChange> {
         let mut changes = Vec::new();
         if !leader_seen {
-            // It may have gone while nobody watched; if it came since, the watch will tell.
+            // The leader's key may have been deleted while no watch was open. If it has been written
+            // since the first page, the watch returns it.
             self.registry.leader = None;
             changes.push(RegistryChange::Leader);
         }
-        let gone: Vec<String> = self
+        let removed: Vec<String> = self
             .registry
             .lease_renewers
             .keys()
             .filter(|label| !renewers_seen.contains(label))
             .cloned()
             .collect();
-        for label in gone {
+        for label in removed {
             self.registry.lease_renewers.remove(&label);
             changes.push(RegistryChange::RenewerGone(label, revision));
         }
         self.registry.revision = revision;
         self.registry.loaded = true;
         self.registry_load = RegistryLoad::Done;
-        // Nothing may be answered or renewed before the first read barrier.
+        // No request is answered and no lease renewed before the first read barrier has completed.
         self.read_barrier.is_requested = true;
-        tracing::info!(jobs = self.registry.job_count(), revision, "jobs read");
+        tracing::info!(
+            jobs = self.registry.job_count(),
+            revision,
+            "registry loaded"
+        );
         changes
     }
 }
--- a/src/coordination/watch_cache/mod.rs
+++ b/src/coordination/watch_cache/mod.rs
@@ -1,8 +1,9 @@
 //! The watch cache: keeps the registry up to date.
 //!
-//! A watch brings changes at once; a read barrier (a watch that does not wait) proves that the registry
-//! is as new as the moment at which it was sent. Answers that could be older than what another node has
-//! told a user are given only after a barrier that began after the request came: reads are linearizable.
+//! A watch returns changes as they occur. A read barrier, which is a watch request that does not wait,
+//! proves that the registry has all changes from before the barrier was sent. Where a response could
+//! be older than what another node has already returned to a user, it is sent only after a barrier
+//! that started after the request arrived. Reads are therefore linearizable.
 
 mod load;
 mod read_barrier;
@@ -18,11 +19,11 @@
     time::Millis,
 };
 
-/// A load or a watch that failed is repeated after this.
+/// Delay before a failed load or watch is retried.
 const RETRY_MS: Millis = 250;
 
 impl Node {
-    /// Keeps the registry up to date.
+    /// Starts a load of the registry, or the watch and a read barrier, when they are due.
     pub(in crate::coordination) fn maintain_registry(&mut self) {
         match self.registry_load {
             RegistryLoad::Needed { after } if after <= self.now => {
@@ -42,12 +43,12 @@
             _ => {}
         }
         if !self.registry.loaded {
-            self.refuse_waiting_requests();
+            self.relay_or_refuse_waiting();
         }
     }
 
-    /// Has members answer the requests that wait, or refuses them.
-    fn refuse_waiting_requests(&mut self) {
+    /// Relays the requests that wait for a read barrier to another member, or refuses them.
+    fn relay_or_refuse_waiting(&mut self) {
         for id in self.read_barrier.take_waiting() {
             self.relay_or_refuse(id);
         }
@@ -57,23 +58,23 @@
         match reply {
             StateReply::Changes(changes) => {
                 let events = changes.events.into_iter();
-                let seen: Vec<RegistryChange> = events
+                let registry_changes: Vec<RegistryChange> = events
                     .map(|event| self.registry.apply_event(event))
                     .collect();
                 self.registry.revision = self.registry.revision.max(changes.revision);
-                for change in seen {
+                for change in registry_changes {
                     self.on_registry_change(change);
                 }
             }
             StateReply::TooOld => {
-                tracing::info!("too far behind, reading the jobs again");
+                tracing::info!("registry is too far behind, loading it again");
                 self.registry_load = RegistryLoad::Needed { after: self.now };
             }
             _ => {}
         }
     }
 
-    /// Lets the rest of the node follow a change of the registry.
+    /// Updates the rest of the node after a change of the registry.
     pub(in crate::coordination) fn on_registry_change(&mut self, change: RegistryChange) {
         match change {
             RegistryChange::Jobs(jobs) => {
@@ -94,12 +95,12 @@
         }
     }
 
-    /// Asks for a read barrier soon: something suggests that the registry is behind.
+    /// Requests a read barrier soon, because the registry may be out of date.
     pub(in crate::coordination) fn request_read_barrier(&mut self) {
         self.read_barrier.is_requested = true;
     }
 
-    /// Uses the stored machine types until the cloud has told them.
+    /// Uses the stored machine types until the cloud service has returned them.
     fn adopt_stored_machine_types(&mut self) {
         if let Some((types, _)) = &self.registry.machine_types
             && self.machine_types.is_empty()
--- a/src/coordination/watch_cache/read_barrier.rs
+++ b/src/coordination/watch_cache/read_barrier.rs
@@ -1,4 +1,4 @@
-//! Read barriers: a read of all changes up to now, which proves how new the registry is.
+//! Read barriers: reads of all changes up to now, which prove that the registry is up to date.
 
 use crate::{
     coordination::{Node, RequestId, StateTag},
@@ -7,46 +7,48 @@
     time::Millis,
 };
 
-/// Least time between the starts of two barriers.
+/// Minimum time between the starts of two barriers.
 const MIN_BARRIER_INTERVAL_MS: Millis = 30;
 const BARRIER_TIMEOUT_MS: Millis = 1500;
-/// How often a barrier begins without being asked for.
+/// Interval at which a leader starts a barrier without a request for one.
 const LEADER_BARRIER_INTERVAL_MS: Millis = 1000;
+/// Interval at which a follower starts a barrier without a request for one.
 const FOLLOWER_BARRIER_INTERVAL_MS: Millis = 2000;
 
-/// The read barriers of this node, of which one at a time is under way.
+/// The read barriers of this node, of which at most one is in flight.
 #[derive(Default)]
 pub struct ReadBarrier {
-    /// When the one under way was started.
+    /// When the barrier in flight was started.
     in_flight_since: Option<Millis>,
     last_started_at: Millis,
-    /// The send time of the last one that succeeded.
+    /// The send time of the last barrier that succeeded.
     pub confirmed_at: Option<Millis>,
-    /// Requests that wait for the one under way.
+    /// Requests that wait for the barrier in flight.
     waiting_on_current: Vec<RequestId>,
-    /// Requests that came after it began: they wait for the next.
+    /// Requests that arrived after it was started, and wait for the next barrier.
     waiting_on_next: Vec<RequestId>,
-    /// Another one is to begin soon.
+    /// Whether another barrier should start soon.
     pub is_requested: bool,
-    /// The last one got no answer, not even a refusal. Requests that come meanwhile are relayed to a
-    /// member at once: users that were cut off with this node waited for 2 s each before one was tried.
+    /// Whether the last barrier got no response, not even a refusal. Requests that arrive meanwhile are
+    /// relayed to another member at once. Otherwise, each user on this node's side of a network
+    /// partition would wait for 2 s before a member is tried.
     pub is_unanswered: bool,
 }
 
 impl ReadBarrier {
-    /// Has a request wait for the next barrier.
+    /// Adds a request to those that wait for the next barrier.
     pub(in crate::coordination) fn wait_for_next(&mut self, id: RequestId) {
         self.waiting_on_next.push(id);
     }
 
-    /// Takes the requests that wait for the next barrier.
+    /// Removes and returns the requests that wait for the next barrier.
     pub(super) fn take_waiting(&mut self) -> Vec<RequestId> {
         std::mem::take(&mut self.waiting_on_next)
     }
 }
 
 impl Node {
-    /// Begins a read barrier when one is due.
+    /// Starts a read barrier if one is due.
     pub(super) fn start_read_barrier(&mut self) {
         let interval_ms = if self.leader_state.is_some() {
             LEADER_BARRIER_INTERVAL_MS
@@ -81,7 +83,7 @@
         );
     }
 
-    /// Takes in what the barrier brought, and answers the requests that waited for it.
+    /// Applies the changes that a barrier returned, and resolves the requests that waited for it.
     pub(in crate::coordination) fn on_read_barrier(
         &mut self,
         generation: u64,
--- a/src/coordination/watch_cache/tests.rs
+++ b/src/coordination/watch_cache/tests.rs
@@ -15,10 +15,10 @@
     serde_json::from_value(spec).expect("a submission")
 }
 
-/// A node that had lost its way to the state service had each user wait for as long as a request may
-/// take before it asked a member.
+/// A node that gets no response from the state service must relay requests at once. Otherwise, each
+/// user waits for the longest time that a request may take before another member is asked.
 #[test]
-fn node_without_state_service_answers_relays_requests_at_once() {
+fn node_without_state_service_responses_relays_requests_at_once() {
     let config = serde_json::from_value(serde_json::json!({
         "label": "n0", "domain": "a", "listen": "127.0.0.1:1", "mesh_addr": "127.0.0.1:2",
         "members": [{"label": "n1", "domain": "b", "address": "127.0.0.1:5"}],
@@ -33,10 +33,10 @@
     let mut node = Node::new(config.expect("valid settings"));
     node.registry.mark_loaded_for_test();
     node.registry_load = RegistryLoad::Done;
-    let kind = serde_json::json!({"sku": "c16", "cpus": 16.0, "ram_gb": 64.0, "hourly": 1.0,
+    let machine_type = serde_json::json!({"sku": "c16", "cpus": 16.0, "ram_gb": 64.0, "hourly": 1.0,
         "ready_s": 10.0, "pull_gb_per_s": 1.0, "local_gb": 50.0, "yards": ["a"]});
-    node.machine_types = vec![serde_json::from_value(kind).expect("a machine type")];
-    let mut relayed = |result, asks: Vec<ApiRequest>| {
+    node.machine_types = vec![serde_json::from_value(machine_type).expect("a machine type")];
+    let mut relayed_count = |result, requests: Vec<ApiRequest>| {
         let tag = StateTag::ReadBarrier { generation: 0 };
         let sent_at = 0;
         let mut commands = vec![Command::StateResponse {
@@ -46,8 +46,8 @@
         }];
         commands.extend(
             (1..)
-                .zip(asks)
-                .map(|(id, ask)| Command::ApiRequest(id, ask)),
+                .zip(requests)
+                .map(|(id, request)| Command::ApiRequest(id, request)),
         );
         let now = ClockReading {
             monotonic_ms: 1000,
@@ -56,14 +56,14 @@
         let effects = node.step(commands, now);
         let relays = effects
             .iter()
-            .filter(|each| matches!(each, Effect::RelayRequest { .. }));
+            .filter(|effect| matches!(effect, Effect::RelayRequest { .. }));
         relays.count()
     };
-    let asks = || vec![ApiRequest::Poll(JobId(1)), ApiRequest::Submit(spec(1))];
-    assert_eq!(relayed(Err(StateError::NoAnswer), asks()), 2);
+    let requests = || vec![ApiRequest::Poll(JobId(1)), ApiRequest::Submit(spec(1))];
+    assert_eq!(relayed_count(Err(StateError::NoAnswer), requests()), 2);
     assert_eq!(
-        relayed(Err(StateError::Refused(503)), asks()),
+        relayed_count(Err(StateError::Refused(503)), requests()),
         0,
-        "an outage"
+        "a refusal causes no relay"
     );
 }
--- a/src/coordination/watch_cache/watch.rs
+++ b/src/coordination/watch_cache/watch.rs
@@ -1,4 +1,4 @@
-//! The watch on the registry's keys, a long poll that is repeated without end.
+//! The watch on the registry's keys: a long poll that is repeated continuously.
 
 use super::RETRY_MS;
 use crate::{
@@ -8,12 +8,12 @@
     time::Millis,
 };
 
-/// For so long the state service holds a watch that brings nothing.
+/// How long the state service holds a watch when there are no changes.
 const WATCH_HOLD_MS: Millis = 10_000;
-/// After that, for so long an answer may be on its way.
+/// How long after that the response may take to arrive.
 const WATCH_TIMEOUT_MARGIN_MS: Millis = 3000;
 
-/// How the watch stands.
+/// The state of the watch.
 #[derive(Default)]
 pub struct RegistryWatch {
     open: bool,
@@ -21,7 +21,7 @@
 }
 
 impl Node {
-    /// Opens the watch unless it is open.
+    /// Opens the watch, unless it is open or a retry is not due yet.
     pub(super) fn start_watch(&mut self) {
         if self.watch.open || self.watch.retry_at > self.now {
             return;
@@ -41,7 +41,7 @@
         );
     }
 
-    /// Takes in what the watch brought.
+    /// Applies the changes that the watch returned.
     pub(in crate::coordination) fn on_watch_response(
         &mut self,
         generation: u64,
