--- a/src/coordination/job_graph.rs
+++ b/src/coordination/job_graph.rs
@@ -1,5 +1,5 @@
-//! Jobs that await others: when they are released, how urgent they make those that they need, and
-//! what is stored of those that were cancelled with one that they need.
+//! Dependencies between jobs: releases jobs whose dependencies are done, raises the urgency of the
+//! dependencies of urgent jobs, and stores the records of jobs cancelled because of a dependency.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -19,14 +19,14 @@
     time::{Millis, millis},
 };
 
-/// Least time between two batches of ends.
+/// Minimum time between two writes of cancelled jobs' records.
 const OUTCOME_WRITE_INTERVAL_MS: Millis = 500;
-/// What passes between the end of a stage and the start of the next, besides its image's fetch.
+/// Time between the end of a stage and the start of the next, besides the fetch of its image.
 const STAGE_OVERHEAD_MS: Millis = 1500;
-/// How many times to be done by are kept for a job.
+/// Maximum number of inherited finish times that are kept for a job.
 const MAX_DEADLINES_PER_JOB: usize = 4;
 
-/// The leader's writes about the ends of jobs that were cancelled with one that they need.
+/// The state of the leader's writes of records of jobs cancelled because of a dependency.
 #[derive(Default)]
 pub struct JobOutcomes {
     write_in_flight: bool,
@@ -34,12 +34,14 @@
 }
 
 impl Node {
-    /// Records the ends that follow from others, a few at a time: nothing is waited for, as every node
-    /// derives them by itself, but a record that says so needs no submission any more. An end is stored
-    /// after or with those that it follows from.
+    /// Stores the records of jobs cancelled because of a dependency, a few at a time. Nothing waits for
+    /// these writes, as every node derives the cancellations itself, but a cancelled job's record no
+    /// longer needs to hold the submission. The cancellation of a dependency is stored before or
+    /// together with those that it causes.
     pub(super) fn store_outcomes(&mut self) {
-        // Half of a transaction each time: a wide pipeline must not take the writes that others need.
-        let ops = (self.config.settings.state.max_txn_ops / 2).max(1) as usize;
+        // Each write uses at most half of a transaction: a job with many dependents must not use up the
+        // writes that other work needs.
+        let max_ops = (self.config.settings.state.max_txn_ops / 2).max(1) as usize;
         let Some(leader) = &mut self.leader_state else {
             return;
         };
@@ -48,7 +50,7 @@
         }
         let mut txn = Txn::only_if(leader.leadership_condition());
         for (id, job) in self.registry.jobs_cancelled_by_dependency() {
-            if !txn.writes.is_empty() && txn.writes.len() + 1 + job.part_count as usize > ops {
+            if !txn.writes.is_empty() && txn.writes.len() + 1 + job.part_count as usize > max_ops {
                 break;
             }
             job.append_outcome(id, &JobRecord::Cancelled, &mut txn);
@@ -74,19 +76,20 @@
         lease: u64,
         result: Result<StateReply, StateError>,
     ) {
-        let Some(fate) = self.write_outcome(lease, result) else {
+        let Some(outcome) = self.write_outcome(lease, result) else {
             return;
         };
         if let Some(leader) = &mut self.leader_state {
             leader.outcomes.write_in_flight = false;
         }
-        // The records tell what became of it: stored, or cancelled by their users meanwhile.
-        if fate != WriteOutcome::Rejected {
+        // The read barrier brings the jobs' records, as written here or as cancelled by a user in the
+        // meantime.
+        if outcome != WriteOutcome::Rejected {
             self.request_read_barrier();
         }
     }
 
-    /// A job was accepted, released, done or cancelled.
+    /// Updates the cluster state after a job was accepted, released, done or cancelled.
     pub(super) fn on_job_changed(&mut self, id: JobId) {
         let Some(leader) = &mut self.leader_state else {
             return;
@@ -99,7 +102,8 @@
         match self.registry.get(id) {
             Some(RegisteredJob::Live(job)) => {
                 affected.extend(&job.spec.dependencies);
-                // It is enqueued once all that it depends on is done, and weighs nothing before.
+                // A job is enqueued once all its dependencies are done, and doesn't affect scheduling
+                // before that.
                 released = job.dependencies_left == 0 && !cluster.jobs_by_id.contains_key(&id);
             }
             Some(RegisteredJob::Ended(..)) => {
@@ -125,7 +129,7 @@
 
     /// Enqueues a job of which all dependencies are done.
     fn enqueue_released_job(&mut self, id: JobId) {
-        let (now, wall) = (self.now, self.wall_ms);
+        let (now, wall_ms) = (self.now, self.wall_ms);
         let Some(live) = self.registry.live_job(id) else {
             return;
         };
@@ -137,27 +141,27 @@
         };
         let times = (live.submitted_at_ms, live.released_at_ms);
         let Some(index) = cluster.add_released_job(&live.spec, times, now) else {
-            return tracing::error!(job = %id, "no such team");
+            return tracing::error!(job = %id, "a released job belongs to an unknown team");
         };
         if let Some(urgency) = leader.inherited_urgency.get(&id) {
             cluster.inherit_urgency(index, urgency, now);
         }
         let job = cluster.job(index);
         if job.kind == JobKind::Service {
-            let (need, tasks) = (job.requested, job.tasks.len());
+            let (requested, task_count) = (job.requested, job.tasks.len());
             leader.provisioning.autoscaler.record_service_arrival(
-                need,
-                tasks,
+                requested,
+                task_count,
                 live.submitted_at_ms,
             );
         }
         if !live.spec.dependencies.is_empty() {
-            let turn_ms = job.placement_deadline_ms.saturating_sub(wall);
-            tracing::info!(job = %id, priority = ?job.priority, turn_ms, "released");
+            let placement_due_in_ms = job.placement_deadline_ms.saturating_sub(wall_ms);
+            tracing::info!(job = %id, priority = ?job.priority, placement_due_in_ms, "released");
         }
     }
 
-    /// Lets the books follow what jobs are made of by those that need them.
+    /// Updates the urgency that jobs and their dependencies inherit, also in the cluster state.
     pub(super) fn propagate_urgency(&mut self, jobs: Vec<JobId>) {
         let Some(leader) = &mut self.leader_state else {
             return;
@@ -174,78 +178,84 @@
     }
 }
 
-/// Makes anew what jobs are made of by those that need them, and what follows for the jobs that they
-/// need in turn, up to where nothing changes. Not recursive: pipelines may be deep. The latest first,
-/// for a job is submitted after those that it awaits: so each is mostly looked at once. Returns how
-/// many were looked at.
+/// Recomputes the urgency that jobs inherit from their dependents, and continues with their own
+/// dependencies wherever it changes. Not recursive, because chains of dependencies may be long. Jobs
+/// submitted last are visited first: a job is submitted after its dependencies, so each is usually
+/// visited only once. Returns the number of visits.
 fn propagate_urgency(
-    directory: &JobRegistry,
-    pulls: &mut HashMap<JobId, InheritedUrgency>,
+    registry: &JobRegistry,
+    inherited: &mut HashMap<JobId, InheritedUrgency>,
     cluster: &mut ClusterState,
     jobs: Vec<JobId>,
     now: Millis,
 ) -> usize {
-    let live = |id: JobId| Some((directory.live_job(id)?.submitted_at_ms, id));
-    let mut open: BTreeSet<(u64, JobId)> = jobs.into_iter().filter_map(live).collect();
-    let mut looks = 0;
-    while let Some((_, id)) = open.pop_last() {
-        let Some(awaited) = directory.live_job(id) else {
+    let visit_key = |id: JobId| Some((registry.live_job(id)?.submitted_at_ms, id));
+    let mut pending: BTreeSet<(u64, JobId)> = jobs.into_iter().filter_map(visit_key).collect();
+    let mut visits = 0;
+    while let Some((_, id)) = pending.pop_last() {
+        let Some(job) = registry.live_job(id) else {
             continue;
         };
-        looks += 1;
-        let pulled = urgency_from_dependents(cluster, pulls, directory.dependents_of(id));
-        if pulls.get(&id) == pulled.as_ref() {
+        visits += 1;
+        let urgency = urgency_from_dependents(cluster, inherited, registry.dependents_of(id));
+        if inherited.get(&id) == urgency.as_ref() {
             continue;
         }
         if let Some(&index) = cluster.jobs_by_id.get(&id) {
-            let own = InheritedUrgency {
-                priority: awaited.spec.priority,
+            let own_urgency = InheritedUrgency {
+                priority: job.spec.priority,
                 finish_by_ms: Vec::new(),
             };
-            cluster.inherit_urgency(index, pulled.as_ref().unwrap_or(&own), now);
+            cluster.inherit_urgency(index, urgency.as_ref().unwrap_or(&own_urgency), now);
         }
-        match pulled {
-            Some(pull) => pulls.insert(id, pull),
-            None => pulls.remove(&id),
+        match urgency {
+            Some(urgency) => inherited.insert(id, urgency),
+            None => inherited.remove(&id),
         };
-        open.extend(awaited.spec.dependencies.iter().copied().filter_map(live));
+        pending.extend(job.spec.dependencies.iter().copied().filter_map(visit_key));
     }
-    looks
+    visits
 }
 
-/// What the jobs that need a job make of it, all of them together.
+/// The urgency that a job inherits from all its dependents; `None` if it has no dependents.
 fn urgency_from_dependents<'a>(
     cluster: &ClusterState,
-    pulls: &HashMap<JobId, InheritedUrgency>,
-    needed_by: impl Iterator<Item = (JobId, &'a LiveJob)>,
+    inherited: &HashMap<JobId, InheritedUrgency>,
+    dependents: impl Iterator<Item = (JobId, &'a LiveJob)>,
 ) -> Option<InheritedUrgency> {
-    let mut all: Option<InheritedUrgency> = None;
-    for (id, job) in needed_by {
-        let (spec, pull) = (&job.spec, pulls.get(&id));
+    let mut combined: Option<InheritedUrgency> = None;
+    for (id, job) in dependents {
+        let (spec, urgency) = (&job.spec, inherited.get(&id));
         let run_ms = stage_duration_ms(cluster, spec);
-        let own = cluster.completion_objectives_s(&spec.class, spec.deadline_s);
-        let own = own.into_iter().map(|due| job.submitted_at_ms + millis(due));
-        let later = pull.map_or(&[][..], |pull| &pull.finish_by_ms);
-        let ends = own.chain(later.iter().copied());
-        let all = all.get_or_insert_with(|| InheritedUrgency {
+        let own_s = cluster.completion_objectives_s(&spec.class, spec.deadline_s);
+        let own_ms = own_s
+            .into_iter()
+            .map(|due_s| job.submitted_at_ms + millis(due_s));
+        let inherited_ms = urgency.map_or(&[][..], |urgency| &urgency.finish_by_ms);
+        let finish_by_ms = own_ms.chain(inherited_ms.iter().copied());
+        let combined = combined.get_or_insert_with(|| InheritedUrgency {
             priority: spec.priority,
             finish_by_ms: Vec::new(),
         });
-        all.finish_by_ms
-            .extend(ends.map(|end| end.saturating_sub(run_ms)));
-        all.keep_earliest(MAX_DEADLINES_PER_JOB);
-        let urgent = pull.map_or(spec.priority, |pull| pull.priority.min(spec.priority));
-        all.priority = all.priority.min(urgent);
+        combined
+            .finish_by_ms
+            .extend(finish_by_ms.map(|finish_ms| finish_ms.saturating_sub(run_ms)));
+        combined.keep_earliest(MAX_DEADLINES_PER_JOB);
+        let priority = urgency.map_or(spec.priority, |urgency| urgency.priority.min(spec.priority));
+        combined.priority = combined.priority.min(priority);
     }
-    all
+    combined
 }
 
-/// How long a stage takes once those before it are done: its image where it is fetched slowest, and
-/// its longest task.
+/// How long a stage takes once its dependencies are done: the fetch of its image on the machine type
+/// with the slowest fetch rate, and its longest task.
 fn stage_duration_ms(cluster: &ClusterState, spec: &Submission) -> Millis {
-    let rates = cluster.machine_types.iter().map(|kind| kind.fetch_gb_per_s);
-    let slowest = rates.fold(f64::INFINITY, f64::min).max(0.01);
-    STAGE_OVERHEAD_MS + millis(spec.estimate_s * ESTIMATE_MARGIN + spec.image_gb / slowest)
+    let rates = cluster
+        .machine_types
+        .iter()
+        .map(|machine_type| machine_type.fetch_gb_per_s);
+    let slowest_gb_per_s = rates.fold(f64::INFINITY, f64::min).max(0.01);
+    STAGE_OVERHEAD_MS + millis(spec.estimate_s * ESTIMATE_MARGIN + spec.image_gb / slowest_gb_per_s)
 }
 
 #[cfg(test)]
--- a/src/coordination/job_graph/tests.rs
+++ b/src/coordination/job_graph/tests.rs
@@ -14,43 +14,50 @@
     ClusterState::new(&settings.expect("valid settings"), &[])
 }
 
-/// A stage of 10 s with an image of none, so 14.5 s in all.
-fn submit(directory: &mut JobRegistry, id: u64, awaits: &[u64], due_s: Option<f64>) -> Vec<JobId> {
-    let last = due_s.is_some();
+/// Submits a job with tasks of 10 s and no image to fetch, so a stage of 14.5 s in all. Returns its
+/// dependencies.
+fn submit(
+    registry: &mut JobRegistry,
+    id: u64,
+    dependencies: &[u64],
+    due_s: Option<f64>,
+) -> Vec<JobId> {
+    let has_deadline = due_s.is_some();
     let spec: Submission = serde_json::from_value(json!({
-        "id": JobId(id), "lane": if last { "last" } else { "any" }, "crew": "red",
-        "shape": "array", "urgency": if last { "high" } else { "best_effort" }, "pieces": 1,
+        "id": JobId(id), "lane": if has_deadline { "last" } else { "any" }, "crew": "red",
+        "shape": "array", "urgency": if has_deadline { "high" } else { "best_effort" }, "pieces": 1,
         "cpus": 2.0, "gpus": 0.0, "ram_gb": 1.0, "together": false, "apart": false,
         "loaners": true, "kit": "img", "size_gb": 0.0, "guess_s": 10.0, "bookmark_s": 0.0,
         "stash_s": 0.0, "due_s": due_s,
-        "awaits": awaits.iter().map(|id| JobId(*id)).collect::<Vec<_>>(),
+        "awaits": dependencies.iter().map(|id| JobId(*id)).collect::<Vec<_>>(),
     }))
     .expect("a submission");
-    let awaits = spec.dependencies.clone();
+    let dependencies = spec.dependencies.clone();
     let spec = Box::new(spec);
-    directory.put_job_record(JobId(id), JobRecord::Live { at_ms: id, spec }, 1);
-    awaits
+    registry.put_job_record(JobId(id), JobRecord::Live { at_ms: id, spec }, 1);
+    dependencies
 }
 
-/// The last job of a pipeline tells by when each stage before it has to be done, less what comes
-/// between; once it is cancelled, nothing is left of that.
+/// The deadline of a pipeline's last job, less the duration of the stages in between, is the time by
+/// which each earlier stage has to finish. Once the last job is cancelled, no inherited time is left.
 #[test]
 fn urgent_job_raises_priority_of_all_its_dependencies() {
-    let (mut directory, mut cluster) = (JobRegistry::default(), cluster());
-    let mut pulls = HashMap::new();
-    let mut go = |directory: &JobRegistry, jobs| {
-        propagate_urgency(directory, &mut pulls, &mut cluster, jobs, 0)
+    let (mut registry, mut cluster) = (JobRegistry::default(), cluster());
+    let mut inherited = HashMap::new();
+    let mut propagate = |registry: &JobRegistry, jobs| {
+        propagate_urgency(registry, &mut inherited, &mut cluster, jobs, 0)
     };
-    submit(&mut directory, 0, &[], None);
-    for (id, awaits) in [(1, vec![0]), (2, vec![0]), (3, vec![1])] {
-        let jobs = submit(&mut directory, id, &awaits, None);
-        go(&directory, jobs);
+    submit(&mut registry, 0, &[], None);
+    for (id, dependencies) in [(1, vec![0]), (2, vec![0]), (3, vec![1])] {
+        let jobs = submit(&mut registry, id, &dependencies, None);
+        propagate(&registry, jobs);
     }
-    let jobs = submit(&mut directory, 4, &[2, 3], Some(100.0));
-    go(&directory, jobs);
-    let jobs = submit(&mut directory, 5, &[2], Some(60.0));
-    go(&directory, jobs);
-    let pull = |at: &HashMap<JobId, InheritedUrgency>, id| at.get(&JobId(id)).cloned();
+    let jobs = submit(&mut registry, 4, &[2, 3], Some(100.0));
+    propagate(&registry, jobs);
+    let jobs = submit(&mut registry, 5, &[2], Some(60.0));
+    propagate(&registry, jobs);
+    let urgency_of =
+        |inherited: &HashMap<JobId, InheritedUrgency>, id| inherited.get(&JobId(id)).cloned();
     let high = |finish_ms: &[u64]| {
         let finish_ms = finish_ms.to_vec();
         Some(InheritedUrgency {
@@ -58,18 +65,24 @@
             finish_by_ms: finish_ms,
         })
     };
-    assert_eq!(pull(&pulls, 3), high(&[85_504, 135_504]));
-    assert_eq!(pull(&pulls, 1), high(&[71_004, 121_004]));
-    assert_eq!(pull(&pulls, 2), high(&[45_505, 75_505, 85_504, 135_504]));
-    assert_eq!(pull(&pulls, 0), high(&[31_005, 56_504, 61_005, 71_004]));
-    for (id, over) in [(5, vec![2]), (4, vec![2, 3])] {
-        directory.put_job_record(JobId(id), JobRecord::Cancelled, 9);
-        let over = over.into_iter().map(JobId).collect();
+    assert_eq!(urgency_of(&inherited, 3), high(&[85_504, 135_504]));
+    assert_eq!(urgency_of(&inherited, 1), high(&[71_004, 121_004]));
+    assert_eq!(
+        urgency_of(&inherited, 2),
+        high(&[45_505, 75_505, 85_504, 135_504])
+    );
+    assert_eq!(
+        urgency_of(&inherited, 0),
+        high(&[31_005, 56_504, 61_005, 71_004])
+    );
+    for (id, dependencies) in [(5, vec![2]), (4, vec![2, 3])] {
+        registry.put_job_record(JobId(id), JobRecord::Cancelled, 9);
+        let dependencies = dependencies.into_iter().map(JobId).collect();
         crate::coordination::job_graph::propagate_urgency(
-            &directory,
-            &mut pulls,
+            &registry,
+            &mut inherited,
             &mut cluster,
-            over,
+            dependencies,
             0,
         );
     }
@@ -77,28 +90,35 @@
         priority: Priority::Low,
         finish_by_ms: Vec::new(),
     });
-    assert_eq!((pull(&pulls, 0), pull(&pulls, 1)), (low.clone(), low));
-    assert_eq!((pull(&pulls, 2), pull(&pulls, 3)), (None, None));
+    assert_eq!(
+        (urgency_of(&inherited, 0), urgency_of(&inherited, 1)),
+        (low.clone(), low)
+    );
+    assert_eq!(
+        (urgency_of(&inherited, 2), urgency_of(&inherited, 3)),
+        (None, None)
+    );
 }
 
-/// What a long chain and a wide fan cost: a look at each job for one that comes last.
+/// A job that is submitted last, after a long chain or with many dependencies, causes one visit to each
+/// other job.
 #[test]
 fn urgency_propagation_visits_each_job_of_deep_and_wide_graphs_once() {
     const JOBS: u64 = 5000;
-    let (mut directory, mut cluster) = (JobRegistry::default(), cluster());
-    let mut pulls = HashMap::new();
-    submit(&mut directory, 0, &[], None);
-    let mut looks = 0;
+    let (mut registry, mut cluster) = (JobRegistry::default(), cluster());
+    let mut inherited = HashMap::new();
+    submit(&mut registry, 0, &[], None);
+    let mut visits = 0;
     for id in 1..JOBS {
-        let jobs = submit(&mut directory, id, &[id - 1], None);
-        looks += propagate_urgency(&directory, &mut pulls, &mut cluster, jobs, 0);
+        let jobs = submit(&mut registry, id, &[id - 1], None);
+        visits += propagate_urgency(&registry, &mut inherited, &mut cluster, jobs, 0);
     }
-    assert!(looks < 3 * JOBS as usize, "{looks} looks");
-    let jobs = submit(&mut directory, JOBS, &[JOBS - 1], Some(1e6));
-    let looks = propagate_urgency(&directory, &mut pulls, &mut cluster, jobs, 0);
-    assert_eq!(looks, JOBS as usize);
-    let all: Vec<u64> = (0..JOBS).collect();
-    let jobs = submit(&mut directory, JOBS + 1, &all, Some(100.0));
-    let looks = propagate_urgency(&directory, &mut pulls, &mut cluster, jobs, 0);
-    assert_eq!(looks, JOBS as usize);
+    assert!(visits < 3 * JOBS as usize, "{visits} visits");
+    let jobs = submit(&mut registry, JOBS, &[JOBS - 1], Some(1e6));
+    let visits = propagate_urgency(&registry, &mut inherited, &mut cluster, jobs, 0);
+    assert_eq!(visits, JOBS as usize);
+    let all_jobs: Vec<u64> = (0..JOBS).collect();
+    let jobs = submit(&mut registry, JOBS + 1, &all_jobs, Some(100.0));
+    let visits = propagate_urgency(&registry, &mut inherited, &mut cluster, jobs, 0);
+    assert_eq!(visits, JOBS as usize);
 }
