--- a/src/coordination/workers/commands.rs
+++ b/src/coordination/workers/commands.rs
@@ -1,4 +1,4 @@
-//! Commands that are sent to workers directly, as they can't wait for the next heartbeat.
+//! Commands that the leader sends to workers directly, without waiting for the next heartbeat.
 
 use super::{heartbeat::ReportOrigin, reconciliation::find_attempt};
 use crate::{
@@ -15,15 +15,17 @@
 /// How often all machines are checked for commands that are due.
 const ORDER_SWEEP_INTERVAL_MS: Millis = 500;
 
-/// Under which leadership commands are sent, and whether starts may be among them.
+/// The leadership under which commands are sent, and whether starts may be among them.
 #[derive(Clone, Copy)]
-struct SendingRights {
+struct CommandContext {
     lease: u64,
     term: u64,
     may_start: bool,
 }
 
-/// Commands that are due on one machine, each with its attempt's position there.
+/// Commands to send to one machine, each with the position of its attempt in [`Machine::attempts`].
+///
+/// [`Machine::attempts`]: crate::cluster::Machine::attempts
 #[derive(Default)]
 struct DueCommands {
     stops: Vec<(usize, Order)>,
@@ -31,7 +33,7 @@
 }
 
 impl Node {
-    /// Handles a worker's answer to commands, or that there is none.
+    /// Handles a worker's response to commands or to a probe; `None`: it did not respond in time.
     pub(in crate::coordination) fn on_worker_response(
         &mut self,
         tag: WorkerTag,
@@ -56,11 +58,12 @@
                     self.reconcile_report(&report, ReportOrigin::CommandResponse);
                 }
             }
-            None => tracing::debug!(machine = tag.machine, "no answer from worker"),
+            None => tracing::debug!(machine = tag.machine, "no response from worker"),
         }
     }
 
-    /// Sends what can't wait for the next heartbeat.
+    /// Sends pending starts and stops to the machines that may need commands; every
+    /// [`ORDER_SWEEP_INTERVAL_MS`] it checks all machines.
     pub(in crate::coordination) fn send_orders(&mut self) {
         let may_start = self.can_start_tasks();
         let now = self.now;
@@ -74,24 +77,24 @@
         else {
             return;
         };
-        let rights = SendingRights {
+        let context = CommandContext {
             lease: *lease,
             term: *term,
             may_start,
         };
         let mut machines = std::mem::take(&mut cluster.machines_needing_commands);
-        // A new term, or the right to start again, concerns all of them.
+        // After a change of term, or once tasks may be started again, any machine may need commands.
         if *all_orders_checked_at + ORDER_SWEEP_INTERVAL_MS <= now {
             *all_orders_checked_at = now;
             machines.extend((0..cluster.machines.len() as u32).map(MachineIndex));
         }
         for index in machines {
             self.effects
-                .extend(direct_commands(cluster, index, rights, now));
+                .extend(direct_commands(cluster, index, context, now));
         }
     }
 
-    /// Asks a machine for its report, without giving commands.
+    /// Requests a report from a machine without sending it commands.
     pub(in crate::coordination) fn probe_machine(&mut self, name: String, addr: String) {
         let Some(leader) = &self.leader_state else {
             return;
@@ -111,7 +114,7 @@
     }
 }
 
-/// Takes in whether a worker has answered commands.
+/// Records whether a worker responded to commands.
 fn record_command_outcome(
     cluster: &mut ClusterState,
     index: MachineIndex,
@@ -122,8 +125,9 @@
     if tag.has_orders {
         machine.command_in_flight = false;
     }
-    // Machines whose reports arrived and that heard nothing were given new tasks as soon as their
-    // leases had expired and they seemed idle: each task waited for another lease there.
+    // A machine whose reports arrive may still receive no commands. Without `unconfirmed_token` it got
+    // new tasks as soon as its lease had expired and it seemed idle, and each of these tasks waited
+    // there until another lease had expired.
     if is_answered {
         machine.unconfirmed_token = 0;
     } else if !tag.starts.is_empty() {
@@ -131,25 +135,26 @@
         cluster.scheduling_needed = true;
     }
     cluster.machines_needing_commands.insert(index);
-    for (task, attempt) in &tag.starts {
-        let Some(position) = find_attempt(cluster, index, *task, *attempt) else {
+    for (task, attempt_number) in &tag.starts {
+        let Some(position) = find_attempt(cluster, index, *task, *attempt_number) else {
             continue;
         };
-        let entry = &mut cluster.machines[index.as_usize()].attempts[position];
-        entry.direct_start_in_flight = false;
+        let attempt = &mut cluster.machines[index.as_usize()].attempts[position];
+        attempt.direct_start_in_flight = false;
         if !is_answered {
-            // It may be carried out minutes later, as long as the worker has not seen a
-            // higher token or begun another incarnation.
-            entry.fencing_token = entry.fencing_token.max(tag.token + 1);
+            // The start may still be executed minutes later, unless the worker has seen a higher
+            // token or begun another incarnation by then.
+            attempt.fencing_token = attempt.fencing_token.max(tag.token + 1);
         }
     }
 }
 
-/// The commands to send to a machine now, marked as sent.
+/// Builds the call with all commands that are due on a machine, and marks them as sent. `None`: there is
+/// nothing to send, or the machine can't be sent commands now.
 fn direct_commands(
     cluster: &mut ClusterState,
     index: MachineIndex,
-    rights: SendingRights,
+    context: CommandContext,
     now: Millis,
 ) -> Option<Effect> {
     let machine = cluster.machine(index);
@@ -163,23 +168,23 @@
         return None;
     }
     let addr = machine.addr.as_ref()?;
-    let due = due_commands(cluster, index, rights.may_start);
-    // Commands without any make the worker see the term, and what an earlier one may have sent is
-    // settled at once, as is whether the machine is there and hears.
-    let needs_term = machine.token < rights.term
+    let due = due_commands(cluster, index, context.may_start);
+    // A call with an empty list of commands makes the worker see this term. Once it has responded, the
+    // machine is known to receive commands, and it executes no more starts of earlier terms.
+    let needs_term_update = machine.token < context.term
         && (is_unconfirmed
             || machine
                 .attempts
                 .iter()
                 .any(|attempt| attempt.fencing_token > machine.token));
-    if due.stops.is_empty() && due.starts.is_empty() && !needs_term {
+    if due.stops.is_empty() && due.starts.is_empty() && !needs_term_update {
         return None;
     }
     let addr = addr.clone();
     let tag = WorkerTag {
-        lease: rights.lease,
+        lease: context.lease,
         machine: machine.name.clone(),
-        token: rights.term,
+        token: context.term,
         starts: due
             .starts
             .iter()
@@ -192,23 +197,23 @@
         tag,
         addr,
         orders: Some(DirectOrders {
-            token: rights.term,
+            token: context.term,
             incarnation,
-            orders: mark_sent(cluster, index, due, rights.term),
+            orders: mark_sent(cluster, index, due, context.term),
         }),
         timeout_ms: WORKER_CALL_TIMEOUT_MS,
     })
 }
 
-/// The starts and stops that were not sent to a machine yet.
+/// The starts and stops that have not been sent to a machine yet.
 fn due_commands(cluster: &ClusterState, index: MachineIndex, may_start: bool) -> DueCommands {
     let mut due = DueCommands::default();
     for (position, attempt) in cluster.machine(index).attempts.iter().enumerate() {
         let task = cluster.job(attempt.job).task_id(attempt.task);
-        let number = u64::from(attempt.attempt);
+        let attempt_number = u64::from(attempt.attempt);
         if attempt.phase == Phase::Placed && !attempt.start_sent && may_start {
             if cluster.is_durable(attempt.job, attempt.task) {
-                due.starts.push((position, task, number));
+                due.starts.push((position, task, attempt_number));
             }
         } else if let Some(grace_s) = attempt.stop_grace_s
             && !attempt.stop_sent
@@ -217,7 +222,7 @@
         {
             let stop = Order::Stop {
                 task,
-                attempt: number,
+                attempt: attempt_number,
                 grace_s,
             };
             due.stops.push((position, stop));
@@ -252,10 +257,10 @@
 
 /// Removes attempts that are to stop and whose start was never sent: they need no command.
 fn drop_unsent_attempts(cluster: &mut ClusterState, index: MachineIndex, now: Millis) {
-    for at in (0..cluster.machine(index).attempts.len()).rev() {
-        let attempt = &cluster.machine(index).attempts[at];
+    for position in (0..cluster.machine(index).attempts.len()).rev() {
+        let attempt = &cluster.machine(index).attempts[position];
         if attempt.stop_grace_s.is_some() && !attempt.start_sent {
-            cluster.remove_attempt(index, at, now);
+            cluster.remove_attempt(index, position, now);
         }
     }
 }
--- a/src/coordination/workers/failure_detection.rs
+++ b/src/coordination/workers/failure_detection.rs
@@ -1,4 +1,5 @@
-//! Failure detection: a silent machine counts as lost once its lease has surely expired everywhere.
+//! Failure detection: a machine that sends no heartbeats counts as lost once its lease has expired and no
+//! other node can have renewed it.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,76 +11,79 @@
 };
 
 const RENEWER_INQUIRY_INTERVAL_MS: Millis = 1000;
-/// So long before a silent machine's lease expires the standby renewers are asked about it. Round trips
-/// of the mesh and of a read barrier fit into this and the next, however often workers report.
+/// How long before an unresponsive machine's lease expires the other lease renewers are first asked about
+/// it. Round trips to the members and of a read barrier fit into this time and into
+/// [`REVOCATION_LEAD_MS`], whatever the report interval of the workers is.
 const INQUIRY_LEAD_MS: Millis = 3500;
-/// So long before, those that have not renewed it are asked for their promise.
-const PROMISE_LEAD_MS: Millis = 1200;
-/// A promise older than this is asked for again.
+/// How long before the lease expires renewers are asked to revoke it, if none of them seems to renew it.
+const REVOCATION_LEAD_MS: Millis = 1200;
+/// A reply older than this no longer counts, and the member is asked again.
 pub(in crate::coordination) const REPLY_VALIDITY_MS: Millis = 5000;
-/// Answers older than this are dropped.
+/// Replies older than this are dropped.
 const REPLY_RETENTION_MS: Millis = 60_000;
-/// The part of a duration, as a divisor, by which two nodes may measure it differently.
+/// Two nodes may measure a duration differently by up to one part in this many.
 const CLOCK_DRIFT_DIVISOR: u64 = 500;
-/// How often the term is raised only for workers to forget attempts whose starts could come once more.
-/// Each worker reports once more for it.
+/// How often the term is raised for no other reason than to let workers forget ended attempts whose starts
+/// could be delivered again. Each time costs one more report from every worker.
 const FORGET_FENCE_INTERVAL_MS: Millis = 30_000;
 const MACHINE_CHECK_INTERVAL_MS: Millis = 200;
-/// So long before a machine is reclaimed, in seconds, services on it are stopped, and tasks begin to
-/// save (besides the time that takes).
+/// How long before a machine is reclaimed services on it are stopped.
 const SERVICE_STOP_LEAD_S: f64 = 3.0;
+/// How long before a machine is reclaimed tasks on it begin to save, besides the time that saving takes.
 const SAVE_LEAD_S: f64 = 4.0;
 
-/// A member's answer about a silent machine.
+/// A member's reply about the lease of an unresponsive machine.
 pub(super) struct RevocationReply {
     /// When the request was sent.
     pub(super) sent_at: Millis,
-    /// When the lease has expired, as far as that member may have renewed it.
+    /// When the last lease that this member may have given the machine expires.
     pub(super) lease_ends_at: Millis,
-    /// It has promised not to renew the machine, if it has not renewed it lately.
+    /// The request was a revocation: unless the member renewed the lease recently, it renews it no more.
     pub(super) is_binding: bool,
 }
 
-/// What the leader knows of the standby renewers and of their last renewals of silent machines.
+/// The leader's view of the other lease renewers: when their keys were written or deleted, and what they
+/// replied about unresponsive machines.
 #[derive(Default)]
 pub struct RenewerRevocations {
-    /// Renewers whose keys went since the takeover, and when that was seen.
+    /// When the keys of former renewers were seen to be deleted, since the takeover.
     lost_at: HashMap<String, Millis>,
-    /// When each renewer's key was last seen to be written anew.
+    /// When each renewer's key was last seen to be written again.
     registered_at: HashMap<String, Millis>,
-    /// By member and machine.
+    /// The latest reply of each member about each machine.
     replies: HashMap<(String, String), RevocationReply>,
     /// When the renewers were last asked.
     asked_at: Millis,
 }
 
 impl RenewerRevocations {
-    /// A renewer's key was written anew: a process that has begun since under the same label knows
-    /// nothing of earlier promises, and has to be asked again.
+    /// Handles a renewer's key that was written again: a new process under the same label does not know
+    /// the revocations that its predecessor accepted, and has to be asked again.
     pub(in crate::coordination) fn on_registered(&mut self, label: String, now: Millis) {
         self.replies.retain(|(member, _), _| *member != label);
         self.registered_at.insert(label, now);
     }
 
-    /// A renewer's key is gone.
+    /// Handles a renewer's key that was deleted.
     pub(in crate::coordination) fn on_gone(&mut self, label: String, now: Millis) {
         self.lost_at.insert(label, now);
     }
 
-    /// How many answers are known.
+    /// The number of stored replies.
     #[cfg(test)]
     pub(in crate::coordination) fn reply_count(&self) -> usize {
         self.replies.len()
     }
 }
 
-/// What counts for the leases of all machines.
+/// The inputs of the lease check that are the same for all machines.
 struct LeaseCheck<'a> {
-    /// The other standby renewers.
+    /// The other lease renewers, with the versions of their keys.
     renewers: &'a BTreeMap<String, u64>,
     now: Millis,
     lease_ms: Millis,
-    /// Keys that a read barrier sent after a lease's end does not show were not there while it lasted.
+    /// When the last read barrier that succeeded was sent. If that was after a lease's end, the registry has
+    /// shown every renewer's key that existed while the lease lasted.
     registry_confirmed_at: Millis,
 }
 
@@ -100,7 +104,8 @@
 }
 
 impl Node {
-    /// Notices leases that have expired, reclaim notices that come due, and starts in doubt.
+    /// Checks all machines that are up: marks those as lost whose leases have expired, stops tasks on those
+    /// that are about to be reclaimed, and requests a higher term if a start may still be executed late.
     pub(in crate::coordination) fn check_machines(&mut self) {
         let now = self.now;
         match &mut self.leader_state {
@@ -128,27 +133,29 @@
         };
         let last_fence_at = leader.fence.raised_at.max(leader.takeover_at);
         let is_forget_due = last_fence_at + FORGET_FENCE_INTERVAL_MS <= now;
-        for number in 0..cluster.machines.len() {
-            let index = MachineIndex(number as u32);
-            let machine = &mut cluster.machines[number];
+        for position in 0..cluster.machines.len() {
+            let index = MachineIndex(position as u32);
+            let machine = &mut cluster.machines[position];
             if machine.state != MachineState::Up {
                 continue;
             }
-            let heard_until = machine
+            let responsive_until = machine
                 .last_heartbeat_at
                 .map(|at| at + heartbeat_timeout_ms);
-            machine.unresponsive = !just_resumed && heard_until.is_none_or(|until| until < now);
+            machine.unresponsive =
+                !just_resumed && responsive_until.is_none_or(|until| until < now);
             if lease_check.is_expired(machine, &leader.revocations) {
                 tracing::warn!(
                     machine = machine.name,
                     tasks = machine.attempts.len(),
-                    "silent: its lease has run out"
+                    "machine lost: its lease has expired"
                 );
                 mark_lost(cluster, index, now);
                 continue;
             }
-            let is_heard = heard_until.is_some_and(|until| until > now);
-            leader.fence.requested |= is_heard && needs_fence(machine, leader.term, is_forget_due);
+            let is_responsive = responsive_until.is_some_and(|until| until > now);
+            leader.fence.requested |=
+                is_responsive && needs_fence(machine, leader.term, is_forget_due);
             if let Some(reclaim_at) = machine.reclaim_at {
                 drain_for_reclaim(cluster, index, reclaim_at, now);
             }
@@ -156,9 +163,9 @@
         self.check_reachability();
     }
 
-    /// Asks the other standby renewers about machines that are silent, in time before their leases
-    /// expire. A promise is asked for only when nobody seems to renew the machine: bound too early, a
-    /// renewer refused workers that had lost the leader and found it only after trying a dead node.
+    /// Asks the other lease renewers about unresponsive machines shortly before their leases expire. A lease
+    /// is revoked only when no renewer seems to renew it: after an earlier revocation, a renewer rejected
+    /// workers that had lost the leader and reached that renewer only after trying a dead node.
     fn ask_lease_renewers(&mut self, labels: Vec<String>) {
         let now = self.now;
         let Some(leader) = &mut self.leader_state else {
@@ -177,7 +184,7 @@
                 .get(&(label.clone(), name.clone()))
                 .is_some_and(|reply| {
                     reply.sent_at + REPLY_VALIDITY_MS > now
-                        && reply.lease_ends_at < now + PROMISE_LEAD_MS
+                        && reply.lease_ends_at < now + REVOCATION_LEAD_MS
                 })
         };
         let machines: Vec<SilentMachine> = cluster
@@ -187,7 +194,7 @@
             .map(|m| SilentMachine {
                 name: m.name.clone(),
                 incarnation: m.incarnation,
-                is_inquiry: m.lease_until > now + PROMISE_LEAD_MS
+                is_inquiry: m.lease_until > now + REVOCATION_LEAD_MS
                     || !labels.iter().all(|label| seems_unrenewed(label, &m.name)),
             })
             .collect();
@@ -211,7 +218,7 @@
         }
     }
 
-    /// Handles a member's answer about silent machines.
+    /// Handles a member's reply about unresponsive machines.
     pub(in crate::coordination) fn on_revocation_reply(
         &mut self,
         lease: u64,
@@ -230,8 +237,8 @@
         leader
             .reachability
             .record_member_report(label.clone(), reply.workers_heard, now);
-        // The request was sent before that node's key was written anew: the answer may be that of a
-        // process which has ended since, and binds nobody.
+        // The request was sent before that member's key was written again: the reply may come from a
+        // process that has ended since, and does not bind its successor.
         let revocations = &mut leader.revocations;
         if revocations
             .registered_at
@@ -241,16 +248,16 @@
             return;
         }
         for renewal in reply.renewals {
-            // Its clock may run slower than this node's.
+            // The member's clock may run faster than this node's: the age is reduced by the possible drift.
             let age_ms = renewal.age_ms - renewal.age_ms / CLOCK_DRIFT_DIVISOR;
-            let known = RevocationReply {
+            let stored_reply = RevocationReply {
                 sent_at,
                 lease_ends_at: (now + lease_ms).saturating_sub(age_ms),
                 is_binding: !renewal.is_inquiry,
             };
             revocations
                 .replies
-                .insert((label.clone(), renewal.machine), known);
+                .insert((label.clone(), renewal.machine), stored_reply);
         }
         revocations
             .replies
@@ -258,10 +265,10 @@
     }
 }
 
-/// Whether a machine may carry out a start late, or (`is_forget_due`) keeps attempts only because their
-/// starts could come once more.
+/// Whether the term has to be raised for a machine: it may still execute a start that got no response, or
+/// (if `is_forget_due`) it keeps ended attempts only because their starts could be delivered again.
 fn needs_fence(machine: &Machine, term: u64, is_forget_due: bool) -> bool {
-    let is_kept = |attempt: &Attempt| {
+    let is_kept_by_worker = |attempt: &Attempt| {
         attempt.phase == Phase::Ended && attempt.reconciled && attempt.direct_start_term >= term
     };
     machine.unconfirmed_token > term
@@ -269,11 +276,11 @@
             .attempts
             .iter()
             .any(|attempt| attempt.fencing_token > term)
-        || (is_forget_due && machine.attempts.iter().any(is_kept))
+        || (is_forget_due && machine.attempts.iter().any(is_kept_by_worker))
 }
 
-/// Whether no other node can have renewed a machine's lease within the time it lasts. `renewers`: the
-/// other standby renewers; `lost_at`: when the keys of former ones went.
+/// Whether no other node can have renewed a machine's lease such that it is still valid. `renewers`: the
+/// other lease renewers; `lost_at`: when the keys of former renewers were seen to be deleted.
 pub(super) fn is_unrenewed_everywhere(
     renewers: &BTreeMap<String, u64>,
     lost_at: &HashMap<String, Millis>,
@@ -282,39 +289,41 @@
     now: Millis,
     lease_ms: Millis,
 ) -> bool {
-    let gone = lost_at.values().all(|at| at + lease_ms < now);
-    gone && renewers.keys().all(|label| {
-        replies
-            .get(&(label.clone(), machine.to_owned()))
-            .is_some_and(|reply| {
-                reply.is_binding
-                    && reply.sent_at + REPLY_VALIDITY_MS > now
-                    && reply.lease_ends_at < now
-            })
-    })
+    let former_leases_expired = lost_at.values().all(|at| at + lease_ms < now);
+    former_leases_expired
+        && renewers.keys().all(|label| {
+            replies
+                .get(&(label.clone(), machine.to_owned()))
+                .is_some_and(|reply| {
+                    reply.is_binding
+                        && reply.sent_at + REPLY_VALIDITY_MS > now
+                        && reply.lease_ends_at < now
+                })
+        })
 }
 
-/// Marks a machine as lost: every task on it is surely gone.
+/// Marks a machine as lost and removes all its attempts. The caller has made sure that none of its tasks
+/// can still run.
 pub(in crate::coordination) fn mark_lost(
     cluster: &mut ClusterState,
     index: MachineIndex,
     now: Millis,
 ) {
-    for at in (0..cluster.machine(index).attempts.len()).rev() {
-        cluster.remove_attempt(index, at, now);
+    for position in (0..cluster.machine(index).attempts.len()).rev() {
+        cluster.remove_attempt(index, position, now);
     }
     let machine = &mut cluster.machines[index.as_usize()];
     machine.state = MachineState::Lost;
     machine.idle_since = now;
     machine.command_in_flight = false;
-    // Reports of the incarnation that has ended may still arrive.
+    // Late reports of the incarnation that has ended are ignored.
     machine.incarnation += 1;
     machine.seq = 0;
     cluster.scheduling_needed = true;
 }
 
-/// Moves tasks off a machine that will be taken: those that can save do so as late as is safe,
-/// those that can't finish in time stop at once.
+/// Stops the tasks on a machine that the cloud will reclaim. Services stop shortly before; tasks with
+/// checkpoints save as late as is safe; other tasks that can't finish in time stop immediately.
 fn drain_for_reclaim(
     cluster: &mut ClusterState,
     index: MachineIndex,
@@ -322,24 +331,24 @@
     now: Millis,
 ) {
     let left_s = reclaim_at.saturating_sub(now) as f64 / 1000.0;
-    for at in 0..cluster.machine(index).attempts.len() {
-        let attempt = &cluster.machine(index).attempts[at];
+    for position in 0..cluster.machine(index).attempts.len() {
+        let attempt = &cluster.machine(index).attempts[position];
         if attempt.phase == Phase::Ended || attempt.stop_grace_s.is_some() {
             continue;
         }
         let job = cluster.job(attempt.job);
-        let ran = attempt
+        let ran_s = attempt
             .running_since
             .map_or(0.0, |since| now.saturating_sub(since) as f64 / 1000.0);
-        let stop = if job.kind == JobKind::Service {
+        let stop_grace_s = if job.kind == JobKind::Service {
             (left_s < SERVICE_STOP_LEAD_S).then_some(0.0)
         } else if job.checkpoint_s > 0.0 {
             (left_s < job.save_s + SAVE_LEAD_S).then_some(job.save_s)
         } else {
-            (job.estimate_s - ran > left_s).then_some(0.0)
+            (job.estimate_s - ran_s > left_s).then_some(0.0)
         };
-        if let Some(grace_s) = stop {
-            cluster.request_stop(index, at, grace_s);
+        if let Some(grace_s) = stop_grace_s {
+            cluster.request_stop(index, position, grace_s);
         }
     }
 }
--- a/src/coordination/workers/heartbeat.rs
+++ b/src/coordination/workers/heartbeat.rs
@@ -1,4 +1,5 @@
-//! Heartbeats: a worker's report is taken in and answered with the commands that it shows to be due.
+//! Heartbeats: a worker's report is applied to the cluster state and answered with the commands that the
+//! worker has not executed yet.
 
 use super::{
     drain_straggler,
@@ -13,12 +14,12 @@
     time::{Millis, millis},
 };
 
-/// Keeps the answer to a heartbeat within its limit.
+/// Keeps the response to a heartbeat within its size limit.
 const MAX_ORDERS_PER_RESPONSE: usize = 400;
-/// A reclaim notice that a worker reports counts up to this, in seconds.
+/// A longer reclaim notice in a worker's report is shortened to this, in seconds.
 const MAX_RECLAIM_NOTICE_S: f64 = 3600.0;
 
-/// How a report came to the leader.
+/// How a report reached the leader.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReportOrigin {
     /// As a heartbeat, which is answered with commands.
@@ -28,7 +29,7 @@
 }
 
 impl Node {
-    /// Answers a heartbeat with commands, or has another node renew the worker's lease.
+    /// Handles a heartbeat: the leader answers it with commands, another node handles it as lease renewer.
     pub(in crate::coordination) fn handle_heartbeat(&mut self, id: RequestId, report: Report) {
         if self.leader_state.is_none() {
             return self.handle_heartbeat_as_renewer(id, &report);
@@ -47,8 +48,8 @@
         self.respond(id, response);
     }
 
-    /// Takes a report in. For a heartbeat, returns the commands to answer with, or `None` where it
-    /// must not be answered with 200.
+    /// Applies a report to the cluster state. For a heartbeat, returns the commands to answer with, or
+    /// `None` if it must not be answered with 200.
     pub(super) fn reconcile_report(
         &mut self,
         report: &Report,
@@ -60,16 +61,17 @@
         let is_heartbeat = origin == ReportOrigin::Heartbeat;
         let leader = self.leader_state.as_ref()?;
         if report.token > leader.term {
-            // There is a later leader.
+            // There is a newer leader.
             self.request_read_barrier();
             return None;
         }
         let (first_term, term) = (leader.first_term, leader.term);
         if leader.cluster.is_none() || self.read_barrier.confirmed_at.is_none() {
-            // The cluster state is being rebuilt: the lease is renewed, the report comes again. A machine
-            // renewed now is covered by the lease that a takeover grants all machines. While the state
-            // service is down that may take until it must not be renewed any more: tasks that had been
-            // cancelled long before the takeover ran on until then, and a lease longer.
+            // The cluster state is still being rebuilt: the lease is renewed, and the worker will report
+            // again. A takeover assumes a full lease for every machine, which covers one renewed now.
+            // While the state service is down, the rebuild may last until this node may renew no lease any
+            // more. Without the stop commands, tasks that had been cancelled long before the takeover ran
+            // until then and for one lease more.
             return is_heartbeat.then(|| Orders {
                 token: term,
                 orders: self.stop_orders_for_cancelled(report),
@@ -82,8 +84,8 @@
         let machine = cluster.machine(index);
         let newer = (report.incarnation, report.seq) > (machine.incarnation, machine.seq);
         if !newer {
-            // An old report changes nothing. Its answer is dropped, unless the worker has only answered
-            // direct commands since.
+            // An outdated report changes nothing. The worker drops the response to it, unless its newer
+            // reports were all responses to direct commands.
             return is_heartbeat.then(|| Orders {
                 token: term,
                 orders: self.stop_orders_for_cancelled(report),
@@ -96,15 +98,15 @@
         if is_heartbeat {
             machine.heartbeats_received += 1;
         }
-        // The worker's lease counts from when it sent the last report that was answered: never
-        // later than now, as far as this node is concerned.
+        // The worker counts its lease from when it sent the last report that was answered, which is no
+        // later than now.
         machine.lease_until = lease_until;
         record_reclaim_notice(cluster, index, report, now);
         if is_new_incarnation {
             tracing::info!(
                 machine = report.machine,
-                session = report.incarnation,
-                "new session"
+                incarnation = report.incarnation,
+                "worker began a new incarnation"
             );
             end_incarnation(cluster, index, now, &report.tasks);
         }
@@ -120,8 +122,8 @@
     }
 }
 
-/// The machine that a report is of, which is added if it is not known yet. `None`: its type is not
-/// known, it is gone, or the report is of an earlier incarnation.
+/// Finds the machine that sent a report, and adds it if it is not known yet. `None`: its type is not
+/// known, the machine has been deleted, or the report is of an earlier incarnation.
 fn reporting_machine(
     cluster: &mut ClusterState,
     report: &Report,
@@ -132,7 +134,7 @@
     let is_known = cluster.machines_by_name.contains_key(&report.machine);
     let index = cluster.add_machine(&report.machine, machine_type, zone, report.spot, now);
     if !is_known {
-        tracing::info!(machine = report.machine, "reports, unexpected");
+        tracing::info!(machine = report.machine, "report from an unknown machine");
     }
     let machine = cluster.machine(index);
     let is_current =
@@ -140,7 +142,7 @@
     is_current.then_some(index)
 }
 
-/// Takes over what a new report says of the machine itself.
+/// Updates the machine itself, not its tasks, from a new report.
 fn update_machine(
     cluster: &mut ClusterState,
     index: MachineIndex,
@@ -150,13 +152,18 @@
 ) {
     let machine = &mut cluster.machines[index.as_usize()];
     if machine.state == MachineState::Booting || machine.state == MachineState::Lost {
-        tracing::info!(machine = machine.name, session = report.incarnation, "up");
+        tracing::info!(
+            machine = machine.name,
+            incarnation = report.incarnation,
+            "machine is up"
+        );
         machine.state = MachineState::Up;
         machine.idle_since = now;
         cluster.scheduling_needed = true;
     }
-    // It served leaders before this one and has not seen this one's term: the report may be an old one,
-    // of a machine that is gone. Tasks that were placed there waited for a whole lease.
+    // The worker has seen terms of earlier leaders and not this leader's: this may be a delayed report of a
+    // machine that is gone. Without this mark, tasks were placed there and waited until a whole lease had
+    // expired.
     if machine.last_heartbeat_at.is_none() && (1..first_term).contains(&report.token) {
         machine.unconfirmed_token = first_term;
     }
@@ -169,27 +176,28 @@
     cluster.machines_needing_commands.insert(index);
 }
 
-/// Notes when the cloud will reclaim the machine, if the report says so.
+/// Records when the cloud will reclaim the machine, if the report contains a notice.
 fn record_reclaim_notice(
     cluster: &mut ClusterState,
     index: MachineIndex,
     report: &Report,
     now: Millis,
 ) {
-    let Some(notice) = report.notice_s else {
+    let Some(notice_s) = report.notice_s else {
         return;
     };
     let machine = &mut cluster.machines[index.as_usize()];
-    let reclaim_at = now + millis(notice.clamp(0.0, MAX_RECLAIM_NOTICE_S));
+    let reclaim_at = now + millis(notice_s.clamp(0.0, MAX_RECLAIM_NOTICE_S));
     if machine.reclaim_at.is_none() {
-        tracing::info!(machine = machine.name, notice, "is to be taken back");
+        tracing::info!(machine = machine.name, notice_s, "reclaim notice received");
         cluster.scheduling_needed = true;
     }
-    let known = machine.reclaim_at.unwrap_or(reclaim_at);
-    machine.reclaim_at = Some(known.min(reclaim_at));
+    let previous = machine.reclaim_at.unwrap_or(reclaim_at);
+    machine.reclaim_at = Some(previous.min(reclaim_at));
 }
 
-/// The commands to answer a heartbeat with: everything that the report shows to be missing.
+/// The commands to answer a heartbeat with: those that the worker has not executed yet by its report, at
+/// most [`MAX_ORDERS_PER_RESPONSE`].
 pub(super) fn heartbeat_orders(
     cluster: &mut ClusterState,
     index: MachineIndex,
@@ -198,12 +206,12 @@
     may_start: bool,
 ) -> Vec<Order> {
     let mut orders = unknown_attempt_orders(cluster, index, unknown, first_term);
-    for at in 0..cluster.machine(index).attempts.len() {
+    for position in 0..cluster.machine(index).attempts.len() {
         if orders.len() >= MAX_ORDERS_PER_RESPONSE {
             break;
         }
         let machine = cluster.machine(index);
-        let entry = &machine.attempts[at];
+        let entry = &machine.attempts[position];
         let task = cluster.job(entry.job).task_id(entry.task);
         let attempt = u64::from(entry.attempt);
         match (entry.phase, entry.stop_grace_s) {
@@ -212,13 +220,13 @@
                 if may_start && is_stored && !entry.direct_start_in_flight && !entry.recovered {
                     orders.push(Order::Start { task, attempt });
                     let heartbeats = machine.heartbeats_received;
-                    let entry = &mut cluster.machines[index.as_usize()].attempts[at];
+                    let entry = &mut cluster.machines[index.as_usize()].attempts[position];
                     entry.start_sent = true;
                     entry.started_by_heartbeat = Some(heartbeats);
                 }
             }
             (Phase::Placed, Some(_)) => {}
-            // Saving already; a second stop would cut it short.
+            // It is already saving; a second stop would cut that short.
             (Phase::Saving, Some(grace_s)) if grace_s > 0.0 => {}
             (Phase::Ended, _) => {
                 if cluster.is_acknowledged(entry)
@@ -234,7 +242,7 @@
                     attempt,
                     grace_s,
                 });
-                cluster.machines[index.as_usize()].attempts[at].stop_sent = true;
+                cluster.machines[index.as_usize()].attempts[position].stop_sent = true;
             }
             (_, None) => {}
         }
@@ -243,7 +251,7 @@
 }
 
 /// Commands for attempts that a report lists and the cluster state does not have: they are stopped, and
-/// forgotten once they have ended and the worker obeys this leader.
+/// forgotten once they have ended and the worker has seen this leader's term.
 fn unknown_attempt_orders(
     cluster: &ClusterState,
     index: MachineIndex,
@@ -251,7 +259,7 @@
     first_term: u64,
 ) -> Vec<Order> {
     let mut orders = Vec::new();
-    let obeys_this_leader = cluster.machine(index).token >= first_term;
+    let has_seen_this_leader = cluster.machine(index).token >= first_term;
     for &UnknownAttempt {
         task,
         attempt,
@@ -264,7 +272,7 @@
                 attempt,
                 grace_s: 0.0,
             });
-        } else if obeys_this_leader {
+        } else if has_seen_this_leader {
             orders.push(Order::Forget { task, attempt });
         }
     }
--- a/src/coordination/workers/mod.rs
+++ b/src/coordination/workers/mod.rs
@@ -1,5 +1,5 @@
-//! The leader and its workers: what heartbeats mean, which commands go out, and when a silent worker
-//! counts as lost.
+//! How the leader manages workers: it processes heartbeats, sends commands, and detects workers that are
+//! lost.
 
 mod commands;
 mod failure_detection;
@@ -11,10 +11,10 @@
 
 use crate::cluster::{ClusterState, MachineIndex};
 
-/// The part of the fleet, as a divisor, that may be drained at once for being slow.
+/// A slow machine is drained only if then at most one in this many machines is draining, or no other is.
 const MAX_REPLACED_FLEET_DIVISOR: usize = 10;
 
-/// Replaces a machine whose tasks take far longer than others of their jobs do.
+/// Drains a machine for replacement because its tasks take far longer than other tasks of their jobs.
 fn drain_straggler(cluster: &mut ClusterState, machine: MachineIndex) {
     cluster.drain_for_replacement(machine, MAX_REPLACED_FLEET_DIVISOR, "is slow");
 }
--- a/src/coordination/workers/reconciliation.rs
+++ b/src/coordination/workers/reconciliation.rs
@@ -1,4 +1,4 @@
-//! Reconciliation: the cluster state follows what a worker reports of its tasks.
+//! Reconciliation: updates the cluster state from the tasks that a worker reports.
 
 use super::drain_straggler;
 use crate::{
@@ -13,8 +13,9 @@
     time::Millis,
 };
 
-/// How long a machine that rejected a task is passed over.
-const REFUSAL_COOLDOWN_MS: Millis = 2000;
+/// How long nothing is placed on a machine that rejected a task for want of resources, or of a job whose
+/// task a worker rejected as unknown.
+const REJECTION_COOLDOWN_MS: Millis = 2000;
 
 /// An attempt that a worker reports and the cluster state does not have.
 pub(super) struct UnknownAttempt {
@@ -31,16 +32,23 @@
     attempt: u64,
 ) -> Option<usize> {
     let job = *cluster.jobs_by_id.get(&task.job)?;
-    cluster.machine(index).attempts.iter().position(|known| {
-        known.job == job && known.task == task.index && u64::from(known.attempt) == attempt
-    })
+    cluster
+        .machine(index)
+        .attempts
+        .iter()
+        .position(|candidate| {
+            candidate.job == job
+                && candidate.task == task.index
+                && u64::from(candidate.attempt) == attempt
+        })
 }
 
-/// The worker began a new incarnation: what it does not report any more is gone, and starts sent to an
-/// earlier incarnation are rejected.
+/// Handles the first report of a worker's new incarnation: attempts that it does not list are gone, and the
+/// worker rejects starts that were sent to an earlier incarnation. `listed`: the tasks in the report.
 ///
-/// What is inherited may have been started in this very incarnation: the report that tells of it may
-/// have been on its way since before that, and denies nothing until the worker has seen this term.
+/// Attempts recovered from an earlier leader may have been started in this same incarnation, after a report
+/// that arrives late was sent. Until the worker has seen this leader's term, they are therefore kept even if
+/// the report does not list them.
 pub(super) fn end_incarnation(
     cluster: &mut ClusterState,
     index: MachineIndex,
@@ -70,8 +78,8 @@
     }
 }
 
-/// Follows a report that is newer than all before. Returns what it lists and the cluster state does
-/// not have.
+/// Applies the task list of a report that is newer than all before it. Returns the attempts that it lists
+/// and the cluster state does not have.
 pub(super) fn reconcile_tasks(
     cluster: &mut ClusterState,
     fair_share: &mut FairShareLedger,
@@ -80,7 +88,7 @@
     now: Millis,
 ) -> Vec<UnknownAttempt> {
     let mut unknown = Vec::new();
-    let mut shown = vec![false; cluster.machine(index).attempts.len()];
+    let mut is_listed = vec![false; cluster.machine(index).attempts.len()];
     for listed in &report.tasks {
         let Some(position) = find_attempt(cluster, index, listed.task, listed.attempt) else {
             unknown.push(UnknownAttempt {
@@ -90,7 +98,7 @@
             });
             continue;
         };
-        shown[position] = true;
+        is_listed[position] = true;
         let phase = match listed.state {
             TaskState::Fetching => Phase::Fetching,
             TaskState::Gathering | TaskState::Running => Phase::Running,
@@ -101,7 +109,7 @@
         attempt.cause = listed.cause;
         attempt.start_sent = true;
         attempt.recovered = false;
-        let before = attempt.phase;
+        let previous_phase = attempt.phase;
         cluster.advance_phase(index, position, phase, now);
         let attempt = &cluster.machine(index).attempts[position];
         let job = attempt.job;
@@ -113,11 +121,11 @@
         {
             cluster.on_task_progress(job);
         }
-        if phase == Phase::Running && before < Phase::Running {
+        if phase == Phase::Running && previous_phase < Phase::Running {
             record_start(cluster, fair_share, index, position, now);
         }
     }
-    remove_unlisted_attempts(cluster, index, &shown, now);
+    remove_unlisted_attempts(cluster, index, &is_listed, now);
     unknown
 }
 
@@ -146,28 +154,29 @@
     fair_share.status_mut(class).tasks_started += 1;
 }
 
-/// Removes attempts that a report does not list, unless their starts may still be under way.
+/// Removes attempts that a report does not list, unless their starts may still be in flight. `is_listed`:
+/// for each attempt on the machine, whether the report lists it.
 fn remove_unlisted_attempts(
     cluster: &mut ClusterState,
     index: MachineIndex,
-    shown: &[bool],
+    is_listed: &[bool],
     now: Millis,
 ) {
-    for at in (0..shown.len()).rev() {
+    for position in (0..is_listed.len()).rev() {
         let machine = cluster.machine(index);
-        let attempt = &machine.attempts[at];
-        if shown[at] || !attempt.start_sent || machine.has_start_in_flight(attempt) {
+        let attempt = &machine.attempts[position];
+        if is_listed[position] || !attempt.start_sent || machine.has_start_in_flight(attempt) {
             continue;
         }
         match attempt.phase {
             // The start was lost; it is sent again unless the task is to stop.
             Phase::Placed if attempt.stop_grace_s.is_none() && !attempt.recovered => {}
-            _ => cluster.remove_attempt(index, at, now),
+            _ => cluster.remove_attempt(index, position, now),
         }
     }
 }
 
-/// Deals with attempts that have ended: completes or requeues their tasks.
+/// Processes attempts that have ended: completes or requeues their tasks.
 pub(super) fn settle_ended_attempts(
     cluster: &mut ClusterState,
     fair_share: &mut FairShareLedger,
@@ -180,24 +189,25 @@
         if attempt.phase != Phase::Ended || attempt.reconciled {
             continue;
         }
-        let (job, task, number) = (attempt.job, attempt.task, attempt.attempt);
+        let (job, task, attempt_number) = (attempt.job, attempt.task, attempt.attempt);
         let cause = attempt.cause.unwrap_or(FailureCause::Other);
         let closed = cluster.job(job).closed;
-        let latest = cluster.job(job).tasks[task as usize];
-        // Those inherited ran for longer than is known here.
+        let task_state = cluster.job(job).tasks[task as usize];
+        // The run time of attempts started under an earlier leader is not known here.
         let ran_ms = attempt
             .running_since
             .filter(|_| attempt.placed_at > cluster.leader_since)
             .map(|since| now.saturating_sub(since));
         if cause == FailureCause::Done {
-            let is_current =
-                !closed && latest.status == TaskStatus::Active(index) && latest.attempt == number;
+            let is_current = !closed
+                && task_state.status == TaskStatus::Active(index)
+                && task_state.attempt == attempt_number;
             settle_completion(
                 cluster, fair_share, index, position, is_current, ran_ms, now,
             );
             continue;
         }
-        // A start that may still arrive would run beside the next attempt.
+        // A start that may still arrive would run this attempt beside the next one.
         if machine.has_start_in_flight(attempt) {
             continue;
         }
@@ -205,12 +215,12 @@
         if closed {
             continue;
         }
-        cluster.requeue(job, task, number);
+        cluster.requeue(job, task, attempt_number);
         react_to_failure(cluster, index, job, cause, now);
     }
 }
 
-/// Deals with an attempt that has done its task. `is_current`: no later attempt has taken its place.
+/// Processes an attempt that has completed its task. `is_current`: no later attempt has replaced it.
 fn settle_completion(
     cluster: &mut ClusterState,
     fair_share: &mut FairShareLedger,
@@ -245,7 +255,8 @@
     }
 }
 
-/// Passes over a machine or a job for a while, or counts a failure, as its cause demands.
+/// Reacts to a failed attempt by its cause: places nothing on the machine or of the job for a while, or
+/// records the failure for fault attribution.
 fn react_to_failure(
     cluster: &mut ClusterState,
     index: MachineIndex,
@@ -261,9 +272,9 @@
         | FailureCause::PeersGone
         | FailureCause::Alone => {}
         FailureCause::NoRoom | FailureCause::Busy => {
-            machine.avoid_until = now + REFUSAL_COOLDOWN_MS
+            machine.avoid_until = now + REJECTION_COOLDOWN_MS
         }
-        FailureCause::Unknown => job.backoff_until = now + REFUSAL_COOLDOWN_MS,
+        FailureCause::Unknown => job.backoff_until = now + REJECTION_COOLDOWN_MS,
         FailureCause::Error | FailureCause::Other => {
             tracing::debug!(job = %job.id, machine = machine.name, "a task failed");
             cluster.on_task_failed(job_index, index, now);
@@ -271,7 +282,7 @@
     }
 }
 
-/// Whether the tasks that run on the machine take far longer than others of their jobs did.
+/// Whether the tasks that run on the machine take far longer than other tasks of their jobs took.
 pub(super) fn is_straggler(cluster: &ClusterState, index: MachineIndex, now: Millis) -> bool {
     let running = cluster
         .machine(index)
--- a/src/coordination/workers/tests.rs
+++ b/src/coordination/workers/tests.rs
@@ -19,25 +19,27 @@
     storage::JobSummary,
 };
 
-/// An inquiry binds nobody: a deputy that has answered one may renew the machine right after.
+/// An inquiry revokes nothing: a lease renewer that has answered one may renew the machine's lease right
+/// after.
 #[test]
-fn machine_counts_as_unrenewed_only_after_binding_promises() {
-    let deputies = BTreeMap::from([("n1".to_owned(), 1)]);
-    for binding in [false, true] {
-        let (sent_at, until) = (99_000, 99_500);
-        let ack = RevocationReply {
+fn machine_counts_as_unrenewed_only_after_binding_revocations() {
+    let renewers = BTreeMap::from([("n1".to_owned(), 1)]);
+    for is_revocation in [false, true] {
+        let (sent_at, ends_at) = (99_000, 99_500);
+        let reply = RevocationReply {
             sent_at,
-            lease_ends_at: until,
-            is_binding: binding,
+            lease_ends_at: ends_at,
+            is_binding: is_revocation,
         };
-        let acks = HashMap::from([(("n1".to_owned(), "vm-1".to_owned()), ack)]);
-        let gone = HashMap::new();
-        let proven = is_unrenewed_everywhere(&deputies, &gone, &acks, "vm-1", 100_000, 14_300);
-        assert_eq!(proven, binding);
+        let replies = HashMap::from([(("n1".to_owned(), "vm-1".to_owned()), reply)]);
+        let lost_at = HashMap::new();
+        let is_unrenewed =
+            is_unrenewed_everywhere(&renewers, &lost_at, &replies, "vm-1", 100_000, 14_300);
+        assert_eq!(is_unrenewed, is_revocation);
     }
 }
 
-/// A job of two tasks, and a machine.
+/// A cluster with one job of two tasks and one machine.
 fn cluster_with_machine() -> (ClusterState, JobIndex, MachineIndex) {
     let settings: Settings = serde_json::from_value(json!({
         "zones": ["a"], "teams": [{"name": "red"}],
@@ -47,17 +49,17 @@
     }))
     .expect("valid settings");
     let mut cluster = ClusterState::new(&settings, &[]);
-    let noted = JobSummary {
+    let summary = JobSummary {
         team: "red".into(),
         task_count: 2,
         cpus: 1.0,
         gpus: 0.0,
         ram_gb: 1.0,
     };
-    let job = add_finished_job(&mut cluster, JobId(1), &noted, 0).expect("a known team");
+    let job = add_finished_job(&mut cluster, JobId(1), &summary, 0).expect("the team exists");
     let zone = cluster.intern_zone("a");
-    let on = cluster.add_machine("vm-1", MachineTypeIndex(0), zone, false, 0);
-    (cluster, job, on)
+    let machine = cluster.add_machine("vm-1", MachineTypeIndex(0), zone, false, 0);
+    (cluster, job, machine)
 }
 
 fn sent_attempt(job: JobIndex, task: u32) -> Attempt {
@@ -82,76 +84,85 @@
     }
 }
 
-/// A worker that has been told to forget a completion cannot tell a successor of it.
+/// A worker that has forgotten a completed attempt can't report it to the next leader, which would not know
+/// of the completion.
 #[test]
 fn forget_order_is_sent_only_after_completion_is_stored() {
-    let (mut cluster, job, on) = cluster_with_machine();
+    let (mut cluster, job, machine) = cluster_with_machine();
     let attempt = Attempt {
         phase: Phase::Ended,
         cause: Some(FailureCause::Done),
         reconciled: true,
         ..sent_attempt(job, 0)
     };
-    cluster.reserve(attempt, on);
+    cluster.reserve(attempt, machine);
     cluster.complete_task(job, 0);
-    assert!(heartbeat_orders(&mut cluster, on, &[], 0, true).is_empty());
+    assert!(heartbeat_orders(&mut cluster, machine, &[], 0, true).is_empty());
     cluster.unlogged_tasks.clear();
-    let orders = heartbeat_orders(&mut cluster, on, &[], 0, true);
+    let orders = heartbeat_orders(&mut cluster, machine, &[], 0, true);
     assert!(matches!(orders[..], [Order::Forget { .. }]), "{orders:?}");
 }
 
-/// The start of an attempt that was stopped came once more after the worker had been told to forget it, and ran
-/// beside the next attempt.
+/// The start of a stopped attempt was delivered a second time after the worker had forgotten the attempt: the
+/// attempt then ran beside the next one.
 #[test]
 fn directly_started_attempt_is_forgotten_only_after_a_higher_term() {
-    let (mut cluster, job, on) = cluster_with_machine();
-    for (task, direct) in [(0, 5), (1, 0)] {
+    let (mut cluster, job, machine) = cluster_with_machine();
+    for (task, term) in [(0, 5), (1, 0)] {
         let attempt = Attempt {
             phase: Phase::Ended,
             cause: Some(FailureCause::Stopped),
             reconciled: true,
-            direct_start_term: direct,
+            direct_start_term: term,
             ..sent_attempt(job, task)
         };
-        cluster.reserve(attempt, on);
+        cluster.reserve(attempt, machine);
     }
-    let mut forgets = |token| {
-        cluster.machines[on.as_usize()].token = token;
-        let orders = heartbeat_orders(&mut cluster, on, &[], 0, true);
-        let of = |order: &Order| match order {
+    let mut forgotten_tasks = |token| {
+        cluster.machines[machine.as_usize()].token = token;
+        let orders = heartbeat_orders(&mut cluster, machine, &[], 0, true);
+        let task_of = |order: &Order| match order {
             Order::Forget { task, .. } => task.index,
             other => panic!("{other:?}"),
         };
-        orders.iter().map(of).collect::<Vec<_>>()
+        orders.iter().map(task_of).collect::<Vec<_>>()
     };
-    assert_eq!(forgets(5), [1], "started by the answer to a report");
-    assert_eq!(forgets(6), [0, 1]);
+    assert_eq!(
+        forgotten_tasks(5),
+        [1],
+        "only the attempt that was started by the answer to a heartbeat"
+    );
+    assert_eq!(forgotten_tasks(6), [0, 1]);
 }
 
-/// A controller that was cut off for a while led again, and the reports held back for it came in
-/// at once: the one that began a worker's new session was older than the start that the
-/// predecessor had sent to that session. Taken as news, it freed a task that was running.
+/// After a partition a node became leader again and received reports that the partition had delayed. The
+/// first report of a worker's new incarnation was older than a start that the previous leader had sent to that
+/// incarnation. Taken as current, it removed the attempt of a task that was running.
 #[test]
 fn late_report_of_new_incarnation_keeps_inherited_attempts() {
-    let (mut cluster, job, on) = cluster_with_machine();
-    for (task, inherited) in [(0, true), (1, false)] {
+    let (mut cluster, job, machine) = cluster_with_machine();
+    for (task, is_recovered) in [(0, true), (1, false)] {
         let attempt = Attempt {
-            recovered: inherited,
-            direct_start_in_flight: !inherited,
+            recovered: is_recovered,
+            direct_start_in_flight: !is_recovered,
             fencing_token: 7,
             ..sent_attempt(job, task)
         };
-        cluster.reserve(attempt, on);
+        cluster.reserve(attempt, machine);
     }
-    let left = |cluster: &ClusterState| -> Vec<u32> {
-        let attempts = &cluster.machine(on).attempts;
+    let remaining_tasks = |cluster: &ClusterState| -> Vec<u32> {
+        let attempts = &cluster.machine(machine).attempts;
         attempts.iter().map(|attempt| attempt.task).collect()
     };
-    cluster.machines[on.as_usize()].token = 6;
-    end_incarnation(&mut cluster, on, 0, &[]);
-    assert_eq!(left(&cluster), [0], "the own start went to the old session");
-    // A worker that has seen this term refuses what the predecessor sent.
-    cluster.machines[on.as_usize()].token = 7;
-    end_incarnation(&mut cluster, on, 0, &[]);
-    assert!(left(&cluster).is_empty());
+    cluster.machines[machine.as_usize()].token = 6;
+    end_incarnation(&mut cluster, machine, 0, &[]);
+    assert_eq!(
+        remaining_tasks(&cluster),
+        [0],
+        "this leader's own start went to the old incarnation"
+    );
+    // A worker that has seen this leader's term rejects commands of the previous leader.
+    cluster.machines[machine.as_usize()].token = 7;
+    end_incarnation(&mut cluster, machine, 0, &[]);
+    assert!(remaining_tasks(&cluster).is_empty());
 }
