--- a/src/coordination/lease_renewer.rs
+++ b/src/coordination/lease_renewer.rs
@@ -1,11 +1,12 @@
-//! Deputies: every node may keep workers alive, so that a worker survives when only its way to the
-//! leader, or the leader itself, is gone.
+//! Lease renewers: every node can renew workers' leases, so that workers survive when only the path to the
+//! leader, or the leader itself, has failed.
 //!
-//! A node may answer reports with 200, without orders, while it surely holds `shared/deputy/<node>`
-//! on a lease of its own, and while its view of the jobs is so new that a cancellation told elsewhere
-//! can still be carried out in time. In turn the leader takes a silent machine's tasks for gone only
-//! when no node can have renewed it: each node that holds such a key has said so and promised to
-//! leave that session alone, and whoever held one before has lost it for a whole lease.
+//! A node may answer a report with 200, with no commands except to stop cancelled tasks, while it certainly
+//! holds its key `shared/deputy/<node>` on a lease of its own, and while its copy of the job registry is so
+//! recent that a cancellation accepted by another node can still be carried out in time. In return, the
+//! leader counts the tasks of an unresponsive machine as gone only when no node can have renewed the
+//! machine's lease: each node that holds such a key has replied that it has not, and that it renews this
+//! incarnation no more, and each former holder lost its key at least one whole lease ago.
 
 use std::collections::{HashMap, HashSet};
 
@@ -29,38 +30,44 @@
 const LEASE_TOUCH_INTERVAL_MS: Millis = 2000;
 const REQUEST_TIMEOUT_MS: Millis = 1500;
 const RETRY_MS: Millis = 400;
-/// After a write that met another version than the view has: a sync takes less.
+/// Delay after a write that failed because the registry has an outdated version of the key: a read barrier
+/// takes less time.
 const CONFLICT_RETRY_MS: Millis = 60;
-/// A leader that has not been heard of for this long may be out of the workers' reach too: it tells the
-/// members something each second, whatever the workers do.
-const LEADER_SILENCE_MS: Millis = 2600;
-/// How long a promise to leave a machine alone binds: longer than the leader, which asks again every
-/// second, acts on it. A machine that it has heard from since must not be left to die when it can
-/// only reach this node later.
-const PROMISE_DURATION_MS: Millis = REPLY_VALIDITY_MS + 2000;
-/// A question older than this has been given up by the leader. HeldTask back by a cut, it may be about
-/// machines that have long been heard again.
+/// A leader from which no announcement has arrived for this long may be unreachable for workers too: it
+/// sends one to the members every second, whatever the report interval of the workers is.
+const ANNOUNCEMENT_TIMEOUT_MS: Millis = 2600;
+/// How long a revocation holds: longer than the leader, which repeats it every second, relies on it. It ends
+/// because the machine may have reported to the leader since; if it can later reach only this node, its
+/// lease must be renewed here.
+const REVOCATION_DURATION_MS: Millis = REPLY_VALIDITY_MS + 2000;
+/// The leader no longer waits for the reply to a request older than this. One that a network partition
+/// delayed may name machines that have long been responsive again.
 const MAX_REVOCATION_AGE_MS: u64 = 2500;
 
+/// The state of this node as a lease renewer.
 #[derive(Default)]
 pub struct LeaseRenewer {
+    /// The lease of the state service that the key is written on.
     lease: Option<u64>,
+    /// The key is written and not known to be lost.
     holds_key: bool,
-    /// The version of this node's key, while it is held.
+    /// The version of the key, while it is held.
     key_version: u64,
-    /// The send time of the last request that proved the lease alive.
+    /// The send time of the last request whose answer showed that the lease was alive.
     lease_confirmed_at: Millis,
     request_in_flight: bool,
     next_request_at: Millis,
+    /// When the last announcement of a leader arrived.
     pub leader_heard_at: Option<Millis>,
-    /// A leader that the state service has not told of: its term, its label, and when it was heard.
+    /// A leader whose announcement has a higher term than the registry: its term, its label, and when the
+    /// announcement arrived.
     announced_leader: Option<(u64, String, Millis)>,
-    /// When each worker's lease was last renewed here, and of which session.
+    /// When each worker's lease was last renewed by this node, and for which incarnation.
     renewals: HashMap<String, (Millis, u64)>,
-    /// When each worker was last sent to the leader.
+    /// When each worker was last redirected to the leader.
     redirected_at: HashMap<String, Millis>,
-    /// Sessions not to be renewed, and when that was promised.
-    promises: HashMap<String, (u64, Millis)>,
+    /// Incarnations whose leases are revoked, and when each was, by machine.
+    accepted_revocations: HashMap<String, (u64, Millis)>,
 }
 
 impl LeaseRenewer {
@@ -71,7 +78,7 @@
 }
 
 impl Node {
-    /// Gets and keeps the right to renew.
+    /// Acquires and keeps alive the lease and the key that allow this node to renew workers' leases.
     pub(super) fn maintain_renewer_lease(&mut self) {
         if self.lease_renewer.request_in_flight
             || self.lease_renewer.next_request_at > self.now
@@ -90,15 +97,15 @@
                 REQUEST_TIMEOUT_MS,
             ),
             (Some(lease), false) => {
-                // A process that had this label before may have written the key as well, and the write
-                // may be applied late: on that process's lease, with which the key would go while this
-                // one still renews.
+                // An earlier process with this label may have written the key as well, and its write may
+                // be applied late. The key would then be on that process's lease and be deleted with it
+                // while this process still renews workers' leases.
                 let key = storage::lease_renewer_key(&self.config.label);
-                let known = self.registry.lease_renewers.get(&self.config.label);
+                let key_version = self.registry.lease_renewers.get(&self.config.label);
                 let txn = Txn {
                     conditions: vec![Condition {
                         key: key.clone(),
-                        version: known.copied().unwrap_or(0),
+                        version: key_version.copied().unwrap_or(0),
                     }],
                     writes: vec![Write::Put {
                         key,
@@ -122,9 +129,9 @@
         }
     }
 
-    fn schedule_renewer_request(&mut self, wait: Millis) {
+    fn schedule_renewer_request(&mut self, delay_ms: Millis) {
         self.lease_renewer.request_in_flight = false;
-        self.lease_renewer.next_request_at = self.now + wait;
+        self.lease_renewer.next_request_at = self.now + delay_ms;
     }
 
     fn on_renewer_lease_lost(&mut self) {
@@ -133,6 +140,7 @@
         self.schedule_renewer_request(RETRY_MS);
     }
 
+    /// Handles the answer to the request for this node's own lease.
     pub(super) fn on_renewer_lease_granted(
         &mut self,
         sent_at: Millis,
@@ -149,6 +157,7 @@
         }
     }
 
+    /// Handles the answer to the write of this node's key.
     pub(super) fn on_renewer_key_written(
         &mut self,
         lease: u64,
@@ -164,8 +173,8 @@
                 self.schedule_renewer_request(LEASE_TOUCH_INTERVAL_MS);
             }
             Ok(StateReply::NoLease) => self.on_renewer_lease_lost(),
-            // It has another version than the view says: written by a process before, or by this one
-            // without an answer.
+            // The key has another version than the registry shows: an earlier process wrote it, or this
+            // process did and got no answer.
             Ok(StateReply::Conflict(_)) => {
                 self.request_read_barrier();
                 self.schedule_renewer_request(CONFLICT_RETRY_MS);
@@ -174,11 +183,11 @@
         }
     }
 
-    /// A deputy's key was written anew. What that node promised before, a process that has begun since
-    /// under the same label knows nothing of: it has to be asked again.
+    /// Handles a lease renewer's key that was written again. A new process under the same label does not know
+    /// the revocations that its predecessor accepted, and has to be asked again.
     pub(super) fn on_renewer_registered(&mut self, label: String, version: u64) {
         if label == self.config.label {
-            // By a version before, which wrote without a condition: it hangs on another lease now.
+            // A process of an earlier release wrote the key without a condition: it is on another lease now.
             if self.lease_renewer.holds_key && version > self.lease_renewer.key_version {
                 self.on_renewer_lease_lost();
             }
@@ -189,6 +198,7 @@
         }
     }
 
+    /// Handles a lease renewer's key that was deleted.
     pub(super) fn on_renewer_gone(&mut self, label: String, version: u64) {
         if label == self.config.label {
             if self.lease_renewer.holds_key && version > self.lease_renewer.key_version {
@@ -201,6 +211,7 @@
         }
     }
 
+    /// Handles the answer to a renewal of this node's own lease.
     pub(super) fn on_renewer_lease_touched(
         &mut self,
         lease: u64,
@@ -221,15 +232,15 @@
         }
     }
 
-    /// Until when this node may answer reports with 200: its key surely is there, and a cancellation
-    /// told elsewhere just after the last sync can still be carried out in time by letting the
-    /// leases run out.
+    /// Until when this node may answer reports with 200: until then its key certainly exists, and a
+    /// cancellation that another node accepted just after the last read barrier can still be carried out in
+    /// time, because workers' leases expire. `None`: it may not.
     pub(super) fn renewal_right_ends_at(&self) -> Option<Millis> {
-        let synced = self
+        let synced_at = self
             .read_barrier
             .confirmed_at
             .filter(|_| self.lease_renewer.holds_key)?;
-        let until = synced + self.timeouts.renewal_allowance;
+        let until = synced_at + self.timeouts.renewal_allowance;
         Some(
             until.min(
                 (self.lease_renewer.lease_confirmed_at + self.timeouts.renewer_lease)
@@ -238,53 +249,63 @@
         )
     }
 
+    /// Whether this node may answer reports with 200 now.
     pub(super) fn can_renew(&self) -> bool {
         self.renewal_right_ends_at()
             .is_some_and(|until| self.now < until)
     }
 
-    /// A report came to a node that does not lead.
+    /// Handles a heartbeat on a node that does not lead: renews the worker's lease, or redirects the worker to
+    /// the leader.
     pub(super) fn handle_heartbeat_as_renewer(&mut self, id: RequestId, report: &Report) {
         let now = self.now;
         let leader = self.current_other_leader();
-        let heard = self
+        let leader_is_alive = self
             .lease_renewer
             .leader_heard_at
-            .is_some_and(|at| at + LEADER_SILENCE_MS > now);
-        // A worker that comes back this soon after it was sent to the leader did not get through. On
-        // its way back it may have tried all other nodes in vain.
-        let bounce = UNREACHABLE_NODE_COST_MS * self.config.members.len() as Millis + 1000;
-        let sent_on = self
+            .is_some_and(|at| at + ANNOUNCEMENT_TIMEOUT_MS > now);
+        // A worker that reports here again this soon after its redirect did not reach the leader. Before it
+        // came back, it may have tried all other nodes and timed out on each.
+        let max_return_ms = UNREACHABLE_NODE_COST_MS * self.config.members.len() as Millis + 1000;
+        let redirected_at = self
             .lease_renewer
             .redirected_at
             .get(&report.machine)
             .copied();
-        let bounced = sent_on.is_some_and(|at| at + bounce > now);
-        if leader.is_some() && heard && !bounced {
-            // Nothing is known of how long its lease has left: one that has just found this node,
-            // started anew inside a cut, would lose its tasks on the way to the leader and back.
-            let busy = report.tasks.iter().any(|t| t.state != TaskState::Ended);
-            let known = self.lease_renewer.renewals.get(&report.machine);
-            let fresh = known.is_some_and(|(at, _)| at + self.timeouts.recent_renewal > now);
-            if busy
-                && !fresh
+        let redirect_failed = redirected_at.is_some_and(|at| at + max_return_ms > now);
+        if leader.is_some() && leader_is_alive && !redirect_failed {
+            // This node does not know how much is left of the worker's lease. After this node had restarted
+            // inside a network partition, a worker that had just found it lost its tasks on the way to
+            // the leader and back. Therefore its lease is renewed first.
+            let is_busy = report.tasks.iter().any(|t| t.state != TaskState::Ended);
+            let last_renewal = self.lease_renewer.renewals.get(&report.machine);
+            let is_recent =
+                last_renewal.is_some_and(|(at, _)| at + self.timeouts.recent_renewal > now);
+            if is_busy
+                && !is_recent
                 && let Some(orders) = self.renew_worker_lease(report)
             {
                 return self.respond(id, ApiResponse::json(200, &orders));
             }
-            tracing::debug!(machine = report.machine, "sent on to the leader");
+            tracing::debug!(machine = report.machine, "redirected to the leader");
             self.lease_renewer
                 .redirected_at
                 .insert(report.machine.clone(), now);
             return self.respond(id, ApiResponse::json(421, &Redirect { leader }));
         }
-        // Every so often it is sent on again: the way may be open by now.
-        if !bounced {
+        // After a while it is redirected again: by then it may be able to reach the leader.
+        if !redirect_failed {
             self.lease_renewer.redirected_at.remove(&report.machine);
         }
         let renewal = self.renew_worker_lease(report);
         let renewed = renewal.is_some();
-        tracing::debug!(machine = report.machine, heard, bounced, renewed, "reports");
+        tracing::debug!(
+            machine = report.machine,
+            leader_is_alive,
+            redirect_failed,
+            renewed,
+            "heartbeat while not leading"
+        );
         match renewal {
             Some(orders) => self.respond(id, ApiResponse::json(200, &orders)),
             None if leader.is_some() => {
@@ -294,41 +315,46 @@
         }
     }
 
-    /// A leader told how far jobs are. A node that the state service refuses learns only by that that it
-    /// has a successor: it kept workers to itself for as long as it might renew them.
+    /// Handles the term and label in a leader's announcement. A leader that can't reach the state service
+    /// learns only from this that it has a successor: without it, it kept answering workers itself for as
+    /// long as it was allowed to renew their leases.
     pub(super) fn on_leader_announced(&mut self, term: u64, leader: String) {
         if term <= self.registry.term || leader == self.config.label || leader.is_empty() {
             return;
         }
         if self.leader_state.as_ref().is_some_and(|l| l.term < term) {
-            tracing::warn!(leader, term, "a member leads");
+            tracing::warn!(leader, term, "another node leads in a higher term");
             self.step_down();
         }
         self.lease_renewer.announced_leader = Some((term, leader, self.now));
     }
 
-    /// The node that leads, if it is another, by what was heard last.
+    /// The label of the leader if that is another node: by a recent announcement of a newer term, else by the
+    /// registry.
     pub(super) fn current_other_leader(&self) -> Option<String> {
-        let told = self.lease_renewer.announced_leader.as_ref();
-        let told = told.filter(|(term, _, at)| {
-            *term > self.registry.term && at + LEADER_SILENCE_MS > self.now
+        let announced = self.lease_renewer.announced_leader.as_ref();
+        let announced = announced.filter(|(term, _, at)| {
+            *term > self.registry.term && at + ANNOUNCEMENT_TIMEOUT_MS > self.now
         });
-        let known = self.registry.leader.as_ref();
-        told.map(|(_, label, _)| label)
-            .or(known.map(|(record, _)| &record.node))
+        let registered = self.registry.leader.as_ref();
+        announced
+            .map(|(_, label, _)| label)
+            .or(registered.map(|(record, _)| &record.node))
             .filter(|label| **label != self.config.label)
             .cloned()
     }
 
-    /// Renews a worker's lease, where that is allowed, and stops what its user has cancelled.
+    /// Renews a worker's lease and returns commands to stop its cancelled tasks. `None`: this node must not
+    /// renew the lease now.
     pub(super) fn renew_worker_lease(&mut self, report: &Report) -> Option<Orders> {
         let now = self.now;
         if !self.can_renew() || report.token > self.registry.term || self.registry.term == 0 {
             return None;
         }
-        if let Some(&(session, at)) = self.lease_renewer.promises.get(&report.machine)
-            && now < at + PROMISE_DURATION_MS
-            && (session == 0 || report.incarnation <= session)
+        if let Some(&(incarnation, at)) =
+            self.lease_renewer.accepted_revocations.get(&report.machine)
+            && now < at + REVOCATION_DURATION_MS
+            && (incarnation == 0 || report.incarnation <= incarnation)
         {
             return None;
         }
@@ -339,16 +365,17 @@
         })
     }
 
-    /// Stops what a worker runs and a user has cancelled. Whoever renews a worker sends these with it, also a
-    /// leader without books: what is known here to be cancelled is not carried out by leases running out.
+    /// Commands to stop the tasks of cancelled jobs that a worker runs. Each node sends them when it renews a
+    /// lease, also a leader that is still rebuilding the cluster state: tasks of jobs that it knows to be
+    /// cancelled would not stop by themselves, because the renewed lease does not expire.
     pub(super) fn stop_orders_for_cancelled(&self, report: &Report) -> Vec<Order> {
-        let cancelled = |job| {
+        let is_cancelled = |job| {
             let entry = self.registry.get(job);
             entry.and_then(RegisteredJob::final_status) == Some(JobStatus::Cancelled)
         };
         let tasks = report.tasks.iter();
         tasks
-            .filter(|task| task.state != TaskState::Ended && cancelled(task.task.job))
+            .filter(|task| task.state != TaskState::Ended && is_cancelled(task.task.job))
             .map(|task| Order::Stop {
                 task: task.task,
                 attempt: task.attempt,
@@ -357,28 +384,30 @@
             .collect()
     }
 
-    /// LeaderLog that a report was answered with 200, by the leader as by a deputy: a later leader will
-    /// ask.
+    /// Records that a report was answered with 200. Leaders record this too: a later leader asks for the time
+    /// of the last renewal.
     pub(super) fn record_renewal(&mut self, report: &Report) {
         self.lease_renewer
             .renewals
             .insert(report.machine.clone(), (self.now, report.incarnation));
     }
 
-    /// How many workers have reported here lately, those included that were sent on to the leader.
-    fn count_workers_heard(&self) -> usize {
-        let lately = |at: Millis| at + self.timeouts.heartbeat_timeout > self.now;
+    /// How many workers have recently reported to this node, including those redirected to the leader.
+    fn count_reporting_workers(&self) -> usize {
+        let is_recent = |at: Millis| at + self.timeouts.heartbeat_timeout > self.now;
         let renewed = self.lease_renewer.renewals.iter();
         let renewed = renewed
-            .filter(|(_, (at, _))| lately(*at))
+            .filter(|(_, (at, _))| is_recent(*at))
             .map(|(name, _)| name);
-        let sent_on = self.lease_renewer.redirected_at.iter();
-        let sent_on = sent_on.filter(|(_, at)| lately(**at)).map(|(name, _)| name);
-        renewed.chain(sent_on).collect::<HashSet<_>>().len()
+        let redirected = self.lease_renewer.redirected_at.iter();
+        let redirected = redirected
+            .filter(|(_, at)| is_recent(**at))
+            .map(|(name, _)| name);
+        renewed.chain(redirected).collect::<HashSet<_>>().len()
     }
 
-    /// The leader asks about silent machines: from now on they are not renewed here, and it learns
-    /// when they last were.
+    /// Handles the leader's request about unresponsive machines: replies when this node last renewed each
+    /// lease, and for a revocation stops renewing those that it has not renewed recently.
     pub(super) fn handle_revocation(&mut self, id: RequestId, revocation: LeaseRevocation) {
         let now = self.now;
         if self
@@ -386,30 +415,31 @@
             .as_ref()
             .is_some_and(|l| revocation.term > l.term)
         {
-            // The asker leads now.
+            // The sender leads in a higher term.
             self.step_down();
         }
-        let horizon = self.timeouts.worker_lease + 60_000;
+        let retention_ms = self.timeouts.worker_lease + 60_000;
         self.lease_renewer
             .renewals
-            .retain(|_, (at, _)| *at + horizon > now);
+            .retain(|_, (at, _)| *at + retention_ms > now);
         self.lease_renewer
             .redirected_at
-            .retain(|_, at| *at + horizon > now);
+            .retain(|_, at| *at + retention_ms > now);
         let mut renewals = Vec::new();
-        let clocks = 2 * self.config.settings.clock_error_ms as u64;
-        let stale = self.wall_ms > revocation.asked_at_ms + MAX_REVOCATION_AGE_MS + clocks;
-        if revocation.term >= self.registry.term && !stale {
+        let clock_error_ms = 2 * self.config.settings.clock_error_ms as u64;
+        let is_stale =
+            self.wall_ms > revocation.asked_at_ms + MAX_REVOCATION_AGE_MS + clock_error_ms;
+        if revocation.term >= self.registry.term && !is_stale {
             for machine in revocation.machines {
-                let renewed = self.lease_renewer.renewals.get(&machine.name).copied();
-                // A process that had this label before may have renewed it up to our start.
-                let age_ms = renewed.map_or(now, |(at, _)| now.saturating_sub(at));
-                // One that lives by our renewals is not promised away.
+                let last_renewal = self.lease_renewer.renewals.get(&machine.name).copied();
+                // An earlier process with this label may have renewed it until this one started, at time 0.
+                let age_ms = last_renewal.map_or(now, |(at, _)| now.saturating_sub(at));
+                // A lease that this node renewed recently is not revoked: the worker depends on this node.
                 if age_ms > self.timeouts.worker_lease / 2 && !machine.is_inquiry {
-                    let promised = (machine.incarnation, now);
+                    let accepted = (machine.incarnation, now);
                     self.lease_renewer
-                        .promises
-                        .insert(machine.name.clone(), promised);
+                        .accepted_revocations
+                        .insert(machine.name.clone(), accepted);
                 }
                 renewals.push(LeaseRenewalAge {
                     machine: machine.name,
@@ -418,12 +448,12 @@
                 });
             }
         }
-        let hears = self.count_workers_heard();
+        let reporting_workers = self.count_reporting_workers();
         self.effects.push(Effect::RespondRevocation(
             id,
             RenewalReply {
                 renewals,
-                workers_heard: hears,
+                workers_heard: reporting_workers,
             },
         ));
     }
--- a/src/coordination/lease_renewer/tests.rs
+++ b/src/coordination/lease_renewer/tests.rs
@@ -25,11 +25,12 @@
     .expect("valid settings");
     let mut node = Node::new(config);
     node.registry.term = 3;
-    at(&mut node, now);
+    set_time(&mut node, now);
     node
 }
 
-fn at(node: &mut Node, now: Millis) {
+/// Sets the time, at which the node holds its key and has just confirmed its lease and its registry.
+fn set_time(node: &mut Node, now: Millis) {
     node.now = now;
     node.wall_ms = WALL + now;
     node.lease_renewer.holds_key = true;
@@ -37,7 +38,7 @@
     node.read_barrier.confirmed_at = Some(now);
 }
 
-fn revoke_and_count_renewals(node: &mut Node, asked: Millis, inquiry: bool) -> usize {
+fn revoke_and_count_renewals(node: &mut Node, sent_at: Millis, inquiry: bool) -> usize {
     let revocation = LeaseRevocation {
         term: 3,
         machines: vec![SilentMachine {
@@ -45,12 +46,12 @@
             incarnation: 1,
             is_inquiry: inquiry,
         }],
-        asked_at_ms: WALL + asked,
+        asked_at_ms: WALL + sent_at,
     };
     node.handle_revocation(1, revocation);
     match node.effects.pop() {
-        Some(Effect::RespondRevocation(_, word)) => word.renewals.len(),
-        other => panic!("no answer but {other:?}"),
+        Some(Effect::RespondRevocation(_, reply)) => reply.renewals.len(),
+        other => panic!("expected a reply, got {other:?}"),
     }
 }
 
@@ -73,59 +74,60 @@
     node.renew_worker_lease(&report(Vec::new())).is_some()
 }
 
-/// A cut held questions back for half a minute; taken for new ones, they let thirteen machines
-/// that the leader had long heard again die when only this node could be reached.
+/// A network partition delayed revocations by half a minute. The leader had long received reports of the
+/// thirteen machines again, but this node accepted the revocations as current, and the machines' leases expired
+/// when they could reach only this node.
 #[test]
 fn revocation_promise_binds_until_it_expires_and_stale_revocations_are_ignored() {
     let mut node = renewer_node(START);
     assert_eq!(revoke_and_count_renewals(&mut node, START, true), 1);
-    assert!(renews_worker(&mut node), "an inquiry binds to nothing");
+    assert!(renews_worker(&mut node), "an inquiry revokes nothing");
     let mut node = renewer_node(START);
     assert_eq!(revoke_and_count_renewals(&mut node, START, false), 1);
     for (after, expected) in [
         (0, false),
         (REPLY_VALIDITY_MS + 500, false),
-        (PROMISE_DURATION_MS, true),
+        (REVOCATION_DURATION_MS, true),
     ] {
-        at(&mut node, START + after);
+        set_time(&mut node, START + after);
         assert_eq!(
             renews_worker(&mut node),
             expected,
-            "{after} ms after the promise"
+            "{after} ms after the revocation"
         );
     }
     let mut node = renewer_node(START);
     assert_eq!(
         revoke_and_count_renewals(&mut node, START - 30_000, false),
         0,
-        "a late question"
+        "a delayed revocation"
     );
     assert!(renews_worker(&mut node));
 }
 
-/// Either alone would do harm: with a key but no news, a cancelled task is kept alive for longer than it
-/// may be; with news but no key, the leader takes the machine for gone.
+/// One of the two alone is not enough: with the key but an outdated registry, a cancelled task is kept alive for
+/// longer than allowed; with a recent registry but no key, the leader counts the machine as lost.
 #[test]
 fn lease_renewal_requires_recent_sync_and_renewer_key() {
     let mut node = renewer_node(START);
-    let (allowance, life) = (node.timeouts.renewal_allowance, node.timeouts.renewer_lease);
-    for (synced, held, expected) in [
+    let (allowance, lease_ms) = (node.timeouts.renewal_allowance, node.timeouts.renewer_lease);
+    for (sync_age, lease_age, expected) in [
         (allowance - 1, 0, true),
         (allowance, 0, false),
-        (0, life - RENEWER_LEASE_MARGIN_MS - 1, true),
-        (0, life - RENEWER_LEASE_MARGIN_MS, false),
+        (0, lease_ms - RENEWER_LEASE_MARGIN_MS - 1, true),
+        (0, lease_ms - RENEWER_LEASE_MARGIN_MS, false),
     ] {
-        node.read_barrier.confirmed_at = Some(START - synced);
-        node.lease_renewer.lease_confirmed_at = START - held;
+        node.read_barrier.confirmed_at = Some(START - sync_age);
+        node.lease_renewer.lease_confirmed_at = START - lease_age;
         assert_eq!(
             renews_worker(&mut node),
             expected,
-            "{synced} and {held} ms ago"
+            "registry {sync_age} ms old, lease confirmed {lease_age} ms ago"
         );
     }
 }
 
-/// A process that had this label before may have renewed a machine until this one began.
+/// An earlier process with this label may have renewed a machine's lease until this one started.
 #[test]
 fn restarted_renewer_does_not_answer_for_its_predecessor() {
     let mut node = renewer_node(3000);
@@ -139,20 +141,21 @@
         asked_at_ms: WALL + 3000,
     };
     node.handle_revocation(1, revocation);
-    let Some(Effect::RespondRevocation(_, word)) = node.effects.pop() else {
-        panic!("no answer");
+    let Some(Effect::RespondRevocation(_, reply)) = node.effects.pop() else {
+        panic!("expected a reply");
     };
-    assert_eq!(word.renewals[0].age_ms, 3000);
+    assert_eq!(reply.renewals[0].age_ms, 3000);
 }
 
-/// A process before wrote its key late, after its successor's: it hung on a lease that nobody renewed.
+/// An earlier process's write of the key was applied late, after its successor's: the key was then on a lease that
+/// no process renewed.
 #[test]
 fn renewer_key_write_is_compare_and_swap_on_read_version() {
-    for (known, version) in [(None, 0), (Some(7), 7)] {
+    for (registered, version) in [(None, 0), (Some(7), 7)] {
         let mut node = renewer_node(START);
         node.registry.mark_loaded_for_test();
         (node.lease_renewer.lease, node.lease_renewer.holds_key) = (Some(3), false);
-        if let Some(version) = known {
+        if let Some(version) = registered {
             node.registry.lease_renewers.insert("n0".into(), version);
         }
         node.maintain_renewer_lease();
@@ -161,33 +164,33 @@
             ..
         }) = node.effects.pop()
         else {
-            panic!("no write");
+            panic!("expected a write");
         };
         let key = storage::lease_renewer_key("n0");
         assert_eq!(txn.conditions, [Condition { key, version }]);
     }
-    // One of a version before, which writes without a condition: the key is not held any more.
+    // A process of an earlier release writes without a condition: this node no longer holds the key.
     let mut node = renewer_node(START);
     (node.lease_renewer.lease, node.lease_renewer.key_version) = (Some(3), 9);
     node.on_renewer_registered("n0".into(), 9);
-    assert!(renews_worker(&mut node), "its own");
+    assert!(renews_worker(&mut node), "the key is its own");
     node.on_renewer_registered("n0".into(), 12);
     assert!(!renews_worker(&mut node));
 }
 
-/// The status that a report is answered with at a time.
+/// The HTTP status of the answer to a report at a time when an announcement of the leader has just arrived.
 fn heartbeat_status(node: &mut Node, report: &Report, now: Millis) -> u16 {
-    at(node, now);
+    set_time(node, now);
     node.lease_renewer.leader_heard_at = Some(now);
     node.handle_heartbeat_as_renewer(1, report);
     match node.effects.pop() {
-        Some(Effect::Respond(_, answer)) => answer.status,
-        other => panic!("no answer but {other:?}"),
+        Some(Effect::Respond(_, response)) => response.status,
+        other => panic!("expected a response, got {other:?}"),
     }
 }
 
-/// The state service refused a leader alone: for 18 s it kept eleven workers alive that its
-/// successor, which it could hear, did not hear of.
+/// Only the leader lost access to the state service. For 18 s it kept renewing the leases of eleven workers that
+/// its successor received no reports from, although the successor's announcements reached it.
 #[test]
 fn heartbeat_is_redirected_to_a_leader_known_only_from_members() {
     let mut node = renewer_node(START);
@@ -203,25 +206,33 @@
     assert_eq!(
         heartbeat_status(&mut node, &idle, START),
         200,
-        "nobody else is known"
+        "no other leader is known"
     );
-    let told = |term| LeaderAnnouncement {
+    let announcement = |term| LeaderAnnouncement {
         term,
         leader: "n2".into(),
         jobs: Vec::new(),
         reservations: Vec::new(),
     };
-    node.on_leader_announcement(told(2));
-    assert_eq!(node.current_other_leader(), None, "an old one");
-    node.on_leader_announcement(told(4));
+    node.on_leader_announcement(announcement(2));
+    assert_eq!(
+        node.current_other_leader(),
+        None,
+        "the announcement is of an old term"
+    );
+    node.on_leader_announcement(announcement(4));
     assert_eq!(node.current_other_leader().as_deref(), Some("n2"));
     assert_eq!(heartbeat_status(&mut node, &idle, START + 100), 421);
-    at(&mut node, START + 10_000);
-    assert_eq!(node.current_other_leader(), None, "not heard of any more");
+    set_time(&mut node, START + 10_000);
+    assert_eq!(
+        node.current_other_leader(),
+        None,
+        "the announcement has expired"
+    );
 }
 
-/// A node was started anew inside a cut: each worker's first report there was sent on to the
-/// leader, which it could not reach, and its lease ran out on the way.
+/// A node restarted inside a network partition. It redirected each worker's first report to the leader, which
+/// the worker could not reach, and the worker's lease expired before it came back.
 #[test]
 fn busy_worker_lease_is_renewed_before_redirect_to_leader() {
     let mut node = renewer_node(START);
@@ -244,7 +255,8 @@
         cause: None,
         saved: None,
     }]);
-    // It is renewed, sent on with most of its lease left, renewed when it comes back, and so on.
+    // The lease is renewed; the worker is redirected with most of its lease left; the lease is renewed when the
+    // worker comes back, and so on.
     let steps = [
         (0, 200),
         (2500, 421),
@@ -253,7 +265,7 @@
         (13_600, 421),
     ];
     for (after, status) in steps {
-        let found = heartbeat_status(&mut node, &busy, START + after);
-        assert_eq!(found, status, "{after} ms after the first");
+        let answered = heartbeat_status(&mut node, &busy, START + after);
+        assert_eq!(answered, status, "{after} ms after the first report");
     }
 }
--- a/src/coordination/reachability.rs
+++ b/src/coordination/reachability.rs
@@ -1,5 +1,5 @@
-//! Whether the workers reach the leader. One whose lease stays fresh while it hears few of them holds
-//! everything up: it resigns in favour of a member that hears more.
+//! Whether workers can reach the leader. A leader that keeps its lease but receives reports of few workers
+//! blocks all scheduling: it resigns in favour of a member that receives reports of more.
 
 use std::collections::HashMap;
 
@@ -11,81 +11,93 @@
 };
 
 const MEMBER_INQUIRY_INTERVAL_MS: Millis = 500;
-/// A member's word counts for this long.
+/// How long a member's count of reporting workers is used.
 const MEMBER_REPORT_VALIDITY_MS: Millis = 2000;
-/// What is heard must have been little for this long.
-const MIN_SILENCE_BEFORE_RESIGNING_MS: Millis = 1000;
-/// A node that has resigned lets others take over for this long: a lease of the state service is gone and
-/// another acquired well within that, whatever the workers do.
+/// Many machines must have been unresponsive for this long before the leader resigns.
+const MIN_UNRESPONSIVE_MS: Millis = 1000;
+/// How long a node that has resigned does not try to lead again: its lease is released, and another node
+/// acquires one well within this time, whatever the timings of the workers are.
 pub(super) const RESIGNATION_BACKOFF_MS: Millis = 8000;
-/// Parts of the fleet: silent machines from which on members are asked, by how much more a member must
-/// hear, and what must be heard of it when no member answers.
-const SILENT_FLEET_DIVISOR: usize = 4;
+/// The members are asked while more than one in this many machines is unresponsive.
+const UNRESPONSIVE_FLEET_DIVISOR: usize = 4;
+/// The leader resigns if a member receives reports of more machines than it does, by more than the number
+/// of all machines divided by this.
 const BETTER_REACH_DIVISOR: usize = 10;
-const FEW_HEARD_RATIO: (usize, usize) = (2, 5);
+/// If no member answers, the leader resigns when it receives reports of less than this fraction of the
+/// machines (numerator and denominator).
+const MIN_REACHED_RATIO: (usize, usize) = (2, 5);
 
-/// What is known of the workers that other members hear.
+/// How many workers reach this leader and the other members.
 #[derive(Default)]
 pub struct WorkerReachability {
-    /// Since when many machines are silent.
-    mostly_silent_since: Option<Millis>,
+    /// Since when many machines have been unresponsive.
+    many_unresponsive_since: Option<Millis>,
+    /// When the members were last asked.
     asked_at: Millis,
-    /// How many workers each member hears, and when it said so.
+    /// How many workers recently reported to each member, and when its reply arrived.
     member_reports: HashMap<String, (Millis, usize)>,
 }
 
 impl WorkerReachability {
-    pub fn record_member_report(&mut self, label: String, hears: usize, now: Millis) {
-        self.member_reports.insert(label, (now, hears));
+    /// Records how many workers recently reported to a member, from the member's reply.
+    pub fn record_member_report(&mut self, label: String, reporting_workers: usize, now: Millis) {
+        self.member_reports.insert(label, (now, reporting_workers));
     }
 
-    /// Whether another node should lead instead of one that hears `heard` of `all` machines.
-    fn should_resign(&self, heard: usize, all: usize, now: Millis) -> bool {
+    /// Whether another node should lead instead of this one, which is reached by `reached` of `total` machines.
+    fn should_resign(&self, reached: usize, total: usize, now: Millis) -> bool {
         if self
-            .mostly_silent_since
-            .is_none_or(|since| since + MIN_SILENCE_BEFORE_RESIGNING_MS > now)
+            .many_unresponsive_since
+            .is_none_or(|since| since + MIN_UNRESPONSIVE_MS > now)
         {
             return false;
         }
-        let words = self.member_reports.values();
-        let others = words.filter(|(at, _)| at + MEMBER_REPORT_VALIDITY_MS > now);
-        match others.map(|(_, hears)| *hears).max() {
-            // One more is no proof in a small fleet: workers seek about, and machines that are gone count in `all`
-            // until their leases have run out. Leaders resigned in turn, each before that.
-            Some(hears) => hears > heard + (all / BETTER_REACH_DIVISOR).max(1),
-            // Cut off from the members too: whoever can take over hears no less.
-            None => heard * FEW_HEARD_RATIO.1 < all * FEW_HEARD_RATIO.0,
+        let reports = self.member_reports.values();
+        let reports = reports.filter(|(at, _)| at + MEMBER_REPORT_VALIDITY_MS > now);
+        match reports.map(|(_, count)| *count).max() {
+            // In a small fleet a difference of one proves nothing: workers try several nodes, and lost machines
+            // count in `total` until their leases have expired. Without this minimum, one leader after the
+            // other resigned before those leases had expired.
+            Some(best) => best > reached + (total / BETTER_REACH_DIVISOR).max(1),
+            // This node can't reach the members either: a node that can take over is reached by no fewer workers.
+            None => reached * MIN_REACHED_RATIO.1 < total * MIN_REACHED_RATIO.0,
         }
     }
 }
 
 impl Node {
-    /// Looks at how many machines are silent, asks the members how many they hear, and resigns where
-    /// that is right.
+    /// Counts the unresponsive machines. If there are many, asks the members how many workers report to them,
+    /// and resigns the leadership if another node should lead.
     pub(super) fn check_reachability(&mut self) {
         let now = self.now;
         let asked_ms = self.wall_ms;
-        let woke = self.just_resumed();
+        let just_resumed = self.just_resumed();
         let Some(leader) = &mut self.leader_state else {
             return;
         };
         let Some(cluster) = &leader.cluster else {
             return;
         };
-        let up = cluster.machines.iter();
-        let up = up.filter(|machine| machine.state == MachineState::Up);
-        let (all, silent) = up.fold((0, 0), |(all, silent), machine| {
-            (all + 1, silent + usize::from(machine.unresponsive))
+        let machines_up = cluster.machines.iter();
+        let machines_up = machines_up.filter(|machine| machine.state == MachineState::Up);
+        let (total, unresponsive) = machines_up.fold((0, 0), |(total, unresponsive), machine| {
+            (total + 1, unresponsive + usize::from(machine.unresponsive))
         });
-        let settled = leader.takeover_at + self.timeouts.takeover_settling <= now && !woke;
-        if !settled || self.config.members.is_empty() || silent * SILENT_FLEET_DIVISOR <= all {
-            leader.reachability.mostly_silent_since = None;
+        let settled = leader.takeover_at + self.timeouts.takeover_settling <= now && !just_resumed;
+        if !settled
+            || self.config.members.is_empty()
+            || unresponsive * UNRESPONSIVE_FLEET_DIVISOR <= total
+        {
+            leader.reachability.many_unresponsive_since = None;
             return;
         }
-        leader.reachability.mostly_silent_since.get_or_insert(now);
-        let heard = all - silent;
-        if leader.reachability.should_resign(heard, all, now) {
-            tracing::warn!(heard, all, members = ?leader.reachability.member_reports, "resigns: out of the workers' reach");
+        leader
+            .reachability
+            .many_unresponsive_since
+            .get_or_insert(now);
+        let reached = total - unresponsive;
+        if leader.reachability.should_resign(reached, total, now) {
+            tracing::warn!(reached, total, members = ?leader.reachability.member_reports, "resigning leadership: too few workers reach this node");
             return self.resign_leadership();
         }
         if leader.reachability.asked_at + MEMBER_INQUIRY_INTERVAL_MS > now {
@@ -106,7 +118,7 @@
         }
     }
 
-    /// Gives the leadership up, for others to take at once.
+    /// Steps down and releases the leader's lease, so that another node can take over immediately.
     fn resign_leadership(&mut self) {
         let Some(lease) = self.leader_state.as_ref().map(|leader| leader.lease) else {
             return;
