--- a/src/coordination/lease_renewer.rs
+++ b/src/coordination/lease_renewer.rs
@@ -5,8 +5,8 @@
 //! holds its key `shared/deputy/<node>` on a lease of its own, and while its copy of the job registry is so
 //! recent that a cancellation accepted by another node can still be carried out in time. In return, the
 //! leader counts the tasks of an unresponsive machine as gone only when no node can have renewed the
-//! machine's lease: each node that holds such a key has replied that it has not, and that it renews this
-//! incarnation no more, and each former holder lost its key at least one whole lease ago.
+//! machine's lease: each node that holds such a key has replied that it did not renew it and has agreed not
+//! to renew this incarnation, and each former holder lost its key at least one whole lease ago.
 
 use std::collections::{HashMap, HashSet};
 
@@ -207,7 +207,7 @@
             return;
         }
         if let Some(leader) = &mut self.leader_state {
-            leader.revocations.on_gone(label, self.now);
+            leader.revocations.on_deregistered(label, self.now);
         }
     }
 
@@ -235,7 +235,7 @@
     /// Until when this node may answer reports with 200: until then its key certainly exists, and a
     /// cancellation that another node accepted just after the last read barrier can still be carried out in
     /// time, because workers' leases expire. `None`: it may not.
-    pub(super) fn renewal_right_ends_at(&self) -> Option<Millis> {
+    pub(super) fn may_renew_until(&self) -> Option<Millis> {
         let synced_at = self
             .read_barrier
             .confirmed_at
@@ -251,8 +251,7 @@
 
     /// Whether this node may answer reports with 200 now.
     pub(super) fn can_renew(&self) -> bool {
-        self.renewal_right_ends_at()
-            .is_some_and(|until| self.now < until)
+        self.may_renew_until().is_some_and(|until| self.now < until)
     }
 
     /// Handles a heartbeat on a node that does not lead: renews the worker's lease, or redirects the worker to
--- a/src/coordination/provisioning.rs
+++ b/src/coordination/provisioning.rs
@@ -1,4 +1,5 @@
-//! The leader and the cloud: renting, returning, and what the lagging list is good for.
+//! Provisioning: the leader requests and deletes machines in the cloud, and lists them. The list lags behind
+//! the cloud's actual state.
 
 use crate::{
     autoscaler::{Autoscaler, InstanceRequest, Offer},
@@ -13,10 +14,10 @@
 };
 
 const CLOUD_TIMEOUT_MS: Millis = 5000;
-/// The list is asked for this often while some machine is silent, else as often as it is new.
+/// Machines are listed at most this often while one of them is unresponsive, else at most once per list lag.
 const LIST_INTERVAL_MS: Millis = 3000;
-/// InstanceRequest requests under way: the cloud takes few calls a second, and an answer changes the plan.
-/// Requests that queue up would be refused for what an earlier answer has told already.
+/// How many instance requests may be in flight: the cloud accepts few calls a second, and each answer changes
+/// the plan. Queued requests would be rejected for a reason that an earlier answer has already given.
 const MAX_INSTANCE_REQUESTS: usize = 2;
 const DELETE_INTERVAL_MS: Millis = 2000;
 const PLAN_INTERVAL_MS: Millis = 1000;
@@ -24,41 +25,47 @@
 const TYPES_RETRY_MS: Millis = 1000;
 const TYPES_STORE_INTERVAL_MS: Millis = 10_000;
 const CLOUD_BACKOFF_MS: Millis = 1500;
-/// Machines that were lost come back when a cut ends; this long is waited for them.
+/// A lost machine is deleted after this time: until then it may report again when a network partition ends.
 const LOST_MACHINE_GRACE_MS: Millis = 30_000;
-/// A machine that has not come up after this many times its usual time is given up.
+/// A machine that has not reported after this many times the boot time of its type is deleted.
 const MAX_BOOT_TIME_FACTOR: f64 = 4.0;
 const MAX_DELETIONS_PER_REQUEST: usize = 100;
 
-/// What is under way with the cloud.
+/// The provisioning state of one leadership: the autoscaler, and the calls to the cloud that are in flight.
 #[derive(Default)]
 pub struct Provisioning {
+    /// Decides which machines to request and which to delete.
     pub autoscaler: Autoscaler,
+    /// Instance requests that the cloud has not answered, by name.
     requests_in_flight: Vec<(String, InstanceRequest)>,
+    /// How many instance requests this leadership has made.
     requests_made: u64,
     planned_at: Millis,
+    /// After an error nothing is requested or deleted until then.
     backoff_until: Millis,
-    listing: bool,
+    list_in_flight: bool,
     listed_at: Millis,
+    /// The machines on the pages of the current list that have arrived.
     listed_machines: Vec<ListedMachine>,
     /// When the machine types were last written to the state service; 0: not yet.
     machine_types_stored_at: Millis,
-    deleting: bool,
+    deletion_in_flight: bool,
     deleted_at: Millis,
 }
 
 impl Node {
+    /// Requests the machine types from the cloud: until they are known, and regularly while leading.
     pub(super) fn request_machine_types(&mut self) {
-        let every = match self.machine_types_known_at {
+        let interval_ms = match self.machine_types_known_at {
             None => TYPES_RETRY_MS,
             Some(_) => TYPES_INTERVAL_MS,
         };
-        // Followers need no prices.
-        let due = self.machine_types_known_at.is_none() || self.leader_state.is_some();
-        if !due
+        // A follower needs no current prices.
+        let is_due = self.machine_types_known_at.is_none() || self.leader_state.is_some();
+        if !is_due
             || self
                 .machine_types_asked_at
-                .is_some_and(|at| at + every > self.now)
+                .is_some_and(|at| at + interval_ms > self.now)
         {
             return;
         }
@@ -70,18 +77,18 @@
         });
     }
 
-    /// Keeps the machine types in the store, for nodes that start while the cloud is down.
+    /// Writes the machine types to the state service, for nodes that start while the cloud is down.
     pub(super) fn store_machine_types(&mut self) {
         let Some(leader) = &mut self.leader_state else {
             return;
         };
-        let same = self
+        let is_unchanged = self
             .registry
             .machine_types
             .as_ref()
-            .is_some_and(|(known, _)| {
-                known.types.len() == self.machine_types.len()
-                    && known.types.iter().zip(&self.machine_types).all(|(a, b)| {
+            .is_some_and(|(stored, _)| {
+                stored.types.len() == self.machine_types.len()
+                    && stored.types.iter().zip(&self.machine_types).all(|(a, b)| {
                         a.name == b.name
                             && a.cpus == b.cpus
                             && a.gpus == b.gpus
@@ -90,7 +97,7 @@
                             && a.zones == b.zones
                     })
             });
-        if same
+        if is_unchanged
             || leader.provisioning.machine_types_stored_at + TYPES_STORE_INTERVAL_MS > self.now
                 && leader.provisioning.machine_types_stored_at > 0
         {
@@ -98,12 +105,12 @@
         }
         leader.provisioning.machine_types_stored_at = self.now;
         let condition = leader.leadership_condition();
-        let bytes = self.config.settings.state.max_value_bytes();
-        for (key, value) in storage::machine_types_records(&self.machine_types, bytes) {
-            // A write of this leader's that is applied late must not overwrite a newer one.
-            let known = self.registry.machine_types_versions.get(&key);
+        let max_value_bytes = self.config.settings.state.max_value_bytes();
+        for (key, value) in storage::machine_types_records(&self.machine_types, max_value_bytes) {
+            // An earlier write of this leader that is applied late must not overwrite a newer one.
+            let version = self.registry.machine_types_versions.get(&key);
             let mut txn = Txn::only_if(condition.clone());
-            txn.put(key, known.copied().unwrap_or(0), value);
+            txn.put(key, version.copied().unwrap_or(0), value);
             self.call_state_service(
                 StateTag::WriteMachineTypes,
                 StateRequest::Txn(txn),
@@ -121,6 +128,7 @@
         });
     }
 
+    /// Handles an answer of the cloud; answers to requests of an earlier leadership are dropped.
     pub(super) fn on_cloud_response(
         &mut self,
         tag: CloudTag,
@@ -157,12 +165,13 @@
         }
     }
 
+    /// Requests the first page of the machine list, and probes machines that have not reported yet.
     pub(super) fn request_instance_list(&mut self) {
         let now = self.now;
         let Some(leader) = &mut self.leader_state else {
             return;
         };
-        leader.provisioning.listing = true;
+        leader.provisioning.list_in_flight = true;
         leader.provisioning.listed_at = now;
         leader.provisioning.listed_machines.clear();
         let lease = leader.lease;
@@ -173,19 +182,20 @@
         self.probe_unreported_machines();
     }
 
-    /// Machines that predecessors' notes or the list name, and that have not reported to us yet.
+    /// Requests a report from each machine that earlier leaders' log or the list names and that has not reported to
+    /// this leader yet.
     fn probe_unreported_machines(&mut self) {
         let Some(cluster) = self.leader_state.as_ref().and_then(|l| l.cluster.as_ref()) else {
             return;
         };
-        let unheard: Vec<(String, String)> = cluster
+        let unreported: Vec<(String, String)> = cluster
             .machines
             .iter()
             .filter(|m| m.last_heartbeat_at.is_none() && m.state != MachineState::Gone)
             .filter(|m| m.state == MachineState::Up || m.listed_running.is_some())
             .filter_map(|m| Some((m.name.clone(), m.addr.clone()?)))
             .collect();
-        for (name, addr) in unheard {
+        for (name, addr) in unreported {
             self.probe_machine(name, addr);
         }
     }
@@ -193,33 +203,33 @@
     #[expect(clippy::too_many_lines, reason = "still to be split")]
     fn on_instance_list(&mut self, result: Result<CloudReply, CloudError>) {
         let now = self.now;
-        let lag = self.config.settings.cloud.list_lag_s;
+        let list_lag_s = self.config.settings.cloud.list_lag_s;
         let Some(leader) = &mut self.leader_state else {
             return;
         };
         let lease = leader.lease;
-        let renting = &mut leader.provisioning;
+        let provisioning = &mut leader.provisioning;
         let Ok(CloudReply::List(list)) = result else {
-            renting.listing = false;
+            provisioning.list_in_flight = false;
             return;
         };
-        let more = list.more && !list.machines.is_empty();
+        let has_more = list.more && !list.machines.is_empty();
         let after = list.machines.last().map(|machine| machine.id.clone());
-        renting.listed_machines.extend(list.machines);
-        if more {
+        provisioning.listed_machines.extend(list.machines);
+        if has_more {
             return self.call_cloud(
                 CloudTag::ListInstances { lease },
                 CloudRequest::List { after },
             );
         }
-        renting.listing = false;
-        let listed = std::mem::take(&mut renting.listed_machines);
+        provisioning.list_in_flight = false;
+        let listed = std::mem::take(&mut provisioning.listed_machines);
         let Some(cluster) = &mut leader.cluster else {
             return;
         };
         let mut present = vec![false; cluster.machines.len()];
         for machine in listed {
-            let Some(type_ix) = cluster
+            let Some(type_index) = cluster
                 .type_interner
                 .get(&machine.type_name)
                 .map(MachineTypeIndex)
@@ -227,13 +237,13 @@
                 continue;
             };
             let zone = cluster.intern_zone(&machine.zone);
-            let index = cluster.add_machine(&machine.id, type_ix, zone, machine.spot, now);
+            let index = cluster.add_machine(&machine.id, type_index, zone, machine.spot, now);
             present.resize(cluster.machines.len(), false);
             present[index.as_usize()] = true;
             let entry = &mut cluster.machines[index.as_usize()];
             if !entry.listed {
-                let held = millis(machine.age_s.clamp(0.0, 1e9));
-                entry.provisioned_at = entry.provisioned_at.min(now.saturating_sub(held));
+                let age_ms = millis(machine.age_s.clamp(0.0, 1e9));
+                entry.provisioned_at = entry.provisioned_at.min(now.saturating_sub(age_ms));
             }
             entry.listed = true;
             entry.missed_listings = 0;
@@ -248,90 +258,95 @@
                 MachineStatus::Failed => entry.listed_failed = true,
             }
         }
-        // A machine that was listed stays so until it is gone, but a list may be older than the one
-        // before, even older than the machine.
+        // A machine stays on the list until it is gone, but a list may be older than the previous one, and
+        // even older than the machine.
         for (machine, present) in cluster.machines.iter_mut().zip(present) {
-            let old = machine.known_since + millis(4.0 * lag) <= now;
-            if !present && machine.listed && old {
+            let is_established = machine.known_since + millis(4.0 * list_lag_s) <= now;
+            if !present && machine.listed && is_established {
                 machine.missed_listings += 1;
             }
         }
         self.probe_unreported_machines();
     }
 
-    /// Asks the cloud for what the books call for, and returns what they don't.
+    /// Requests and deletes machines as the cluster state calls for, and lists them regularly.
     #[expect(clippy::too_many_lines, reason = "still to be split")]
     pub(super) fn run_provisioning(&mut self) {
         let now = self.now;
-        let wall = self.wall_ms;
+        let wall_ms = self.wall_ms;
         let may_act = self.can_start_tasks();
         let list_lag = millis(self.config.settings.cloud.list_lag_s);
-        let silence = self.timeouts.heartbeat_timeout;
+        let heartbeat_timeout = self.timeouts.heartbeat_timeout;
         self.store_machine_types();
         let Some(leader) = &mut self.leader_state else {
             return;
         };
         let (lease, term) = (leader.lease, leader.first_term);
-        let renting = &mut leader.provisioning;
+        let provisioning = &mut leader.provisioning;
         let Some(cluster) = &mut leader.cluster else {
             return;
         };
-        let list = !renting.listing
-            && renting.listed_at + LIST_INTERVAL_MS <= now
-            && (renting.listed_at + list_lag <= now
+        let is_list_due = !provisioning.list_in_flight
+            && provisioning.listed_at + LIST_INTERVAL_MS <= now
+            && (provisioning.listed_at + list_lag <= now
                 || cluster.machines.iter().any(|m| m.unresponsive));
         let mut requests = Vec::new();
-        if may_act && renting.backoff_until <= now {
-            if renting.planned_at + PLAN_INTERVAL_MS <= now
-                && renting.requests_in_flight.len() < MAX_INSTANCE_REQUESTS
+        if may_act && provisioning.backoff_until <= now {
+            if provisioning.planned_at + PLAN_INTERVAL_MS <= now
+                && provisioning.requests_in_flight.len() < MAX_INSTANCE_REQUESTS
             {
-                renting.planned_at = now;
-                let under_way: Vec<InstanceRequest> = renting
+                provisioning.planned_at = now;
+                let in_flight: Vec<InstanceRequest> = provisioning
                     .requests_in_flight
                     .iter()
                     .map(|(_, r)| r.clone())
                     .collect();
-                let (rentals, returns) = renting
+                let (additions, removals) = provisioning
                     .autoscaler
-                    .plan_scaling(cluster, &under_way, now, wall);
-                for index in returns {
+                    .plan_scaling(cluster, &in_flight, now, wall_ms);
+                for index in removals {
                     cluster.machines[index.as_usize()].state = MachineState::Deleting;
                 }
-                for rental in rentals {
-                    let asked = renting
+                for addition in additions {
+                    let is_requested = provisioning
                         .requests_in_flight
                         .iter()
-                        .any(|(_, r)| r.offer == rental.offer);
-                    if asked || renting.requests_in_flight.len() >= MAX_INSTANCE_REQUESTS {
+                        .any(|(_, r)| r.offer == addition.offer);
+                    if is_requested
+                        || provisioning.requests_in_flight.len() >= MAX_INSTANCE_REQUESTS
+                    {
                         continue;
                     }
-                    renting.requests_made += 1;
-                    // Never used again: terms are not, and the counter counts within one.
-                    let name = format!("r-{term}-{}", renting.requests_made);
-                    let kind = &cluster.machine_types[rental.offer.machine_type.as_usize()];
+                    provisioning.requests_made += 1;
+                    // The name is unique: no other leadership has this term, and the counter counts within one.
+                    let name = format!("r-{term}-{}", provisioning.requests_made);
+                    let machine_type =
+                        &cluster.machine_types[addition.offer.machine_type.as_usize()];
                     tracing::info!(
                         name,
-                        kind = kind.name,
-                        count = rental.count,
-                        zone = cluster.zone_names[rental.offer.zone.as_usize()],
-                        spot = rental.offer.spot,
-                        "renting"
+                        machine_type = machine_type.name,
+                        count = addition.count,
+                        zone = cluster.zone_names[addition.offer.zone.as_usize()],
+                        spot = addition.offer.spot,
+                        "requesting machines"
                     );
                     requests.push((
                         CloudTag::RequestInstances {
                             lease,
                             request_name: name.clone(),
                         },
-                        CloudRequest::Rent(instance_request(cluster, &name, &rental)),
+                        CloudRequest::Rent(instance_request(cluster, &name, &addition)),
                     ));
-                    renting.requests_in_flight.push((name, rental));
+                    provisioning.requests_in_flight.push((name, addition));
                 }
             }
-            if !renting.deleting && renting.deleted_at + DELETE_INTERVAL_MS <= now {
-                renting.deleted_at = now;
-                let names = machines_to_delete(cluster, now, silence);
+            if !provisioning.deletion_in_flight
+                && provisioning.deleted_at + DELETE_INTERVAL_MS <= now
+            {
+                provisioning.deleted_at = now;
+                let names = machines_to_delete(cluster, now, heartbeat_timeout);
                 if !names.is_empty() {
-                    renting.deleting = true;
+                    provisioning.deletion_in_flight = true;
                     tracing::info!(?names, "deleting machines");
                     requests.push((
                         CloudTag::DeleteInstances {
@@ -346,7 +361,7 @@
         for (tag, request) in requests {
             self.call_cloud(tag, request);
         }
-        if list {
+        if is_list_due {
             self.request_instance_list();
         }
     }
@@ -357,50 +372,51 @@
             return;
         };
         let lease = leader.lease;
-        let renting = &mut leader.provisioning;
+        let provisioning = &mut leader.provisioning;
         let Some(cluster) = &mut leader.cluster else {
             return;
         };
-        let Some(at) = renting
+        let Some(position) = provisioning
             .requests_in_flight
             .iter()
-            .position(|(known, _)| known == name)
+            .position(|(in_flight, _)| in_flight == name)
         else {
             return;
         };
-        let rental = renting.requests_in_flight[at].1.clone();
-        let offer = rental.offer;
-        renting.planned_at = 0;
+        let request = provisioning.requests_in_flight[position].1.clone();
+        let offer = request.offer;
+        provisioning.planned_at = 0;
         match result {
             Ok(CloudReply::Rented(names)) => {
-                renting.requests_in_flight.swap_remove(at);
-                if (names.len() as u32) < rental.count {
-                    renting.autoscaler.mark_unavailable(offer, now);
+                provisioning.requests_in_flight.swap_remove(position);
+                if (names.len() as u32) < request.count {
+                    provisioning.autoscaler.mark_unavailable(offer, now);
                 }
                 for machine in &names {
                     cluster.add_machine(machine, offer.machine_type, offer.zone, offer.spot, now);
                 }
-                tracing::debug!(name, ?names, "rented");
+                tracing::debug!(name, ?names, "machines provisioned");
             }
             Ok(CloudReply::NoCapacity) => {
                 tracing::debug!(name, ?offer, "no capacity");
-                renting.requests_in_flight.swap_remove(at);
-                renting.autoscaler.mark_unavailable(offer, now);
+                provisioning.requests_in_flight.swap_remove(position);
+                provisioning.autoscaler.mark_unavailable(offer, now);
             }
-            // It may have been carried out: the same name tells, and rents nothing twice.
+            // The request may have been executed. It is sent again under the same name, which the cloud
+            // executes only once.
             Err(CloudError::NoAnswer) => {
-                let request = CloudRequest::Rent(instance_request(cluster, name, &rental));
+                let retry = CloudRequest::Rent(instance_request(cluster, name, &request));
                 self.call_cloud(
                     CloudTag::RequestInstances {
                         lease,
                         request_name: name.to_owned(),
                     },
-                    request,
+                    retry,
                 );
             }
             _ => {
-                renting.requests_in_flight.swap_remove(at);
-                renting.backoff_until = now + CLOUD_BACKOFF_MS;
+                provisioning.requests_in_flight.swap_remove(position);
+                provisioning.backoff_until = now + CLOUD_BACKOFF_MS;
             }
         }
     }
@@ -410,7 +426,7 @@
         let Some(leader) = &mut self.leader_state else {
             return;
         };
-        leader.provisioning.deleting = false;
+        leader.provisioning.deletion_in_flight = false;
         let Some(cluster) = &mut leader.cluster else {
             return;
         };
@@ -427,47 +443,52 @@
     }
 }
 
-fn instance_request(cluster: &ClusterState, name: &str, rental: &InstanceRequest) -> RentRequest {
+fn instance_request(cluster: &ClusterState, name: &str, request: &InstanceRequest) -> RentRequest {
     let Offer {
-        machine_type: type_ix,
+        machine_type: type_index,
         zone,
         spot,
-    } = rental.offer;
+    } = request.offer;
     RentRequest {
         name: name.to_owned(),
-        type_name: cluster.machine_types[type_ix.as_usize()].name.clone(),
+        type_name: cluster.machine_types[type_index.as_usize()].name.clone(),
         zone: cluster.zone_names[zone.as_usize()].clone(),
         spot,
-        count: rental.count,
+        count: request.count,
     }
 }
 
-/// Machines to delete: returned ones, and those that are gone or will never be of use.
-fn machines_to_delete(cluster: &ClusterState, now: Millis, silence: Millis) -> Vec<String> {
+/// The names of machines to delete: those that are scaled in, lost or failed, or did not boot
+/// in time.
+fn machines_to_delete(
+    cluster: &ClusterState,
+    now: Millis,
+    heartbeat_timeout: Millis,
+) -> Vec<String> {
     cluster
         .machines
         .iter()
         .filter(|machine| {
-            let boot = cluster.machine_types[machine.machine_type.as_usize()].boot_s
+            let max_boot_s = cluster.machine_types[machine.machine_type.as_usize()].boot_s
                 * MAX_BOOT_TIME_FACTOR
                 + 10.0;
-            let silent = machine
+            let is_unresponsive = machine
                 .last_heartbeat_at
-                .is_none_or(|at| at + silence < now);
+                .is_none_or(|at| at + heartbeat_timeout < now);
             match machine.state {
                 MachineState::Gone => false,
                 MachineState::Deleting => true,
                 _ if machine.listed_failed => true,
                 MachineState::Booting => {
-                    machine.provisioned_at + millis(boot) < now
+                    machine.provisioned_at + millis(max_boot_s) < now
                         && machine.known_since + 10_000 < now
                 }
                 MachineState::Lost => {
                     machine.missed_listings > 0 || machine.idle_since + LOST_MACHINE_GRACE_MS < now
                 }
                 MachineState::Up => {
-                    // Deleting what is gone anyway proves that nothing runs there any more.
-                    silent
+                    // The machine is probably gone. Deleting it proves that nothing runs there any more.
+                    is_unresponsive
                         && (machine.missed_listings > 1
                             || machine.reclaim_at.is_some_and(|at| at + 1000 < now))
                 }
--- a/src/coordination/reachability.rs
+++ b/src/coordination/reachability.rs
@@ -16,7 +16,7 @@
 /// Many machines must have been unresponsive for this long before the leader resigns.
 const MIN_UNRESPONSIVE_MS: Millis = 1000;
 /// How long a node that has resigned does not try to lead again: its lease is released, and another node
-/// acquires one well within this time, whatever the timings of the workers are.
+/// acquires a new one well within this time, whatever the timings of the workers are.
 pub(super) const RESIGNATION_BACKOFF_MS: Millis = 8000;
 /// The members are asked while more than one in this many machines is unresponsive.
 const UNRESPONSIVE_FLEET_DIVISOR: usize = 4;
--- a/src/coordination/status.rs
+++ b/src/coordination/status.rs
@@ -1,6 +1,4 @@
-//! What a node says of itself to whoever watches it.
-
-#![expect(missing_docs, reason = "its items are still to be documented")]
+//! The status of a node, as its metrics show it.
 
 use super::{AdmissionCounts, Node, QuotaStatus, WorkloadClassName};
 use crate::{
@@ -8,47 +6,56 @@
     scheduling::fair_share::ShareStatus, time::Millis,
 };
 
-/// A look at the owner; what only a leader knows is empty elsewhere.
+/// A snapshot of a node's state for the metrics. Values that only a leader has are 0 or empty on other nodes.
 #[derive(Clone, Debug, Default)]
 pub struct NodeStatus {
+    /// The node leads.
     pub is_leader: bool,
+    /// The latest term in the node's registry.
     pub term: u64,
-    /// How long workers may still be renewed without another sync.
+    /// For how many milliseconds the node may still renew workers' leases without another read barrier.
     pub entitlement_ms: Millis,
-    /// Unfinished jobs that wait for others, and jobs that were cancelled with one that they need and
-    /// whose records don't say so yet.
+    /// Unfinished jobs that wait for jobs that they depend on.
     pub jobs_awaiting_dependencies: usize,
+    /// Jobs that were cancelled with a dependency, and whose stored records don't show that yet.
     pub outcomes_unwritten: usize,
-    /// Each team's waiting tasks and booked units.
+    /// On the leader, for each team: its name, its waiting tasks, and its reserved GPUs, or CPUs in a cluster
+    /// without GPUs.
     pub teams: Vec<(String, usize, f64)>,
-    /// How many machines there are in each state.
+    /// On the leader: the number of machines in each state.
     pub machines: Vec<(&'static str, usize)>,
-    /// Tasks whose last change is not stored yet.
+    /// On the leader: tasks whose last change is not stored yet.
     pub unlogged_tasks: usize,
-    /// How submissions of each class fare at this node.
+    /// For each class, the outcomes of its submissions at this node since the process began.
     pub submissions: Vec<(WorkloadClassName, AdmissionCounts)>,
-    /// The admission table that this node follows, and what it may let in by it, a second.
+    /// The sequence number of the admission quotas that this node applies.
     pub admission_quotas_seq: u64,
+    /// How many submissions a second these quotas allow this node to accept.
     pub admitted_per_s: f64,
-    /// The part of its time in which the processor could not follow.
+    /// The fraction of recent time in which the processor could not keep up, from 0 to 1.
     pub lateness: f64,
-    /// On the leader: how each class of each team is served.
+    /// On the leader: the fair share of each class of each team.
     pub share_statuses: Vec<(WorkloadClassName, ShareStatus)>,
-    /// What the tasks that started since the last look had waited for.
+    /// On the leader: how long each task that has started since the last status had waited, in milliseconds.
     pub start_waits: Vec<Millis>,
-    /// On the leader, where cells share quotas: how those stand.
+    /// On the leader, where cells share quotas: the state of those quotas.
     pub quotas: Option<QuotaStatus>,
 }
 
 impl Node {
+    /// Returns the current status, and clears the start waits that it contains.
     pub fn status(&mut self) -> NodeStatus {
-        let until = self.renewal_right_ends_at().unwrap_or(0);
-        let waits = |(_, job): &(JobId, &LiveJob)| job.dependencies_left > 0;
+        let renewal_ends_at = self.may_renew_until().unwrap_or(0);
+        let awaits_dependencies = |(_, job): &(JobId, &LiveJob)| job.dependencies_left > 0;
         let mut status = NodeStatus {
-            jobs_awaiting_dependencies: self.registry.live_jobs().filter(waits).count(),
+            jobs_awaiting_dependencies: self
+                .registry
+                .live_jobs()
+                .filter(awaits_dependencies)
+                .count(),
             outcomes_unwritten: self.registry.jobs_cancelled_by_dependency().count(),
             term: self.registry.term,
-            entitlement_ms: until.saturating_sub(self.now),
+            entitlement_ms: renewal_ends_at.saturating_sub(self.now),
             submissions: self.local_admission_counts(),
             admission_quotas_seq: self.admission.quotas_seq(),
             admitted_per_s: self.quota_shares().total(),
--- a/src/coordination/workers/failure_detection.rs
+++ b/src/coordination/workers/failure_detection.rs
@@ -65,7 +65,7 @@
     }
 
     /// Handles a renewer's key that was deleted.
-    pub(in crate::coordination) fn on_gone(&mut self, label: String, now: Millis) {
+    pub(in crate::coordination) fn on_deregistered(&mut self, label: String, now: Millis) {
         self.lost_at.insert(label, now);
     }
 
