--- a/src/coordination/admission/controller.rs
+++ b/src/coordination/admission/controller.rs
@@ -1,13 +1,15 @@
-//! A node's door for submissions: who is let in at once, who is given a turn, and what is told to whom.
+//! The admission controller of a node: admits a new submission, or defers it with or without a reservation.
 //!
-//! Each class that the table names has a bucket that fills at the node's part for it; what a bucket can't hold is
-//! for whoever comes, as is the node's rest. So no part stays idle while somebody wants it, and a flood of one
-//! class takes nothing that another asks for. Whoever finds nothing gets a turn: the time at which, by the class's
-//! rate, his place in the queue comes up. Users try for 60 s in all, so a turn beyond that is none, and who can't
-//! have one is told so at once. Who comes back in time goes before newcomers of his class, at any node: turns are
-//! told with the words that members exchange.
-
-#![expect(missing_docs, reason = "its items are still to be documented")]
+//! Each class that the quotas name has a token bucket, which fills at the node's rate for the class. Tokens that
+//! don't fit into a full bucket go to the unassigned bucket, which also fills at the node's unassigned rate;
+//! submissions of any class may use them. So no rate stays unused while there is demand, and a flood of one class
+//! takes nothing that another class demands.
+//!
+//! A submission that finds no token gets a reservation: the time at which, at the rate of its class, its place in
+//! the queue comes up. Users retry for 60 s in all, so there are no reservations beyond that; a user who can't get
+//! one receives an answer that says so at once. A user who retries at the reserved time is admitted before new
+//! submissions of the same class, at any node: each node reports its reservations to the leader, which announces
+//! those of all nodes to the members.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -17,47 +19,53 @@
     time::Millis,
 };
 
-/// Users try again for this long, by the protocol, and wait for as long as they are told at the most.
+/// Users retry a submission for this long, by the protocol.
 const USER_RETRY_PERIOD_MS: Millis = 60_000;
+/// The longest retry delay that users are given; they wait no longer than that.
 const MAX_RETRY_AFTER_MS: Millis = 30_000;
-/// Kept free before the end of his tries, for the way.
+/// Reservations end this long before the end of the user's retries, to leave time for the request on the network.
 const RETRY_MARGIN_MS: Millis = 4000;
-/// Who is this late for his turn has lost it, and who is so early has come.
+/// A reservation expires this long after its time.
 const RESERVATION_GRACE_MS: Millis = 5000;
+/// A reservation is due this long before its time.
 const RESERVATION_EARLY_MS: Millis = 1000;
-/// A bucket holds what comes in within this time, in seconds.
+/// A bucket holds the tokens of this time, in seconds.
 const BUCKET_DEPTH_S: f64 = 3.0;
-/// Demand is a mean that forgets over this time, in seconds; those who wait are to be let in within it.
+/// Time constant of the mean of the arrival rate, in seconds. Demand also includes the rate that would admit all
+/// submissions with a reservation within this time.
 const DEMAND_WINDOW_S: f64 = 5.0;
-/// Who is sent away by a node without news comes back after that many seconds, a second later for each so many who
-/// wait, at the most after so many.
+/// The retry delay in seconds that a node without a response from the state service gives: this base and one second
+/// for each [`LAPSED_PENDING_PER_S`] pending submissions, at most [`LAPSED_RETRY_MAX_S`].
 const LAPSED_RETRY_BASE_S: u32 = 2;
 const LAPSED_PENDING_PER_S: u32 = 200;
 const LAPSED_RETRY_MAX_S: u32 = 8;
-/// Turns told to the members at once.
+/// The most reservations that are sent to the members in one message.
 const MAX_RESERVATIONS_SHARED: usize = 256;
-/// Submissions that are remembered for when they first came.
+/// The number of pending submissions that are remembered with the time of their first attempt. When it is reached,
+/// those not seen for [`RETRY_MARGIN_MS`] are dropped.
 const MAX_PENDING_SUBMISSIONS: usize = 20_000;
-/// Who was told to come back and was not seen again for so long has given up.
+/// A deferred submission that was not seen again for this long counts as abandoned.
 const ABANDONED_AFTER_MS: Millis = USER_RETRY_PERIOD_MS + 5000;
 
-/// What became of the submissions of a class at this node, since the process began.
+/// Counts of the submissions of a class at this node since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AdmissionCounts {
-    /// Different jobs.
+    /// Jobs that were submitted; retries of a job are not counted.
     pub arrived: u64,
-    /// Accepted, and those of them that were within a second of their first try here.
+    /// Jobs that were accepted.
     pub accepted: u64,
+    /// Jobs that were accepted within a second of their first attempt at this node.
     pub accepted_promptly: u64,
-    /// Told to come back: how often.
+    /// Attempts that were deferred, each retry included.
     pub deferred: u64,
-    /// Told so without a turn, as there is none within their user's tries.
+    /// Attempts that were deferred without a reservation, as none was free within the user's retry period.
     pub deferred_unreserved: u64,
-    /// Sent away, and neither accepted nor seen again.
+    /// Jobs that were deferred, and neither accepted nor seen again.
     pub abandoned: u64,
 }
 
 impl AdmissionCounts {
+    /// Adds the counts of another node.
     pub fn add(&mut self, other: &AdmissionCounts) {
         self.arrived += other.arrived;
         self.accepted += other.accepted;
@@ -68,67 +76,81 @@
     }
 }
 
-/// What a submission is told at the door.
+/// The decision on one attempt of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// Let in; it counts as within its class's due, or beyond.
-    Admitted { within_share: bool },
-    /// Come back in so many seconds: a turn, or none (`turn` false).
+    /// The submission may be stored.
+    Admitted {
+        /// It is within the share of its class, or its reservation is due.
+        within_share: bool,
+    },
+    /// The user has to retry.
     Deferred {
+        /// The delay before the retry, in seconds.
         retry_after_s: u32,
+        /// The retry has a reservation.
         has_reservation: bool,
     },
 }
 
+/// The token bucket of a class, with its demand and counts.
 #[derive(Debug, Default)]
 struct ClassBucket {
+    /// Submissions that may be admitted now. Negative after reservations that were admitted without a token.
     tokens: f64,
+    /// The rate at which it fills, in submissions a second.
     rate_per_s: f64,
-    /// Comes for the first time, a second.
+    /// The mean rate of first attempts, a second.
     arrivals_per_s: f64,
+    /// First attempts since that mean was last updated.
     arrivals: u32,
-    /// The latest turn that was given, in milliseconds.
+    /// The time of the latest reservation that was given; 0 if the class has no open ones.
     last_reservation_at: Millis,
     counts: AdmissionCounts,
 }
 
+/// A time at which a deferred submission is admitted when its user retries.
 #[derive(Clone, Copy, Debug)]
 struct Reservation {
     class: usize,
     at: Millis,
-    /// Given here; others were heard of.
+    /// This node gave it. Otherwise another member did, and the leader announced it.
     is_local: bool,
 }
 
-/// When a job was first seen here and when last, and its class.
+/// A submission that was seen at this node and is not known to be accepted.
 #[derive(Clone, Copy, Debug)]
 struct PendingSubmission {
     class: usize,
     first_seen_at: Millis,
     last_seen_at: Millis,
-    /// It was let in, and its answer is awaited.
+    /// It was admitted, and is being stored.
     is_admitted: bool,
+    /// An earlier attempt was deferred, or refused after it was admitted.
     was_deferred: bool,
 }
 
+/// Decides which submissions a node admits. It reads no clock: each call takes the time.
 #[derive(Default)]
 pub struct AdmissionController {
     class_index: HashMap<WorkloadClassName, usize>,
     class_names: Vec<WorkloadClassName>,
     buckets: Vec<ClassBucket>,
-    /// For whoever comes.
+    /// The bucket that submissions of any class may use.
     unassigned: ClassBucket,
     pending: HashMap<JobId, PendingSubmission>,
     reservations: HashMap<JobId, Reservation>,
-    /// The same, by class and time.
+    /// The reservations that this node gave, by class and time.
     reservation_queue: BTreeSet<(usize, Millis, JobId)>,
     filled_at: Millis,
     updated_at: Millis,
-    /// The node has no news: how soon anybody's turn comes up is not known.
+    /// The node has had no response from the state service for too long and uses its floor: it can't predict when a
+    /// submission could be admitted, and gives no reservations.
     is_lapsed: bool,
 }
 
 impl AdmissionController {
+    /// The index of a class in `buckets`; adds a bucket for a new class.
     fn class_slot(&mut self, class: &WorkloadClassName) -> usize {
         if let Some(&known) = self.class_index.get(class) {
             return known;
@@ -139,9 +161,9 @@
         self.buckets.len() - 1
     }
 
-    /// Follows the node's parts, which may have changed: what has come in since the last time.
+    /// Adds the tokens of the time since the last call, at the rates `parts`, which may have changed.
     pub fn refill(&mut self, parts: &QuotaShares, now: Millis) {
-        // A new process has done nothing yet.
+        // The first call fills the buckets: a new process has admitted nothing yet.
         let passed = match self.filled_at {
             0 => BUCKET_DEPTH_S,
             at => now.saturating_sub(at) as f64 / 1000.0,
@@ -165,7 +187,7 @@
         self.unassigned.tokens = (self.unassigned.tokens + gained).min(depth);
     }
 
-    /// A submission that is not known yet asks to be let in.
+    /// Decides on an attempt of a submission whose job is not known to be accepted.
     #[expect(clippy::too_many_lines, reason = "still to be split")]
     pub fn decide(
         &mut self,
@@ -187,7 +209,7 @@
         let first = guest.first_seen_at;
         guest.last_seen_at = now;
         let turn = self.reservations.get(&job).copied();
-        // One that another node gave a turn has been counted there.
+        // A submission with a reservation of another node has been counted there.
         let newcomer = first == now && !guest.was_deferred && turn.is_none();
         if newcomer {
             self.buckets[class].arrivals += 1;
@@ -200,7 +222,8 @@
             self.due_reservation_count(class, now)
         };
         let bucket = &mut self.buckets[class];
-        // PreemptionScope turn has come takes it even where others took more meanwhile.
+        // A submission whose reservation is due is admitted even if others took the tokens meanwhile: it may overdraw
+        // the bucket by the tokens of a second, and at least by one. Others leave tokens for due reservations.
         let least = |rate: f64, due: usize| {
             if his_turn {
                 1.0 - rate.max(1.0)
@@ -220,7 +243,7 @@
             if let Some(guest) = self.pending.get_mut(&job) {
                 guest.is_admitted = true;
             }
-            // What no table names is within its due for as long as there is a rest.
+            // A class that the quotas don't name is within its share while there are unassigned tokens.
             let unnamed = self.buckets[class].rate_per_s <= 0.0;
             return AdmissionDecision::Admitted {
                 within_share: within || his_turn || unnamed,
@@ -233,7 +256,8 @@
         let last = first + USER_RETRY_PERIOD_MS - RETRY_MARGIN_MS;
         let at = match turn.filter(|turn| turn.at + RESERVATION_GRACE_MS > now) {
             Some(turn) => turn.at.max(now + RESERVATION_EARLY_MS),
-            // By its floor, users sat out what time there was between two outages of the state service, and gave up.
+            // Reservations at the rate of the floor were so late that users waited through the time between two
+            // outages of the state service, and gave up.
             None if self.is_lapsed => {
                 let after_s = (LAPSED_RETRY_BASE_S
                     + self.pending.len() as u32 / LAPSED_PENDING_PER_S)
@@ -278,7 +302,8 @@
         }
     }
 
-    /// How many turns a second a class can be given: those that wait and that no table names share the rest.
+    /// How many reservations a second a class can be given: its own rate. Classes that the quotas don't name divide
+    /// the unassigned rate equally among those of them that have future reservations.
     fn reservation_rate(&self, class: usize) -> f64 {
         let bucket = &self.buckets[class];
         if bucket.rate_per_s > 0.0 {
@@ -290,7 +315,7 @@
         self.unassigned.rate_per_s / (1 + others.count()) as f64
     }
 
-    /// How many of a class whose turn has come have not come back yet.
+    /// How many due reservations of a class have not been used yet.
     fn due_reservation_count(&self, class: usize, now: Millis) -> usize {
         let from = now.saturating_sub(RESERVATION_GRACE_MS);
         let due = (class, from, JobId(0))..=(class, now + RESERVATION_EARLY_MS, JobId(u64::MAX));
@@ -303,10 +328,11 @@
         }
     }
 
-    /// The job is accepted: here, or at another node.
+    /// A job is accepted. `here`: this node answers the user, as opposed to a change read from the state service.
     pub fn on_accepted(&mut self, job: JobId, here: bool, now: Millis) {
         self.remove_reservation(job);
-        // What was accepted here is often heard of before its own answer.
+        // A job that this node stores is often read from the state service before the response to its write
+        // arrives: that response is what counts it.
         let inside = self
             .pending
             .get(&job)
@@ -324,7 +350,7 @@
         }
     }
 
-    /// The submission was let in, and got no answer but to try again.
+    /// The submission was admitted, but its user was asked to retry: counts as deferred.
     pub fn on_refused(&mut self, job: JobId) {
         if let Some(guest) = self.pending.get_mut(&job)
             && guest.is_admitted
@@ -335,7 +361,8 @@
         }
     }
 
-    /// Follows demand, and forgets who is gone. To be called some times a second.
+    /// Updates the mean arrival rates, and drops expired reservations and abandoned submissions. To be called
+    /// several times a second; it does its work once a second.
     pub fn update_demand(&mut self, now: Millis) {
         if self.updated_at + 1000 > now {
             return;
@@ -357,7 +384,7 @@
             .into_iter()
             .for_each(|job| self.remove_reservation(job));
         self.forget_unseen(now, now.saturating_sub(ABANDONED_AFTER_MS));
-        // Who waits no more is waited for by nobody.
+        // A class without reservations gives its next one without a delay for earlier ones.
         let mut waiting = vec![false; self.buckets.len()];
         for turn in self.reservations.values() {
             waiting[turn.class] = true;
@@ -369,7 +396,7 @@
         }
     }
 
-    /// Forgets those not seen since.
+    /// Drops submissions that were last seen at `since` or before, but keeps those seen at `now`.
     fn forget_unseen(&mut self, now: Millis, since: Millis) {
         let buckets = &mut self.buckets;
         self.pending.retain(|_, guest| {
@@ -381,7 +408,8 @@
         });
     }
 
-    /// What comes to this node of each class, a second, those included that wait for a turn.
+    /// The demand of each class at this node, in submissions a second: the mean rate of first attempts, and the
+    /// reservations that this node gave, spread over `DEMAND_WINDOW_S`.
     pub fn demand_by_class(&self) -> BTreeMap<WorkloadClassName, f64> {
         let mut waiting = vec![0; self.buckets.len()];
         for turn in self.reservations.values().filter(|turn| turn.is_local) {
@@ -398,12 +426,13 @@
         .collect()
     }
 
+    /// The counts of each class at this node.
     pub fn counts(&self) -> impl Iterator<Item = (&WorkloadClassName, AdmissionCounts)> {
         let counts = self.buckets.iter().map(|bucket| bucket.counts);
         self.class_names.iter().zip(counts)
     }
 
-    /// The turns that come next, for the members: job, class, and in how many milliseconds.
+    /// The next reservations that this node gave, for the members: job, class, and milliseconds from `now`.
     pub fn local_reservations(&self, now: Millis) -> Vec<(JobId, WorkloadClassName, u64)> {
         let mut turns: Vec<(Millis, JobId, usize)> = self
             .reservations
@@ -419,7 +448,7 @@
             .collect()
     }
 
-    /// Turns that another member has given.
+    /// Adds reservations that other members gave: job, class, and milliseconds from `now`.
     pub fn learn_reservations(&mut self, turns: &[(JobId, WorkloadClassName, u64)], now: Millis) {
         for (job, class, in_ms) in turns {
             if self.reservations.contains_key(job) || *in_ms > USER_RETRY_PERIOD_MS {
@@ -427,7 +456,8 @@
             }
             let class = self.class_slot(class);
             let at = now + in_ms;
-            // Not in the queue: it may come back to any node, and newcomers need not wait for it here.
+            // It is not added to the queue: the user may retry at any node, so new submissions need not leave a
+            // token for it here.
             let own = false;
             self.reservations.insert(
                 *job,
--- a/src/coordination/admission/controller/tests.rs
+++ b/src/coordination/admission/controller/tests.rs
@@ -7,7 +7,7 @@
     }
 }
 
-/// A door that lets in `flood` and `calm` submissions a second of two classes, and `rest` of any.
+/// A controller that admits `flood` and `calm` submissions a second of two classes, and `rest` of any class.
 fn controller_with_shares(flood: f64, calm: f64, rest: f64) -> (AdmissionController, QuotaShares) {
     let parts = QuotaShares {
         classes: BTreeMap::from([(class("flood"), flood), (class("calm"), calm)]),
@@ -19,7 +19,8 @@
     (door, parts)
 }
 
-/// Users of one class that come a number of times a second and do as they are told; when each was let in.
+/// Simulates users of one class: `rate` new submissions a second for `seconds`, each retried after the delay that
+/// the controller returned, until 60 s after its first attempt.
 fn simulate_overload(
     door: &mut AdmissionController,
     parts: &QuotaShares,
@@ -73,7 +74,7 @@
     let_in: Vec<Millis>,
     waits: Vec<Millis>,
     away: Vec<Millis>,
-    /// Sent away although they came back when they were told to.
+    /// Deferred again with a reservation, although the users retried after the delay that they were given.
     again: usize,
 }
 
@@ -86,19 +87,19 @@
         .iter()
         .filter(|at| (20_000..50_000).contains(*at))
         .count();
-    assert!((270..=360).contains(&rate), "{rate} in 30 s");
+    assert!((270..=360).contains(&rate), "{rate} admitted in 30 s");
     let longest = crowd.waits.iter().max().copied().unwrap_or(0);
-    assert!(longest <= USER_RETRY_PERIOD_MS, "{longest}");
-    // A turn of more than 30 s is told in two.
+    assert!(longest <= USER_RETRY_PERIOD_MS, "waited {longest} ms");
+    // A reservation more than 30 s ahead takes two retries, as a retry delay is at most 30 s.
     assert!(
         crowd.again * 4 <= crowd.came.len(),
-        "{} of {}",
+        "{} of {} deferred again",
         crowd.again,
         crowd.came.len()
     );
     assert!(
         crowd.let_in.len() * 10 >= crowd.came.len() * 9,
-        "600 in 60 s fit"
+        "600 submissions in 60 s fit into the rate"
     );
 }
 
@@ -110,7 +111,7 @@
     }
     let calm = door.decide(&class("calm"), JobId(9000), 1000);
     assert_eq!(calm, AdmissionDecision::Admitted { within_share: true });
-    // Those that can have no turn within their minute are told so at once.
+    // A submission that can get no reservation within its 60 s of retries is deferred without one at once.
     let late = door.decide(&class("flood"), JobId(9001), 1000);
     assert!(
         matches!(
@@ -124,7 +125,7 @@
     );
 }
 
-/// Returns don't come together, and those told to come back go before newcomers.
+/// Reservations are spread over time, and a retry with a reservation is admitted before new submissions.
 #[test]
 fn due_reservation_is_admitted_before_new_submissions() {
     let (mut door, parts) = controller_with_shares(2.0, 1.0, 0.0);
@@ -142,7 +143,7 @@
     }
     for second in 1..10 {
         let together = told.iter().filter(|(after, _)| *after == second).count();
-        assert!(together <= 3, "{together} in second {second}");
+        assert!(together <= 3, "{together} reservations in second {second}");
     }
     let (after_s, first) = told[0];
     let then = now + Millis::from(after_s) * 1000;
@@ -159,7 +160,7 @@
     assert_eq!(back, AdmissionDecision::Admitted { within_share: true });
 }
 
-/// The load balancer leads him to another node.
+/// The load balancer may route the retry to another node than the one that gave the reservation.
 #[test]
 fn reservation_is_honoured_at_every_node() {
     let (mut one, parts) = controller_with_shares(2.0, 1.0, 0.0);
@@ -184,7 +185,7 @@
     let (mut door, parts) = controller_with_shares(10.0, 1.0, 2.0);
     let crowd = simulate_overload(&mut door, &parts, 16, 10);
     let last = crowd.away.iter().max().copied().unwrap_or(0);
-    assert!(last <= 20_000, "{last}");
+    assert!(last <= 20_000, "deferred at {last} ms");
     assert_eq!(crowd.let_in.len(), crowd.came.len());
 }
 
@@ -196,7 +197,7 @@
     }
     door.update_demand(1000 + ABANDONED_AFTER_MS);
     let flood = door.counts().find(|(name, _)| name.class == "flood");
-    let counts = flood.expect("it came").1;
+    let counts = flood.expect("the class is counted").1;
     assert_eq!(counts.arrived, 20);
     assert!(counts.abandoned >= 14, "{counts:?}");
 }
--- a/src/coordination/admission/load_shedding.rs
+++ b/src/coordination/admission/load_shedding.rs
@@ -1,38 +1,39 @@
-//! What gives way first, at everything that is scarce: the one place that holds this order.
+//! Load shedding: the order in which requests are refused or deferred, the same for every scarce resource.
 //!
-//! | at | what gives way, and how |
+//! | resource | what is refused or deferred |
 //! | --- | --- |
-//! | state requests and writes | each rank leaves a larger reserve in the node's part of the limits ([`reserved_fraction`]) |
-//! | the processor, the owner's queue | a rank is sent away while passes come late for more of the time than it bears ([`RequestPriority::max_lateness`]) |
-//! | sockets | connections that nobody needs just now are closed, polls' first (`transport/sockets.rs`) |
-//! | a node's part of what is let in | newcomers beyond their class's due wait for their turn (`door.rs`) |
-
-#![expect(missing_docs, reason = "its items are still to be documented")]
+//! | requests and writes to the state service | a call of lower priority leaves a larger part of the node's rate limit to others ([`reserved_fraction`]) |
+//! | the processor, the node's command queue | a request is refused while the node's steps are late for more of the time than its priority tolerates ([`RequestPriority::max_lateness`]) |
+//! | sockets | idle connections are closed (`transport/connection_limiter.rs`) |
+//! | the node's admission quota | new submissions beyond the share of their class are deferred (`controller.rs`) |
 
 use crate::protocol::state::Urgency;
 
-/// Who asks, the first to give way first.
+/// The priority of a request; the lowest is refused first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestPriority {
-    /// A poll for a job of which nothing new can be told: its user knows it to wait.
+    /// A poll for an accepted job of which no task runs or is done: its user learns nothing new.
     IdlePoll,
+    /// Any other poll.
     Poll,
-    /// A submission of a class that has had its due.
+    /// A submission of a class that has used up its share.
     SubmissionBeyondShare,
-    /// A submission of a class within its due, or one whose turn has come.
+    /// A submission within the share of its class, or one whose reservation is due.
     SubmissionWithinShare,
+    /// A cancellation of a job.
     Cancellation,
-    /// What nodes do to stay what they are: leases of leader and deputies, syncs, the leader's notes.
+    /// A request that a node needs to keep its role, such as the renewal of its lease as leader or lease renewer.
     ControlPlane,
 }
 
 impl RequestPriority {
-    /// How urgent the rank's requests to the state service are.
+    /// The urgency of the calls to the state service that serve such a request.
     pub fn urgency(self) -> Urgency {
         match self {
             RequestPriority::IdlePoll | RequestPriority::Poll => Urgency::Normal,
-            // The door tells them apart. With a larger reserve for one of them it found nothing on a leader, whose
-            // notes are prompt too and take all that is above theirs under load.
+            // The admission controller separates the two. When submissions beyond their share left a larger reserve,
+            // they got no tokens on a leader under load: its log writes are prompt too, and take all tokens above
+            // the reserve of prompt calls.
             RequestPriority::SubmissionBeyondShare | RequestPriority::SubmissionWithinShare => {
                 Urgency::Prompt
             }
@@ -40,7 +41,8 @@
         }
     }
 
-    /// In which part of its time the processor may fail to follow, from 0 to 1, before the rank is sent away.
+    /// The largest fraction of the time in which the processor may be late, from 0 to 1, before such a request is
+    /// refused.
     pub fn max_lateness(self) -> f64 {
         match self {
             RequestPriority::IdlePoll => 0.3,
@@ -52,7 +54,7 @@
     }
 }
 
-/// The part of a bucket that less urgent requests leave to others.
+/// The fraction of a full token bucket that calls of this urgency leave to more urgent ones.
 pub fn reserved_fraction(urgency: Urgency) -> f64 {
     match urgency {
         Urgency::Vital => 0.0,
--- a/src/coordination/admission/load_shedding/tests.rs
+++ b/src/coordination/admission/load_shedding/tests.rs
@@ -22,6 +22,6 @@
     );
     assert!(
         RequestPriority::Cancellation.max_lateness() > 1.0,
-        "whatever happens"
+        "cancellations are never refused"
     );
 }
--- a/src/coordination/admission/mod.rs
+++ b/src/coordination/admission/mod.rs
@@ -1,10 +1,9 @@
-//! Admission: what the nodes let in together, so that under overload no class starves and no node takes more
-//! than its part. `docs/admission.md` has the ways that were weighed.
+//! Admission control: limits what all nodes together admit, so that under overload no class starves and no node
+//! admits more than its share. `docs/admission.md` compares the alternatives.
 //!
-//! `table` is the agreement, `door` what one node does by it, `order` what gives way first. Here they meet the
-//! node: submissions ask at the door, nodes tell the leader what comes to them, and it stores the next table.
-
-#![expect(missing_docs, reason = "its items are still to be documented")]
+//! `quotas` divides the capacity among nodes and classes, `controller` admits or defers submissions at one node, and
+//! `load_shedding` orders requests by priority. This module connects them to the node: it asks the controller about
+//! each submission, reports the node's demand to the leader, and on the leader stores new quotas.
 
 mod controller;
 pub mod load_shedding;
@@ -33,51 +32,61 @@
 };
 
 const ADMISSION_INTERVAL_MS: Millis = 250;
-/// How often a node says what comes to it, and for how long that counts.
+/// How often a node publishes its status.
 const STATUS_INTERVAL_MS: Millis = 1000;
+/// For how long the leader uses a member's status.
 const STATUS_VALIDITY_MS: Millis = 6000;
-/// Tables are stored this far apart: further than they need to settle, by what clocks may drift and a write that
-/// was answered late may have been waited for.
+/// The least time between two writes of new quotas: longer than quotas take to settle, by the drift between clocks
+/// and the time that a late response to the write may take.
 const QUOTAS_INTERVAL_MS: Millis = QUOTAS_SETTLE_MS + 1000;
-/// A part has to change by so much of its node's whole before another table is worth a write.
+/// New quotas are stored only if a rate changes by more than this fraction of its node's total rate.
 const MIN_SHARE_CHANGE: f64 = 0.05;
-/// The parts of a node's share of the state service's writes that users' submissions may take: a leader's notes
-/// come out of the same share.
+/// The fraction of a follower's share of the state service's limits that users' submissions may take.
 const FOLLOWER_SUBMISSION_FRACTION: f64 = 0.95;
+/// The same for the leader, whose log writes come out of the same share.
 const LEADER_SUBMISSION_FRACTION: f64 = 0.4;
-/// What is kept free in a value, and what a class takes of it at the most besides its names and parts.
+/// Bytes of the stored quotas that are kept free for everything but nodes and classes.
 const QUOTAS_OVERHEAD_BYTES: usize = 400;
+/// The most bytes that a class takes in the stored quotas, besides its names and rates.
 const BYTES_PER_CLASS: usize = 40;
 /// How often the leader logs how each class is served.
 const SERVED_LOG_INTERVAL_MS: Millis = 10_000;
-/// The part of a node's memory that the tasks of unfinished jobs may take on the leader, what one takes in bytes,
-/// and the part of that which arrays longer than so many tasks leave to others.
+/// The fraction of a node's memory that the tasks of unfinished jobs may take on the leader.
 const TASK_MEMORY_FRACTION: f64 = 0.3;
+/// The memory that a task takes, in bytes.
 const BYTES_PER_TASK: f64 = 64.0;
+/// The fraction of the memory for tasks that arrays of more than [`LONG_ARRAY_TASKS`] tasks leave to other jobs.
 const LONG_ARRAY_RESERVE_FRACTION: f64 = 0.3;
 const LONG_ARRAY_TASKS: u32 = 1000;
-/// Who finds no room for his tasks comes back after this many seconds: jobs have to end first.
+/// The retry delay in seconds of a submission without memory for its tasks. It is long because jobs have to end first.
 const MEMORY_RETRY_AFTER_S: u32 = 20;
-/// The processor's lateness is a mean that forgets over this time, in milliseconds.
+/// Time constant of the mean of the processor's lateness, in milliseconds.
 const LATENESS_WINDOW_MS: f64 = 5000.0;
 
-/// What a node says of itself to the leader.
+/// The admission status of a node, which it returns to the leader.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MemberStatus {
+    /// The label of the node.
     pub label: String,
-    /// The table that it follows.
+    /// The sequence number of the quotas that it applies.
     pub quotas_seq: u64,
-    /// Submissions a second that its part of the state service's limits allows.
+    /// Submissions a second that its share of the state service's limits allows.
     pub capacity_per_s: f64,
+    /// The fraction of the time in which its processor could not keep up, from 0 to 1.
     pub lateness: f64,
+    /// The demand of each class, in submissions a second.
     pub demands: Vec<(WorkloadClassName, f64)>,
+    /// The next reservations that it gave.
     pub reservations: Vec<ReservationNotice>,
+    /// The counts of each class.
     pub counts: Vec<(WorkloadClassName, AdmissionCounts)>,
 }
 
-/// A turn that a node has given: the job, its class, and in how many milliseconds it comes up.
+/// A reservation that a node gave to a deferred submission: the job, its class, and in how many milliseconds the
+/// user is to retry.
 pub type ReservationNotice = (JobId, WorkloadClassName, u64);
 
+/// The state of admission control at this node.
 #[derive(Default)]
 pub struct Admission {
     controller: AdmissionController,
@@ -85,17 +94,18 @@
     updated_at: Millis,
     status_published_at: Millis,
     served_logged_at: Millis,
-    /// The part of its time in which the processor could not follow, from 0 to 1.
+    /// The fraction of the time in which the processor could not keep up, from 0 to 1.
     lateness: f64,
-    /// What members said last, and when.
+    /// The last status of each member, and when it was received.
     members: BTreeMap<String, (Millis, MemberStatus)>,
-    /// When a table was last stored, or may have been.
+    /// When new quotas were last stored, or may have been.
     quotas_stored_at: Millis,
     store_in_flight: bool,
 }
 
 impl Admission {
-    /// A pass came `gap` after the one before; passes are due every `due`.
+    /// Records that a step of the node began `gap` after the one before. After more than `due`, the processor
+    /// counts as late for the whole gap, of which at most 1000 ms count.
     pub(super) fn record_pass(&mut self, gap: Millis, due: Millis) {
         let late = if gap > due { gap.min(1000) as f64 } else { 0.0 };
         let part = 1.0 - (-(gap.min(1000) as f64) / LATENESS_WINDOW_MS).exp();
@@ -107,11 +117,12 @@
         self.lateness += (now - self.lateness) * part;
     }
 
-    /// A job is known to be accepted, here or elsewhere.
+    /// A job is accepted. `here`: this node answers the user, as opposed to a change read from the state service.
     pub(super) fn on_accepted(&mut self, job: JobId, here: bool, now: Millis) {
         self.controller.on_accepted(job, here, now);
     }
 
+    /// A submission was admitted, but its user was asked to retry.
     pub(super) fn on_refused(&mut self, job: JobId) {
         self.controller.on_refused(job);
     }
@@ -124,7 +135,8 @@
         self.lateness
     }
 
-    /// Turns that members have told of, for the others.
+    /// The reservations of this node and those in the recent status of each member, for the leader's announcement.
+    /// The time of each is relative to `now`.
     pub(super) fn reservations(&self, now: Millis) -> Vec<ReservationNotice> {
         let own = self.controller.local_reservations(now);
         let others = self
@@ -147,7 +159,7 @@
 }
 
 impl FairShareLedger {
-    /// How each class stands, by name.
+    /// The fair share status of each class, by the names of team and class.
     pub fn named_statuses(&self, cluster: &ClusterState) -> Vec<(WorkloadClassName, ShareStatus)> {
         let standings = self.statuses();
         let named = standings.map(|(class, standing)| {
@@ -173,8 +185,8 @@
 }
 
 impl Node {
-    /// Submissions a second that this node's part of the state service's limits allows, were it a follower or
-    /// the leader. Those of a follower are the least that any node takes.
+    /// Submissions a second that this node's share of the state service's limits allows if it is the leader
+    /// (`leads`), or a follower. The lesser of the two is the least capacity that any node has.
     fn submission_capacity(&self, leads: bool) -> f64 {
         let state = &self.config.settings.state;
         let nodes = self.config.members.len() as f64 + 1.0;
@@ -201,8 +213,8 @@
         )
     }
 
-    /// Whether a leader has the memory for a submission's tasks. All nodes count the same jobs, but for what came
-    /// in since their last sync.
+    /// Whether a leader has the memory for a submission's tasks. All nodes count the same jobs, except those accepted
+    /// since their last read barrier.
     fn has_memory_for(&self, submission: &Submission) -> bool {
         let bytes = self.config.settings.limits.mem_mb * 1e6 * TASK_MEMORY_FRACTION;
         let part = if submission.tasks > LONG_ARRAY_TASKS {
@@ -211,11 +223,12 @@
             1.0
         };
         let tasks = self.registry.unfinished_task_count() + u64::from(submission.tasks);
-        // One job is never too long by itself.
+        // A single job is accepted whatever its number of tasks.
         tasks as f64 * BYTES_PER_TASK <= bytes * part || self.registry.unfinished_task_count() == 0
     }
 
-    /// Whether a submission that is not known yet may go on. If not, it has been answered.
+    /// Decides on a submission whose job is not in the registry. Returns its priority if it is admitted. If not, its
+    /// user has been asked to retry.
     pub(super) fn admit_submission(
         &mut self,
         id: RequestId,
@@ -223,7 +236,7 @@
     ) -> Option<RequestPriority> {
         if !self.has_memory_for(submission) {
             let tasks = submission.tasks;
-            tracing::debug!(job = %submission.id, tasks, "sent away: no memory for its tasks");
+            tracing::debug!(job = %submission.id, tasks, "submission deferred: no memory for its tasks");
             let answer = ApiResponse {
                 retry_after_s: Some(MEMORY_RETRY_AFTER_S),
                 ..ApiResponse::error(429, "too many tasks wait")
@@ -254,7 +267,7 @@
                 has_reservation: turn,
             } => (after_s, turn),
         };
-        tracing::debug!(%job, class = class.class, team = class.team, after_s, turn, "sent away");
+        tracing::debug!(%job, class = class.class, team = class.team, after_s, turn, "submission deferred");
         let error = if turn {
             "too much comes at once: come back when told"
         } else {
@@ -268,7 +281,8 @@
         None
     }
 
-    /// Whether the processor can follow well enough for such a request. If not, it has been answered.
+    /// Whether the processor keeps up well enough for a request of this priority. If not, the request has been
+    /// answered as unavailable.
     pub(super) fn admit_by_lateness(&mut self, id: RequestId, rank: RequestPriority) -> bool {
         let bears = self.admission.lateness <= rank.max_lateness();
         if !bears {
@@ -280,7 +294,7 @@
         bears
     }
 
-    /// A table was read, or written by this node.
+    /// The registry holds admission quotas that were read from the state service, also this node's own.
     pub(super) fn on_admission_quotas_read(&mut self) {
         let Some((table, _)) = &self.registry.admission_quotas else {
             return;
@@ -296,14 +310,14 @@
         let table = table.clone();
         let parts = self.quota_shares();
         let (whole, part) = (table.total_per_s.round(), parts.total().round());
-        tracing::info!(seq = table.seq, whole, part, "follows a table");
-        // Whoever stored it, the next may follow only once it has settled.
+        tracing::info!(seq = table.seq, whole, part, "adopted new admission quotas");
+        // Also quotas that another leader stored have to settle before this node stores new ones.
         self.admission.quotas_stored_at = self.now;
         let following = &mut self.admission.follower;
         following.adopt(&self.config.label, table, parts, self.now);
     }
 
-    /// A member has said what comes to it. Only the leader asks.
+    /// Stores the status that a member returned to the leader's announcement. A node that does not lead ignores it.
     pub(super) fn on_member_status(&mut self, news: MemberStatus) {
         let now = self.now;
         if self.leader_state.is_none() || news.label.is_empty() {
@@ -314,14 +328,14 @@
         self.admission.members.insert(label, (now, news));
     }
 
-    /// What is due: following demand, telling of it, and on the leader the next table.
+    /// Does the periodic work: updates the demand, publishes the status, and on the leader stores new quotas.
     pub(super) fn run_admission(&mut self) {
         let now = self.now;
         if self.admission.updated_at + ADMISSION_INTERVAL_MS > now {
             return;
         }
         self.admission.updated_at = now;
-        // A door that opened with a floor would be filled to its depth with that.
+        // Only after the first read barrier: before, the first refill would fill the buckets at the floor's rate.
         if self.read_barrier.confirmed_at.is_some() {
             let parts = self.quota_shares();
             self.admission.controller.refill(&parts, now);
@@ -353,7 +367,7 @@
         }
     }
 
-    /// What the nodes ask for, by what they said last. One that is not heard of keeps its floor.
+    /// The demand of each node by its last status. A member without a recent status keeps its floor.
     fn node_demands(&self, floor: f64) -> BTreeMap<String, NodeDemand> {
         let demand = |news: &MemberStatus| NodeDemand {
             capacity_per_s: news.capacity_per_s,
@@ -371,7 +385,7 @@
                     ..NodeDemand::default()
                 },
                 |(_, news)| NodeDemand {
-                    // It may have led when it said so.
+                    // The member may have been the leader when it sent its status, and is a follower now.
                     capacity_per_s: news.capacity_per_s.min(self.submission_capacity(false)),
                     ..demand(news)
                 },
@@ -381,7 +395,7 @@
         demands
     }
 
-    /// Stores the next table, where it differs from the last by enough.
+    /// On the leader: marks stored quotas as settled once they are, or stores new quotas if they differ enough.
     fn store_admission_quotas(&mut self) {
         let Some(leader) = &self.leader_state else {
             return;
@@ -433,7 +447,7 @@
             return;
         }
         let lease = leader.lease;
-        // From the moment that it may be applied.
+        // The write may be applied from this moment.
         self.admission.quotas_stored_at = self.now;
         self.write_admission_quotas(StateTag::WriteAdmissionQuotas { lease }, version, &table);
     }
@@ -457,7 +471,8 @@
         self.call_state_service(tag, request, Urgency::Normal, TXN_TIMEOUT_MS);
     }
 
-    /// Whatever became of that, it is read like everybody else's.
+    /// Handles the response to the write that marks quotas as settled. Whatever the outcome, this node applies the
+    /// quotas when it reads them, as every other node does.
     pub(super) fn on_settled_quotas_stored(
         &mut self,
         lease: u64,
@@ -469,7 +484,8 @@
         }
     }
 
-    /// Whatever became of it, it is read like everybody else's: the watch tells of it.
+    /// Handles the response to the write of new quotas. Whatever the outcome, this node applies the quotas when the
+    /// watch or a read barrier returns them, as every other node does.
     pub(super) fn on_admission_quotas_stored(
         &mut self,
         lease: u64,
@@ -482,7 +498,7 @@
         }
     }
 
-    /// One line for each class now and then: how it is served, as far as this leader and its members know.
+    /// On the leader: logs at intervals, for each class, the counts of all nodes and the fair share status.
     fn log_served(&mut self) {
         let now = self.now;
         let Some(leader) = &self.leader_state else {
@@ -533,7 +549,7 @@
             .collect()
     }
 
-    /// Counts of all nodes that are heard of, by class.
+    /// The sums of the counts of this node and the last received counts of its members, by class.
     fn total_admission_counts(&self) -> BTreeMap<WorkloadClassName, AdmissionCounts> {
         let mut served: BTreeMap<WorkloadClassName, AdmissionCounts> = BTreeMap::new();
         let own = self.local_admission_counts().into_iter();
--- a/src/coordination/admission/quotas.rs
+++ b/src/coordination/admission/quotas.rs
@@ -1,13 +1,11 @@
-//! The agreed table: how many submissions a second each node may let in, for each class of each team.
+//! Admission quotas: how many submissions a second each node may admit, for each class of each team.
 //!
-//! The leader splits the whole by what the nodes say comes to them, weighted max-min fair over classes, and
-//! stores it under its term. A node that reads a table gives up at once what that takes from it, and takes what
-//! it adds only once the table is [`QUOTAS_SETTLE_MS`] old. Tables are stored at least that far apart, and a node that has
-//! not heard from the state service for as long has gone back to its floor, which no table takes from it. So at
-//! any moment every node follows at most what one and the same table gives it, the sum never exceeds that
-//! table's whole, and nobody has to ask who has read what.
-
-#![expect(missing_docs, reason = "its items are still to be documented")]
+//! The leader divides the capacity of all nodes by the demand that they report, max-min fair over classes, and
+//! stores the result under its term. A node that reads new quotas applies a decrease of its share at once, and an
+//! increase only [`QUOTAS_SETTLE_MS`] later. Quotas are stored at least that far apart. A node that has had no
+//! response from the state service for almost as long ([`QUOTAS_LAPSE_MS`]) has fallen back to its floor, the rate
+//! that all quotas leave to it. So at any moment no node exceeds its share of one and the same quotas, the sum over
+//! all nodes never exceeds the total of those quotas, and no node has to acknowledge that it has read them.
 
 use std::collections::BTreeMap;
 
@@ -15,58 +13,67 @@
 
 use crate::time::Millis;
 
-/// How old a table has to be before what it adds is taken, in milliseconds. Tables are stored further apart.
+/// How long after reading new quotas a node applies an increase of its share, in milliseconds. Quotas are stored
+/// further apart than this.
 pub const QUOTAS_SETTLE_MS: Millis = 5000;
-/// A node without news for this long goes on with half of its part, and after [`QUOTAS_LAPSE_MS`] with its floor.
+/// A node that has had no response from the state service for this long, in milliseconds, uses half of its share,
+/// and after [`QUOTAS_LAPSE_MS`] its floor.
 pub const QUOTAS_STALE_MS: Millis = 3000;
-/// Shorter than [`QUOTAS_SETTLE_MS`] by what steady clocks may drift apart and an answer may take.
+/// After this time without a response from the state service, in milliseconds, a node uses its floor. Shorter than
+/// [`QUOTAS_SETTLE_MS`] by the drift between monotonic clocks and the time that a response takes.
 pub const QUOTAS_LAPSE_MS: Millis = 4800;
-/// The least part of what a node takes by the state service's limits that it is given while its processor can't
-/// follow, and the part of that which is its floor.
+/// The least fraction of its capacity by the state service's limits that a node is allocated, however late its
+/// processor is.
 const MIN_CAPACITY_FRACTION: f64 = 0.25;
+/// The floor, as a fraction of that least allocation.
 const FLOOR_FRACTION: f64 = 0.5;
-/// Steps in which the whole is handed out.
+/// Number of equal steps in which the capacity is allocated.
 const ALLOCATION_STEPS: usize = 128;
 
-/// A class of a team, by their names.
+/// A workload class of a team, by their names.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct WorkloadClassName {
+    /// The name of the team.
     pub team: String,
+    /// The name of the class within the team.
     pub class: String,
 }
 
-/// What the leader stores. Rates are submissions a second.
+/// The admission quotas as the leader stores them. Rates are submissions a second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AdmissionQuotas {
-    /// Rises with each table.
+    /// The sequence number, which increases each time that new quotas are stored.
     pub seq: u64,
-    /// The term under which it was stored.
+    /// The term of the leader that computed the quotas.
     pub term: u64,
-    /// What all nodes together may let in.
+    /// The rate that all nodes together may admit.
     #[serde(rename = "whole")]
     pub total_per_s: f64,
+    /// The labels of the nodes. The rates below are in this order.
     pub nodes: Vec<String>,
-    /// For each class that is named: the part of each node.
+    /// For each named class, the rate of each node.
     #[serde(rename = "classes")]
     pub class_shares: Vec<(WorkloadClassName, Vec<f64>)>,
-    /// What each node has besides, for whoever comes.
+    /// The rate of each node that is assigned to no class: submissions of any class may use it.
     #[serde(rename = "rest")]
     pub unassigned: Vec<f64>,
-    /// What each node had in all by the table before, or where there was none. That has settled, as tables are
-    /// stored further apart: a process that has just begun may take the lesser of both at once. Versions before
-    /// don't tell.
+    /// The total rate of each node in the previous quotas, or its default rate if there were none. The previous
+    /// quotas have settled, as quotas are stored further apart than that takes: a process that has just started
+    /// may use the lesser of its previous and its new total at once. Empty if an earlier version stored the quotas.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "before")]
     pub previous_totals: Vec<f64>,
-    /// It was stored [`QUOTAS_SETTLE_MS`] ago or more, by who leads: whoever has heard anything since has read it. A process
-    /// that has just begun may take its part at once.
+    /// The leader states that these quotas were stored at least [`QUOTAS_SETTLE_MS`] ago: every node that has had
+    /// a response from the state service since then has read them. A process that has just started may use its
+    /// share at once.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     #[serde(rename = "settled")]
     pub is_settled: bool,
 }
 
 impl AdmissionQuotas {
-    /// Whether any part differs by more than `worth` of its node's whole.
+    /// Whether the rate of any class on any node, or a node's unassigned rate, differs by more than the fraction
+    /// `worth` of the node's total rate.
     pub fn differs_by(&self, other: &AdmissionQuotas, worth: f64) -> bool {
         if self.nodes != other.nodes {
             return true;
@@ -90,20 +97,20 @@
         })
     }
 
-    /// What a node had in all by the table before, where that is known.
+    /// A node's total rate in the previous quotas; `None` if these quotas don't hold it.
     fn previous_total_of(&self, node: &str) -> Option<f64> {
         let at = self.nodes.iter().position(|label| label == node)?;
         self.previous_totals.get(at).copied()
     }
 
-    /// What a node has in all.
+    /// A node's total rate; `None` if the quotas don't list the node.
     fn total_of(&self, node: &str) -> Option<f64> {
         let (classes, rest) = self.shares_of(node)?;
         Some(classes.values().sum::<f64>() + rest)
     }
 
-    /// The table as it follows on another, or where there was none on nodes that each took `equal`; one that was
-    /// not named there had its `floor`.
+    /// These quotas with [`AdmissionQuotas::previous_totals`] taken from the quotas `known` that they replace. If
+    /// there were none, each node used the rate `equal`; a node that they did not list used its `floor`.
     pub fn following(
         mut self,
         known: Option<&AdmissionQuotas>,
@@ -118,7 +125,7 @@
         self
     }
 
-    /// A node's parts, by class, and what it has besides.
+    /// A node's rate for each class, and its unassigned rate; `None` if the quotas don't list the node.
     pub fn shares_of(&self, node: &str) -> Option<(BTreeMap<&WorkloadClassName, f64>, f64)> {
         let at = self.nodes.iter().position(|label| label == node)?;
         let part = |parts: &[f64]| parts.get(at).copied().unwrap_or(0.0).max(0.0);
@@ -131,31 +138,35 @@
     }
 }
 
-/// What a node can take, in submissions a second, and what comes to it.
+/// The capacity of a node and the demand that it receives, in submissions a second.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeDemand {
-    /// By its part of the state service's limits.
+    /// The rate that its share of the state service's limits allows.
     pub capacity_per_s: f64,
-    /// By class: those that come for the first time, and those that wait for a turn, spread over some seconds.
+    /// By class: the rate of new submissions, and the submissions that hold a reservation, spread over some seconds.
     pub class_demands: BTreeMap<WorkloadClassName, f64>,
-    /// The part of its time in which its processor could not follow, from 0 to 1.
+    /// The fraction of the time in which its processor could not keep up, from 0 to 1.
     pub lateness: f64,
 }
 
 impl NodeDemand {
-    /// What it can take with the processor that it has: never nothing.
+    /// The capacity, reduced by the lateness of the processor, but never to zero.
     fn effective_capacity(&self) -> f64 {
         self.capacity_per_s * (1.0 - self.lateness).clamp(MIN_CAPACITY_FRACTION, 1.0)
     }
 }
 
-/// What a node keeps whatever it has missed, of what the node takes that takes least.
+/// The floor: the rate that each node keeps even if it has no response from the state service, computed from the
+/// capacity of the node with the least capacity. All rates are submissions a second.
 pub fn floor_rate(takes_least: f64) -> f64 {
     takes_least * MIN_CAPACITY_FRACTION * FLOOR_FRACTION
 }
 
-/// Splits what the nodes take over classes, equally by what each still wants, and each class's part over the nodes
-/// where it comes, first where least else does. Each node keeps its `floor`; what nobody asked for is for whoever comes.
+/// Divides the capacity of the nodes among the classes, max-min fair by their demand, and the rate of each class
+/// among the nodes that receive its submissions, first the nodes with the least other demand. Each node's `floor` and
+/// the capacity that no class demands stay unassigned, for submissions of any class.
+///
+/// `most_classes` limits the number of named classes: those with the least demand are left out.
 #[expect(clippy::too_many_lines, reason = "still to be split")]
 pub fn allocate_quotas(
     demands: &BTreeMap<String, NodeDemand>,
@@ -175,7 +186,7 @@
             wants[node] += rate.max(0.0);
         }
     }
-    // A value holds so many: those that least is asked for share the rest.
+    // The size of a stored value limits the number of classes: those with the least demand use the unassigned rate.
     let mut named: Vec<(&WorkloadClassName, Vec<f64>)> = wants.into_iter().collect();
     named.sort_by(|a, b| {
         total_rate(&b.1)
@@ -186,13 +197,14 @@
     let mut parts = vec![vec![0.0; free.len()]; named.len()];
     let step = total_rate(&free) / ALLOCATION_STEPS as f64;
     let mut open: Vec<usize> = (0..named.len()).collect();
-    // The class that has least and still wants something gets the next step.
+    // The class with the lowest rate so far that has unmet demand gets the next step.
     while let Some(&class) = open.iter().min_by(|a, b| {
         total_rate(&parts[**a])
             .total_cmp(&total_rate(&parts[**b]))
             .then(a.cmp(b))
     }) {
-        // There where least is asked for next to what is left: others may come to one node only.
+        // It gets the step on the node with the least unmet demand per free capacity: the submissions of another
+        // class may all arrive at one node and need the capacity of that node.
         let crowd = |node: usize| {
             let unmet = named
                 .iter()
@@ -239,54 +251,59 @@
     rates.iter().sum()
 }
 
-/// Down to thousandths: shorter in the store, and no sum grows by it.
+/// Rounds down to thousandths: the stored value is shorter, and no sum grows by the rounding.
 fn round_down(rate: f64) -> f64 {
     (rate * 1000.0).floor().max(0.0) / 1000.0
 }
 
-/// What a node follows: the tables that it has read, and since when it has heard nothing.
+/// The admission quotas that a node applies: the newest that it has read, and the limit until they have settled.
 #[derive(Clone, Debug, Default)]
 pub struct QuotaFollower {
-    /// The newest table.
+    /// The newest quotas that were read.
     quotas: Option<AdmissionQuotas>,
-    /// What it followed before, where the newest does not count in full yet.
+    /// The limit from the quotas before, while the newest have not settled.
     previous: Option<PreviousShare>,
 }
 
+/// The upper limit of a node's total rate until new quotas have settled.
 #[derive(Clone, Copy, Debug)]
 struct PreviousShare {
     /// In submissions a second.
     total_per_s: f64,
-    /// When the newest table has been known for long enough.
+    /// When the newest quotas have settled and the limit ends.
     until: Millis,
 }
 
-/// A node's parts at a moment, in submissions a second.
+/// The rates that a node may admit at a moment, in submissions a second.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QuotaShares {
+    /// The rate of each named class.
     pub classes: BTreeMap<WorkloadClassName, f64>,
-    /// For whoever comes.
+    /// The rate for submissions of any class.
     pub unassigned: f64,
-    /// The node is at its floor, as it has no news.
+    /// The node has had no response from the state service for [`QUOTAS_LAPSE_MS`], and uses its floor.
     pub is_lapsed: bool,
 }
 
 impl QuotaShares {
+    /// The total rate over all classes, with the unassigned rate.
     pub fn total(&self) -> f64 {
         self.classes.values().sum::<f64>() + self.unassigned
     }
 }
 
 impl QuotaFollower {
+    /// The sequence number of the newest quotas that were read; 0 if none were.
     pub fn seq(&self) -> u64 {
         self.quotas.as_ref().map_or(0, |table| table.seq)
     }
 
-    /// A newer table has been read by `node`. `parts`: what it follows at this moment, which counts where the
-    /// table does not say what it had before: that of a process that has just begun is only its floor.
+    /// Takes over newer quotas that `node` has read. Until they have settled, the node's total rate does not exceed
+    /// its total in the quotas before. If the new quotas don't hold that, the limit is the total of `parts`, the rates
+    /// that the node applies now; for a process that has just started that is only its floor.
     ///
-    /// How old the table is counts from now, not from when it was written: its write may have been applied late.
-    /// One that says that it has settled counts at once.
+    /// The settling time counts from `now`, not from when the quotas were written, as the write may have been
+    /// applied late. Quotas that are marked as settled apply in full at once. Older quotas are ignored.
     pub fn adopt(&mut self, node: &str, table: AdmissionQuotas, parts: QuotaShares, now: Millis) {
         if table.seq < self.seq() || (table.seq == self.seq() && !table.is_settled) {
             return;
@@ -298,8 +315,8 @@
         self.quotas = Some(table);
     }
 
-    /// What `node` may let in now. `synced`: when the last sync that succeeded was sent; `equal`: the node's part
-    /// where no table was ever read.
+    /// The rates that `node` may admit at `now`. `synced`: the send time of the last read barrier that succeeded;
+    /// `equal`: the node's rate if no quotas were ever read; `floor`: the rate that it keeps in any case.
     pub fn shares_at(
         &self,
         node: &str,
@@ -332,7 +349,7 @@
                 None => return only(floor),
             },
         };
-        // What the table adds may still be another node's.
+        // Another node may still use the rate that the newest quotas add to this node's share.
         let before = self.previous.as_ref().filter(|before| now < before.until);
         if let Some(before) = before
             && parts.total() > before.total_per_s
--- a/src/coordination/admission/quotas/tests.rs
+++ b/src/coordination/admission/quotas/tests.rs
@@ -9,7 +9,7 @@
     }
 }
 
-/// A node, what it takes, and what comes to it.
+/// A node, its capacity, and the demand of each class at it, in submissions a second.
 type DemandRow<'a> = (&'a str, f64, &'a [(&'a str, f64)]);
 
 fn demands(of: &[DemandRow]) -> BTreeMap<String, NodeDemand> {
@@ -34,7 +34,7 @@
     found.map_or(0.0, |(_, parts)| total_rate(parts))
 }
 
-/// One class comes fifty times as often, over one node.
+/// One class has over fifty times the demand of the other, at a single node.
 #[test]
 fn overload_of_one_class_leaves_other_demands_met() {
     let flood = [("flood", 200.0), ("calm", 1.0)];
@@ -43,13 +43,13 @@
         ("n1", 20.0, &[("calm", 2.0)]),
         ("n2", 20.0, &[]),
     ]);
-    assert!(floor_rate(20.0) > 1.0, "never nothing");
+    assert!(floor_rate(20.0) > 1.0, "the floor is above zero");
     let table = allocate_quotas(&asked, floor_rate(20.0), (1, 7), 10);
     assert!(total_rate_of(&table, "calm") > 2.9, "{table:?}");
     assert!(total_rate_of(&table, "flood") > 15.0, "{table:?}");
     assert!(
         table.unassigned[2] > 19.0,
-        "what nobody asks for is for whoever comes"
+        "capacity without demand stays unassigned"
     );
 }
 
@@ -62,17 +62,17 @@
     let before = allocate_quotas(&asked, floor_rate(20.0), (1, 7), 10);
     let (one, two) = (total_rate_of(&before, "one"), total_rate_of(&before, "two"));
     assert!((one - two).abs() < 1.0, "{one} {two}");
-    asked.get_mut("n0").expect("it is there").lateness = 0.5;
+    asked.get_mut("n0").expect("the node is listed").lateness = 0.5;
     let after = allocate_quotas(&asked, floor_rate(20.0), (2, 7), 10);
     let of = |table: &AdmissionQuotas, node: &str| {
-        let (classes, rest) = table.shares_of(node).expect("it is there");
+        let (classes, rest) = table.shares_of(node).expect("the node is listed");
         classes.values().sum::<f64>() + rest
     };
     assert!(of(&after, "n0") <= 10.0 && of(&after, "n1") > 19.0);
     assert!(after.total_per_s < before.total_per_s);
 }
 
-/// Any demands: no node gets more than it takes, each its floor, and nothing is left while somebody wants it.
+/// For random demands: no node gets more than its capacity, each keeps its floor, and the rates sum up to the total.
 #[test]
 fn allocation_hands_out_exactly_the_capacity() {
     for seed in 0..200 {
@@ -103,7 +103,7 @@
         let table = allocate_quotas(&asked, floor, (1, 1), rng.random_range(1..14));
         let mut whole = 0.0;
         for (node, demand) in &asked {
-            let (classes, rest) = table.shares_of(node).expect("each node has a part");
+            let (classes, rest) = table.shares_of(node).expect("each node has a share");
             let part = classes.values().sum::<f64>() + rest;
             assert!(part <= demand.capacity_per_s + 1e-6, "seed {seed}");
             assert!(rest + 0.01 >= floor, "seed {seed}");
@@ -118,8 +118,8 @@
     }
 }
 
-/// A process that had just begun followed its floor until the table that it had read had settled: users who were no
-/// flood were sent away for 6 s after each restart.
+/// A process that had just started used its floor until the quotas that it had read had settled: submissions of
+/// classes with little demand were deferred for 6 s after each restart.
 #[test]
 fn restarted_node_uses_the_lesser_of_old_and_new_quotas() {
     const TAKES: f64 = 20.0;
@@ -127,7 +127,7 @@
     let asked = |calm| demands(&[("n0", TAKES, &[("calm", calm)]), ("n1", TAKES, &[])]);
     let first = allocate_quotas(&asked(3.0), floor, (1, 1), 9).following(None, TAKES, floor);
     let mut less = asked(5.0);
-    less.get_mut("n0").expect("it is there").lateness = 0.5;
+    less.get_mut("n0").expect("the node is listed").lateness = 0.5;
     let second = allocate_quotas(&less, floor, (2, 1), 9).following(Some(&first), TAKES, floor);
     let third =
         allocate_quotas(&asked(9.0), floor, (3, 1), 9).following(Some(&second), TAKES, floor);
@@ -137,7 +137,7 @@
         let parts = following.shares_at("n0", (TAKES, floor), Some(100), 100);
         parts.total()
     };
-    let whole = |table: &AdmissionQuotas| table.total_of("n0").expect("it is there");
+    let whole = |table: &AdmissionQuotas| table.total_of("n0").expect("the node is listed");
     for (table, least) in [
         (&first, whole(&first)),
         (&second, whole(&second)),
@@ -146,13 +146,13 @@
         let found = follows(table);
         assert!(
             found > floor && (found - least).abs() < 0.1,
-            "{found}, {least}"
+            "applies {found}, expected {least}"
         );
     }
 }
 
-/// Three nodes that miss syncs and tables for any time, leaders that change, writes that are applied late: at
-/// no moment do they follow more than a whole that was agreed on.
+/// Three nodes miss read barriers and quotas for random times, processes restart, leaders change, and writes are
+/// applied late: at no moment does the sum of the rates that the nodes apply exceed the total of the stored quotas.
 #[expect(clippy::too_many_lines, reason = "still to be split")]
 #[test]
 fn sum_of_followed_quotas_stays_within_total_after_missed_updates() {
@@ -165,7 +165,8 @@
         let mut whole = 3.0 * TAKES;
         let mut nodes = vec![(QuotaFollower::default(), None::<Millis>); 3];
         let mut cut = [0; 3];
-        // When a leader may store the next: a successor counts from its takeover, which it may think later.
+        // When a leader may store the next quotas. A successor counts from its takeover, which it may take for later
+        // than it was.
         let mut next = rng.random_range(0..6000);
         for now in (0..120_000).step_by(100) {
             if now >= next {
@@ -192,7 +193,7 @@
                     .collect();
                 let seq = stored.as_ref().map_or(1, |table| table.seq + 1);
                 let mut table = allocate_quotas(&asked, floor, (seq, 1), 9);
-                // A leader of the version before does not say what was before.
+                // A leader of an earlier version does not store the previous totals.
                 if seed % 4 > 0 {
                     table = table.following(stored.as_ref(), TAKES, floor);
                 }
@@ -217,7 +218,7 @@
                 }
                 if cut[at] <= now && rng.random_bool(0.1) {
                     let parts = following.shares_at(names[at], (TAKES, floor), *synced, now);
-                    // A sync tells of what was stored when it was sent or later.
+                    // A read barrier returns quotas that were stored when it was sent or later.
                     if let Some(table) = &stored {
                         following.adopt(names[at], table.clone(), parts, now);
                     }
@@ -227,7 +228,7 @@
                     .shares_at(names[at], (TAKES, floor), *synced, now)
                     .total();
             }
-            // The newest table that has been in the store for long enough.
+            // The total of the newest quotas that have settled in the store.
             if let Some(table) = &stored
                 && stored_at + QUOTAS_SETTLE_MS <= now
             {
@@ -235,7 +236,7 @@
             }
             assert!(
                 sum <= whole + 1e-6,
-                "seed {seed} at {now}: {sum} of {whole}"
+                "seed {seed} at {now} ms: {sum} of {whole}"
             );
         }
     }
--- a/src/coordination/admission/tests.rs
+++ b/src/coordination/admission/tests.rs
@@ -7,7 +7,7 @@
     storage::JobRecord,
 };
 
-/// A node that has synced, of three.
+/// One node of three, which has completed a read barrier.
 fn node() -> Node {
     let config = serde_json::from_value(json!({
         "label": "n0", "domain": "a", "listen": "127.0.0.1:1", "mesh_addr": "127.0.0.1:2",
@@ -61,7 +61,7 @@
     serde_json::from_value(spec).expect("a submission")
 }
 
-/// What the node does with submissions: how many go on to the state service, and the answers.
+/// Submits jobs of `tasks` tasks. Returns how many of them the node stores, and its answers to the others.
 fn submit(
     node: &mut Node,
     ids: std::ops::Range<u64>,
@@ -86,7 +86,7 @@
     (on, answers.collect())
 }
 
-/// A flood over one node: it takes its part, and the others are told at once when to come back.
+/// A node that gets a flood of submissions admits its share, and answers the others at once with a retry delay.
 #[test]
 fn node_admits_its_share_and_defers_the_rest_with_retry_after() {
     let mut node = node();
@@ -94,17 +94,21 @@
     let part = node.quota_shares().total();
     assert!(
         on as f64 >= part && on as f64 <= part * 3.0 + 1.0,
-        "{on} of {part} a second"
+        "{on} admitted at {part} a second"
+    );
+    assert_eq!(
+        on + answers.len(),
+        400,
+        "every submission is stored or answered at once"
     );
-    assert_eq!(on + answers.len(), 400, "nobody waits for an answer");
     for answer in &answers {
-        let after = answer.retry_after_s.expect("told when to come back");
+        let after = answer.retry_after_s.expect("a retry delay");
         assert_eq!(answer.status, 429);
         assert!((1..=30).contains(&after));
     }
 }
 
-/// Without the state service a node goes on with less and less, and never with nothing.
+/// A node without responses from the state service reduces its rate in steps, but never to zero.
 #[test]
 fn node_without_sync_falls_back_to_its_floor() {
     let mut node = node();
@@ -117,11 +121,14 @@
     ] {
         node.step([Command::Tick], at(now));
         let part = node.quota_shares().total() / whole;
-        assert!((least..=most).contains(&part), "{part} at {now}");
+        assert!(
+            (least..=most).contains(&part),
+            "{part} of the first share at {now} ms"
+        );
     }
 }
 
-/// Fifty arrays of 100,000 tasks would fill a leader's memory; small jobs go on.
+/// Fifty arrays of 100,000 tasks would fill a leader's memory. Long arrays are deferred before that, small jobs are not.
 #[test]
 fn long_arrays_are_deferred_for_memory_and_leave_a_reserve() {
     let mut node = node();
@@ -138,16 +145,16 @@
         }
         synced(&mut node, 1000 + id * 500);
     }
-    assert!((4..=8).contains(&taken), "{taken}");
+    assert!((4..=8).contains(&taken), "{taken} arrays accepted");
     assert_eq!(submit(&mut node, 100..101, 10, 11_000).0, 1);
-    // Room comes back as jobs end.
+    // Memory is free again as jobs end.
     node.registry
         .put_job_record(JobId(1), JobRecord::Cancelled, 90);
     assert_eq!(submit(&mut node, 101..102, 10_000, 11_500).0, 1);
     assert_eq!(submission(1, 1).kind, JobKind::Array);
 }
 
-/// As the processor falls behind, polls give way first, then newcomers; cancellations never.
+/// As the processor becomes late, polls are refused first, then new submissions; cancellations never.
 #[test]
 fn polls_are_shed_before_submissions_when_processor_is_late() {
     let mut node = node();
@@ -170,8 +177,8 @@
                 matches!(effect, Effect::Respond(id, answer) if *id == ask && answer.retry_after_s.is_some())
             })
         };
-        assert_eq!(!sent_away(1), polls, "polls, late {late}");
-        assert!(!sent_away(2), "cancellations, late {late}");
-        assert_eq!(!sent_away(3), submits, "submissions, late {late}");
+        assert_eq!(!sent_away(1), polls, "polls at lateness {late}");
+        assert!(!sent_away(2), "cancellations at lateness {late}");
+        assert_eq!(!sent_away(3), submits, "submissions at lateness {late}");
     }
 }
--- a/src/coordination/user_requests/feasibility.rs
+++ b/src/coordination/user_requests/feasibility.rs
@@ -10,16 +10,16 @@
     },
 };
 
-/// Tolerates the rounding of sums of resources.
+/// Tolerance for rounding in sums of resources.
 const LIMIT_EPSILON: f64 = 1e-6;
 
 /// Whether a submitted job can ever run.
 pub(super) enum Feasibility {
-    /// It can.
+    /// The job can run.
     Feasible,
-    /// The machine types are not known yet.
+    /// The machine types have not been received yet.
     Undecided,
-    /// It can not, for this reason.
+    /// The job can never run, for this reason.
     Infeasible(&'static str),
 }
 
@@ -81,7 +81,7 @@
         })
 }
 
-/// Whether what must run at once of the job is more than its team may ever use.
+/// Whether the tasks of the job that must run at the same time need more than the team's limit.
 fn exceeds_team_limit(job: &Submission, team: &Team) -> bool {
     let tasks_at_once = match job.kind {
         JobKind::Array => 1.0,
--- a/src/coordination/user_requests/mod.rs
+++ b/src/coordination/user_requests/mod.rs
@@ -1,4 +1,4 @@
-//! Users' requests. Any node takes them: what counts is the job's key in the state service.
+//! Users' requests. Any node handles them, as the job's key in the state service decides on the job's state.
 
 mod feasibility;
 mod relay;
@@ -21,13 +21,13 @@
 use feasibility::Feasibility;
 
 const TXN_TIMEOUT_MS: u64 = 2000;
-/// How often a cancellation is tried against a record that keeps changing.
+/// How often the write of a cancellation is attempted while the job's record keeps changing.
 const MAX_CANCEL_ATTEMPTS: u32 = 4;
 
 /// A user's request that waits for the state service.
 #[derive(Debug)]
 pub enum PendingRequest {
-    /// Tell the status of a job.
+    /// Return the status of a job.
     Poll(JobId),
     /// Accept a job.
     Submit(Box<Submission>),
@@ -35,7 +35,7 @@
     Cancel {
         /// The job.
         id: JobId,
-        /// How often that was tried.
+        /// How often the write was attempted.
         attempts: u32,
     },
 }
@@ -60,7 +60,8 @@
         self.effects.push(Effect::Respond(id, response));
     }
 
-    /// Has a request answered after the next read barrier.
+    /// Queues a request to be answered after the next read barrier. If the last barrier got no response, the request
+    /// is relayed or refused instead.
     fn answer_after_barrier(&mut self, id: RequestId, pending: PendingRequest) {
         self.pending_requests.insert(id, pending);
         if self.read_barrier.is_unanswered {
@@ -89,14 +90,14 @@
         match request {
             ApiRequest::Submit(submission) => match self.registry.get(submission.id) {
                 Some(_) => self.answer_from_registry(id, PendingRequest::Submit(submission)),
-                // What users have been told of its dependencies has to be known: accepted as one that
-                // waits, though a dependency is cancelled, it would be called pending.
+                // The registry has to hold all states of its dependencies that users have received: if a
+                // dependency is cancelled and this node has not read that, it would return the job as pending.
                 None if !submission.dependencies.is_empty() => {
                     self.answer_after_barrier(id, PendingRequest::Submit(submission));
                 }
                 None => match self.check_feasibility(&submission) {
                     Feasibility::Feasible => self.submit_job(id, submission, false),
-                    // It may have been accepted elsewhere, when things looked different.
+                    // Another node may have accepted it before, when it was feasible.
                     Feasibility::Infeasible(_) => {
                         self.answer_after_barrier(id, PendingRequest::Submit(submission))
                     }
@@ -124,7 +125,7 @@
         }
     }
 
-    /// The priority of a poll; `None`: it is answered from memory, which costs nothing worth saving.
+    /// The priority of a poll; `None`: the job has ended, and the answer from memory is too cheap to shed.
     fn poll_priority(&self, job: JobId) -> Option<RequestPriority> {
         let entry = self.registry.get(job);
         if entry.and_then(RegisteredJob::final_status).is_some() {
@@ -139,8 +140,8 @@
         })
     }
 
-    /// Final states are answered from memory, everything else after a read barrier. A cancellation of a
-    /// job that is known to be live goes straight to its key, which decides.
+    /// Answers requests for jobs in a final state from memory, and all others after a read barrier. A cancellation
+    /// of a job that is in the registry needs no barrier, as the conditional write to the job's key decides.
     fn answer_from_registry(&mut self, id: RequestId, pending: PendingRequest) {
         let known = self.registry.get(pending.job_id());
         let cancel = matches!(pending, PendingRequest::Cancel { .. });
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Answers a request now that the registry is new enough.
+    /// Answers a request for which the registry is recent enough.
     pub(super) fn resolve_request(&mut self, id: RequestId) {
         let Some(pending) = self.pending_requests.remove(&id) else {
             return;
@@ -197,7 +198,7 @@
         }
     }
 
-    /// Handles the answer to a cancellation.
+    /// Handles the response to the write of a cancellation.
     pub(super) fn on_cancel_response(
         &mut self,
         id: RequestId,
@@ -221,14 +222,14 @@
         }
     }
 
-    /// Answers a request anew after the next read barrier.
+    /// Queues a request to be handled again after the next read barrier.
     fn retry_after_barrier(&mut self, id: RequestId) {
         if let Some(pending) = self.pending_requests.remove(&id) {
             self.answer_after_barrier(id, pending);
         }
     }
 
-    /// What is known of a job, for its user.
+    /// The state of a job as its user gets it, from the registry and the last progress that the leader announced.
     fn job_view(&self, id: JobId) -> JobView {
         let ended = self.registry.get(id).and_then(RegisteredJob::final_status);
         let (done, running) = match &self.leader_state {
--- a/src/coordination/user_requests/relay.rs
+++ b/src/coordination/user_requests/relay.rs
@@ -1,4 +1,4 @@
-//! Relaying: a member answers what this node can't answer now.
+//! Relaying: has another member answer a user's request that this node can't answer now.
 
 use std::collections::{HashMap, HashSet};
 
@@ -9,23 +9,23 @@
     time::Millis,
 };
 
-/// Members that could not answer are not asked again for this long.
+/// After a member could not answer either, no request is relayed for this long.
 const RELAY_RETRY_MS: Millis = 1000;
 
-/// Requests that other members answer for this node, or it for them.
+/// The requests that this node relayed to members, and those that members relayed to it.
 #[derive(Default)]
 pub struct RelayState {
     /// Relayed to a member, and not answered yet.
     relayed_out: HashMap<RequestId, JobId>,
-    /// Relayed here by a member: not relayed again.
+    /// Relayed to this node by a member; these are not relayed again.
     pub(super) relayed_in: HashSet<RequestId>,
-    /// The members could not answer either: they are not asked again before this time.
+    /// No request is relayed before this time, as a member could not answer either.
     retry_at: Millis,
 }
 
 impl Node {
-    /// The request can't be answered here now. The state service may be out of reach of this node alone:
-    /// then another member can answer, and the user need not come back.
+    /// Relays a request that can't be answered here now, or refuses it. If the state service is out of reach of
+    /// this node alone, another member can answer, and the user need not retry. The leader is preferred.
     pub(in crate::coordination) fn relay_or_refuse(&mut self, id: RequestId) {
         let Some(pending) = self.pending_requests.remove(&id) else {
             return;
@@ -79,13 +79,13 @@
         }
     }
 
-    /// No member can answer now.
+    /// Answers that the state service is unavailable; neither this node nor a member can answer now.
     fn respond_unavailable(&mut self, id: RequestId, job: JobId) {
         self.admission.on_refused(job);
         self.respond(id, state_service_unavailable());
     }
 
-    /// Takes in what the leader announces.
+    /// Handles an announcement of the leader. One from an earlier term is ignored.
     pub(in crate::coordination) fn on_leader_announcement(
         &mut self,
         announcement: LeaderAnnouncement,
--- a/src/coordination/user_requests/submission.rs
+++ b/src/coordination/user_requests/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions: a job is accepted once its record is stored.
+//! Submissions: a job is accepted once its record is stored in the state service.
 
 use super::{PendingRequest, TXN_TIMEOUT_MS};
 use crate::{
@@ -15,14 +15,14 @@
 const CHECK_TIMEOUT_MS: u64 = 1500;
 
 impl Node {
-    /// Stores a job, if it is admitted. `is_current`: the registry is as new as the request.
+    /// Stores a job if it is admitted. `is_current`: a read barrier has succeeded since the request arrived.
     pub(super) fn submit_job(
         &mut self,
         id: RequestId,
         submission: Box<Submission>,
         is_current: bool,
     ) {
-        // What a member relays has been admitted there.
+        // A submission that a member relays was admitted at that member.
         let is_relayed = self.relay.relayed_in.contains(&id);
         let priority = if is_relayed {
             RequestPriority::SubmissionWithinShare
@@ -37,7 +37,7 @@
             storage::live_job_record(self.wall_ms, &submission, limits.max_value_bytes());
         let job = submission.id;
         if texts.len() >= limits.max_txn_ops as usize {
-            // It may have been accepted when the state service took more.
+            // It may have been accepted before, when the state service's limits were higher.
             return if is_current {
                 self.respond(id, ApiResponse::error(400, "too many names"))
             } else {
@@ -69,7 +69,7 @@
         );
     }
 
-    /// Handles the answer to the storing of a job.
+    /// Handles the response to the write of a job. `single_key`: the write held the job's record alone.
     pub(in crate::coordination) fn on_submit_response(
         &mut self,
         id: RequestId,
@@ -77,10 +77,10 @@
         result: Result<StateReply, StateError>,
     ) {
         match result {
-            // What is kept under several keys is read like everybody else's.
+            // A job that is stored under several keys is read back from the state service, as by any other node.
             Ok(StateReply::Committed(_)) if !single_key => self.retry_after_barrier(id),
             Ok(StateReply::Committed(version)) => self.on_submission_stored(id, version),
-            // Stored already: by another node, or by an attempt of this one that seemed lost.
+            // The job is stored already: by another node, or by an earlier attempt of this node without a response.
             Ok(StateReply::Conflict(_)) => self.retry_after_barrier(id),
             Err(StateError::NoAnswer) => {
                 let Some(pending) = self.pending_requests.get(&id) else {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// A job was stored under one key: it is accepted.
+    /// Accepts a job that was stored under a single key.
     fn on_submission_stored(&mut self, id: RequestId, version: u64) {
         let Some(PendingRequest::Submit(submission)) = self.pending_requests.remove(&id) else {
             return;
@@ -122,7 +122,7 @@
         self.respond(id, ApiResponse::json(201, &self.job_view(job)));
     }
 
-    /// Handles what the storing of a job that got no answer left behind.
+    /// Handles the read of a job's key after the write of the job got no response.
     pub(in crate::coordination) fn on_submit_check(
         &mut self,
         id: RequestId,
@@ -130,7 +130,7 @@
     ) {
         match result {
             Ok(StateReply::Row(_)) => self.retry_after_barrier(id),
-            // Not there yet, and perhaps never: the user has to ask again.
+            // The job is not stored yet, and may never be: the user has to retry.
             _ => self.relay_or_refuse(id),
         }
     }
