--- a/src/coordination/admission/controller.rs
+++ b/src/coordination/admission/controller.rs
@@ -112,8 +112,9 @@
 /// A time at which a deferred submission is admitted when its user retries.
 #[derive(Clone, Copy, Debug)]
 struct Reservation {
-    class: usize,
-    at: Millis,
+    class_index: usize,
+    /// The time at which its user is to retry.
+    due_at: Millis,
     /// This node gave it. Otherwise another member did, and the leader announced it.
     is_local: bool,
 }
@@ -121,7 +122,7 @@
 /// A submission that was seen at this node and is not known to be accepted.
 #[derive(Clone, Copy, Debug)]
 struct PendingSubmission {
-    class: usize,
+    class_index: usize,
     first_seen_at: Millis,
     last_seen_at: Millis,
     /// It was admitted, and is being stored.
@@ -133,7 +134,7 @@
 /// Decides which submissions a node admits. It reads no clock: each call takes the time.
 #[derive(Default)]
 pub struct AdmissionController {
-    class_index: HashMap<WorkloadClassName, usize>,
+    class_indices: HashMap<WorkloadClassName, usize>,
     class_names: Vec<WorkloadClassName>,
     buckets: Vec<ClassBucket>,
     /// The bucket that submissions of any class may use.
@@ -151,39 +152,39 @@
 
 impl AdmissionController {
     /// The index of a class in `buckets`; adds a bucket for a new class.
-    fn class_slot(&mut self, class: &WorkloadClassName) -> usize {
-        if let Some(&known) = self.class_index.get(class) {
-            return known;
+    fn class_index(&mut self, class: &WorkloadClassName) -> usize {
+        if let Some(&index) = self.class_indices.get(class) {
+            return index;
         }
-        self.class_index.insert(class.clone(), self.buckets.len());
+        self.class_indices.insert(class.clone(), self.buckets.len());
         self.class_names.push(class.clone());
         self.buckets.push(ClassBucket::default());
         self.buckets.len() - 1
     }
 
-    /// Adds the tokens of the time since the last call, at the rates `parts`, which may have changed.
-    pub fn refill(&mut self, parts: &QuotaShares, now: Millis) {
+    /// Adds the tokens of the time since the last call, at the rates `shares`, which may have changed.
+    pub fn refill(&mut self, shares: &QuotaShares, now: Millis) {
         // The first call fills the buckets: a new process has admitted nothing yet.
-        let passed = match self.filled_at {
+        let elapsed_s = match self.filled_at {
             0 => BUCKET_DEPTH_S,
             at => now.saturating_sub(at) as f64 / 1000.0,
         };
         self.filled_at = now;
-        self.is_lapsed = parts.is_lapsed;
-        for class in parts.classes.keys() {
-            self.class_slot(class);
+        self.is_lapsed = shares.is_lapsed;
+        for class in shares.classes.keys() {
+            self.class_index(class);
         }
-        let mut over = 0.0;
+        let mut overflow = 0.0;
         for (name, bucket) in self.class_names.iter().zip(&mut self.buckets) {
-            bucket.rate_per_s = parts.classes.get(name).copied().unwrap_or(0.0);
+            bucket.rate_per_s = shares.classes.get(name).copied().unwrap_or(0.0);
             let depth = bucket.rate_per_s * BUCKET_DEPTH_S;
-            bucket.tokens += bucket.rate_per_s * passed;
-            over += (bucket.tokens - depth).max(0.0);
+            bucket.tokens += bucket.rate_per_s * elapsed_s;
+            overflow += (bucket.tokens - depth).max(0.0);
             bucket.tokens = bucket.tokens.min(depth);
         }
-        self.unassigned.rate_per_s = parts.unassigned;
-        let depth = parts.total() * BUCKET_DEPTH_S;
-        let gained = over + parts.unassigned * passed;
+        self.unassigned.rate_per_s = shares.unassigned;
+        let depth = shares.total() * BUCKET_DEPTH_S;
+        let gained = overflow + shares.unassigned * elapsed_s;
         self.unassigned.tokens = (self.unassigned.tokens + gained).min(depth);
     }
 
@@ -195,169 +196,184 @@
         job: JobId,
         now: Millis,
     ) -> AdmissionDecision {
-        let class = self.class_slot(class);
+        let class_index = self.class_index(class);
         if self.pending.len() >= MAX_PENDING_SUBMISSIONS {
-            self.forget_unseen(now, now.saturating_sub(RETRY_MARGIN_MS));
+            self.remove_unseen(now, now.saturating_sub(RETRY_MARGIN_MS));
         }
-        let guest = self.pending.entry(job).or_insert(PendingSubmission {
-            class,
+        let submission = self.pending.entry(job).or_insert(PendingSubmission {
+            class_index,
             first_seen_at: now,
             last_seen_at: now,
             is_admitted: false,
             was_deferred: false,
         });
-        let first = guest.first_seen_at;
-        guest.last_seen_at = now;
-        let turn = self.reservations.get(&job).copied();
+        let first_seen_at = submission.first_seen_at;
+        submission.last_seen_at = now;
+        let reservation = self.reservations.get(&job).copied();
         // A submission with a reservation of another node has been counted there.
-        let newcomer = first == now && !guest.was_deferred && turn.is_none();
-        if newcomer {
-            self.buckets[class].arrivals += 1;
-            self.buckets[class].counts.arrived += 1;
+        let is_first_attempt =
+            first_seen_at == now && !submission.was_deferred && reservation.is_none();
+        if is_first_attempt {
+            self.buckets[class_index].arrivals += 1;
+            self.buckets[class_index].counts.arrived += 1;
         }
-        let his_turn = turn.is_some_and(|turn| turn.at <= now + RESERVATION_EARLY_MS);
-        let due = if his_turn {
+        let has_due_reservation =
+            reservation.is_some_and(|reservation| reservation.due_at <= now + RESERVATION_EARLY_MS);
+        let due_reservations = if has_due_reservation {
             0
         } else {
-            self.due_reservation_count(class, now)
+            self.due_reservation_count(class_index, now)
         };
-        let bucket = &mut self.buckets[class];
+        let bucket = &mut self.buckets[class_index];
         // A submission whose reservation is due is admitted even if others took the tokens meanwhile: it may overdraw
         // the bucket by the tokens of a second, and at least by one. Others leave tokens for due reservations.
-        let least = |rate: f64, due: usize| {
-            if his_turn {
+        let min_tokens = |rate: f64, due_reservations: usize| {
+            if has_due_reservation {
                 1.0 - rate.max(1.0)
             } else {
-                1.0 + due as f64
+                1.0 + due_reservations as f64
             }
         };
-        let within = bucket.rate_per_s > 0.0 && bucket.tokens >= least(bucket.rate_per_s, due);
-        let spare = due == 0 && self.unassigned.tokens >= least(self.unassigned.rate_per_s, 0);
-        if within || spare {
-            if within {
+        let has_class_token = bucket.rate_per_s > 0.0
+            && bucket.tokens >= min_tokens(bucket.rate_per_s, due_reservations);
+        let has_unassigned_token = due_reservations == 0
+            && self.unassigned.tokens >= min_tokens(self.unassigned.rate_per_s, 0);
+        if has_class_token || has_unassigned_token {
+            if has_class_token {
                 bucket.tokens -= 1.0;
             } else {
                 self.unassigned.tokens -= 1.0;
             }
             self.remove_reservation(job);
-            if let Some(guest) = self.pending.get_mut(&job) {
-                guest.is_admitted = true;
+            if let Some(submission) = self.pending.get_mut(&job) {
+                submission.is_admitted = true;
             }
             // A class that the quotas don't name is within its share while there are unassigned tokens.
-            let unnamed = self.buckets[class].rate_per_s <= 0.0;
+            let is_unnamed = self.buckets[class_index].rate_per_s <= 0.0;
             return AdmissionDecision::Admitted {
-                within_share: within || his_turn || unnamed,
+                within_share: has_class_token || has_due_reservation || is_unnamed,
             };
         }
         bucket.counts.deferred += 1;
-        if let Some(guest) = self.pending.get_mut(&job) {
-            guest.was_deferred = true;
+        if let Some(submission) = self.pending.get_mut(&job) {
+            submission.was_deferred = true;
         }
-        let last = first + USER_RETRY_PERIOD_MS - RETRY_MARGIN_MS;
-        let at = match turn.filter(|turn| turn.at + RESERVATION_GRACE_MS > now) {
-            Some(turn) => turn.at.max(now + RESERVATION_EARLY_MS),
+        let latest_due_at = first_seen_at + USER_RETRY_PERIOD_MS - RETRY_MARGIN_MS;
+        let retry_at = match reservation
+            .filter(|reservation| reservation.due_at + RESERVATION_GRACE_MS > now)
+        {
+            Some(reservation) => reservation.due_at.max(now + RESERVATION_EARLY_MS),
             // Reservations at the rate of the floor were so late that users waited through the time between two
             // outages of the state service, and gave up.
             None if self.is_lapsed => {
-                let after_s = (LAPSED_RETRY_BASE_S
+                let retry_after_s = (LAPSED_RETRY_BASE_S
                     + self.pending.len() as u32 / LAPSED_PENDING_PER_S)
                     .min(LAPSED_RETRY_MAX_S);
                 return AdmissionDecision::Deferred {
-                    retry_after_s: after_s,
+                    retry_after_s,
                     has_reservation: false,
                 };
             }
             None => {
-                let rate = self.reservation_rate(class).max(0.01);
-                let bucket = &self.buckets[class];
-                let at = bucket.last_reservation_at.max(now + RESERVATION_EARLY_MS)
+                let rate = self.reservation_rate(class_index).max(0.01);
+                let bucket = &self.buckets[class_index];
+                let due_at = bucket.last_reservation_at.max(now + RESERVATION_EARLY_MS)
                     + (1000.0 / rate) as Millis;
-                if at > last {
-                    self.buckets[class].counts.deferred_unreserved += 1;
-                    let after_s = (MAX_RETRY_AFTER_MS / 1000) as u32;
+                if due_at > latest_due_at {
+                    self.buckets[class_index].counts.deferred_unreserved += 1;
+                    let retry_after_s = (MAX_RETRY_AFTER_MS / 1000) as u32;
                     return AdmissionDecision::Deferred {
-                        retry_after_s: after_s,
+                        retry_after_s,
                         has_reservation: false,
                     };
                 }
-                self.buckets[class].last_reservation_at = at;
-                self.reservation_queue.insert((class, at, job));
-                let own = true;
+                self.buckets[class_index].last_reservation_at = due_at;
+                self.reservation_queue.insert((class_index, due_at, job));
+                let is_local = true;
                 self.reservations.insert(
                     job,
                     Reservation {
-                        class,
-                        at,
-                        is_local: own,
+                        class_index,
+                        due_at,
+                        is_local,
                     },
                 );
-                at
+                due_at
             }
         };
-        let after = (at - now).clamp(1000, MAX_RETRY_AFTER_MS);
-        let after_s = after.div_ceil(1000) as u32;
+        let delay_ms = (retry_at - now).clamp(1000, MAX_RETRY_AFTER_MS);
+        let retry_after_s = delay_ms.div_ceil(1000) as u32;
         AdmissionDecision::Deferred {
-            retry_after_s: after_s,
+            retry_after_s,
             has_reservation: true,
         }
     }
 
     /// How many reservations a second a class can be given: its own rate. Classes that the quotas don't name divide
     /// the unassigned rate equally among those of them that have future reservations.
-    fn reservation_rate(&self, class: usize) -> f64 {
-        let bucket = &self.buckets[class];
+    fn reservation_rate(&self, class_index: usize) -> f64 {
+        let bucket = &self.buckets[class_index];
         if bucket.rate_per_s > 0.0 {
             return bucket.rate_per_s;
         }
-        let others = self.buckets.iter().enumerate().filter(|(at, other)| {
-            *at != class && other.rate_per_s <= 0.0 && other.last_reservation_at > self.filled_at
-        });
-        self.unassigned.rate_per_s / (1 + others.count()) as f64
+        let competing_classes = self
+            .buckets
+            .iter()
+            .enumerate()
+            .filter(|(other_index, other)| {
+                *other_index != class_index
+                    && other.rate_per_s <= 0.0
+                    && other.last_reservation_at > self.filled_at
+            });
+        self.unassigned.rate_per_s / (1 + competing_classes.count()) as f64
     }
 
     /// How many due reservations of a class have not been used yet.
-    fn due_reservation_count(&self, class: usize, now: Millis) -> usize {
-        let from = now.saturating_sub(RESERVATION_GRACE_MS);
-        let due = (class, from, JobId(0))..=(class, now + RESERVATION_EARLY_MS, JobId(u64::MAX));
-        self.reservation_queue.range(due).count()
+    fn due_reservation_count(&self, class_index: usize, now: Millis) -> usize {
+        let earliest = now.saturating_sub(RESERVATION_GRACE_MS);
+        let due_range = (class_index, earliest, JobId(0))
+            ..=(class_index, now + RESERVATION_EARLY_MS, JobId(u64::MAX));
+        self.reservation_queue.range(due_range).count()
     }
 
     fn remove_reservation(&mut self, job: JobId) {
-        if let Some(turn) = self.reservations.remove(&job) {
-            self.reservation_queue.remove(&(turn.class, turn.at, job));
+        if let Some(reservation) = self.reservations.remove(&job) {
+            self.reservation_queue
+                .remove(&(reservation.class_index, reservation.due_at, job));
         }
     }
 
-    /// A job is accepted. `here`: this node answers the user, as opposed to a change read from the state service.
-    pub fn on_accepted(&mut self, job: JobId, here: bool, now: Millis) {
+    /// A job is accepted. `by_this_node`: this node answers the user. Otherwise the job was read from the state
+    /// service.
+    pub fn on_accepted(&mut self, job: JobId, by_this_node: bool, now: Millis) {
         self.remove_reservation(job);
         // A job that this node stores is often read from the state service before the response to its write
         // arrives: that response is what counts it.
-        let inside = self
+        let is_admitted = self
             .pending
             .get(&job)
-            .is_some_and(|guest| guest.is_admitted);
-        if inside && !here {
+            .is_some_and(|submission| submission.is_admitted);
+        if is_admitted && !by_this_node {
             return;
         }
-        let Some(guest) = self.pending.remove(&job) else {
+        let Some(submission) = self.pending.remove(&job) else {
             return;
         };
-        if here {
-            let counts = &mut self.buckets[guest.class].counts;
+        if by_this_node {
+            let counts = &mut self.buckets[submission.class_index].counts;
             counts.accepted += 1;
-            counts.accepted_promptly += u64::from(guest.first_seen_at + 1000 >= now);
+            counts.accepted_promptly += u64::from(submission.first_seen_at + 1000 >= now);
         }
     }
 
     /// The submission was admitted, but its user was asked to retry: counts as deferred.
     pub fn on_refused(&mut self, job: JobId) {
-        if let Some(guest) = self.pending.get_mut(&job)
-            && guest.is_admitted
+        if let Some(submission) = self.pending.get_mut(&job)
+            && submission.is_admitted
         {
-            guest.is_admitted = false;
-            guest.was_deferred = true;
-            self.buckets[guest.class].counts.deferred += 1;
+            submission.is_admitted = false;
+            submission.was_deferred = true;
+            self.buckets[submission.class_index].counts.deferred += 1;
         }
     }
 
@@ -367,63 +383,72 @@
         if self.updated_at + 1000 > now {
             return;
         }
-        let passed = now.saturating_sub(self.updated_at) as f64 / 1000.0;
+        let elapsed_s = now.saturating_sub(self.updated_at) as f64 / 1000.0;
         self.updated_at = now;
-        let part = 1.0 - (-passed / DEMAND_WINDOW_S).exp();
+        let weight = 1.0 - (-elapsed_s / DEMAND_WINDOW_S).exp();
         for bucket in &mut self.buckets {
-            let rate = f64::from(std::mem::take(&mut bucket.arrivals)) / passed;
-            bucket.arrivals_per_s += (rate - bucket.arrivals_per_s) * part;
+            let rate = f64::from(std::mem::take(&mut bucket.arrivals)) / elapsed_s;
+            bucket.arrivals_per_s += (rate - bucket.arrivals_per_s) * weight;
         }
-        let missed: Vec<JobId> = self
+        let expired: Vec<JobId> = self
             .reservations
             .iter()
-            .filter(|(_, turn)| turn.at + RESERVATION_GRACE_MS <= now)
+            .filter(|(_, reservation)| reservation.due_at + RESERVATION_GRACE_MS <= now)
             .map(|(job, _)| *job)
             .collect();
-        missed
+        expired
             .into_iter()
             .for_each(|job| self.remove_reservation(job));
-        self.forget_unseen(now, now.saturating_sub(ABANDONED_AFTER_MS));
+        self.remove_unseen(now, now.saturating_sub(ABANDONED_AFTER_MS));
         // A class without reservations gives its next one without a delay for earlier ones.
-        let mut waiting = vec![false; self.buckets.len()];
-        for turn in self.reservations.values() {
-            waiting[turn.class] = true;
+        let mut has_reservation = vec![false; self.buckets.len()];
+        for reservation in self.reservations.values() {
+            has_reservation[reservation.class_index] = true;
         }
-        for (bucket, waiting) in self.buckets.iter_mut().zip(waiting) {
-            if !waiting {
+        for (bucket, has_reservation) in self.buckets.iter_mut().zip(has_reservation) {
+            if !has_reservation {
                 bucket.last_reservation_at = 0;
             }
         }
     }
 
     /// Drops submissions that were last seen at `since` or before, but keeps those seen at `now`.
-    fn forget_unseen(&mut self, now: Millis, since: Millis) {
+    fn remove_unseen(&mut self, now: Millis, since: Millis) {
         let buckets = &mut self.buckets;
-        self.pending.retain(|_, guest| {
-            let gone = guest.last_seen_at <= since && guest.last_seen_at < now;
-            if gone && guest.was_deferred && !guest.is_admitted {
-                buckets[guest.class].counts.abandoned += 1;
+        self.pending.retain(|_, submission| {
+            let is_unseen = submission.last_seen_at <= since && submission.last_seen_at < now;
+            if is_unseen && submission.was_deferred && !submission.is_admitted {
+                buckets[submission.class_index].counts.abandoned += 1;
             }
-            !gone
+            !is_unseen
         });
     }
 
     /// The demand of each class at this node, in submissions a second: the mean rate of first attempts, and the
     /// reservations that this node gave, spread over `DEMAND_WINDOW_S`.
     pub fn demand_by_class(&self) -> BTreeMap<WorkloadClassName, f64> {
-        let mut waiting = vec![0; self.buckets.len()];
-        for turn in self.reservations.values().filter(|turn| turn.is_local) {
-            waiting[turn.class] += 1;
+        let mut reservation_counts = vec![0; self.buckets.len()];
+        for reservation in self
+            .reservations
+            .values()
+            .filter(|reservation| reservation.is_local)
+        {
+            reservation_counts[reservation.class_index] += 1;
         }
-        let each = self.class_names.iter().zip(&self.buckets).zip(waiting);
-        each.map(|((name, bucket), waiting)| {
-            (
-                name.clone(),
-                bucket.arrivals_per_s + f64::from(waiting) / DEMAND_WINDOW_S,
-            )
-        })
-        .filter(|(_, demand)| *demand > 0.01)
-        .collect()
+        let classes = self
+            .class_names
+            .iter()
+            .zip(&self.buckets)
+            .zip(reservation_counts);
+        classes
+            .map(|((name, bucket), count)| {
+                (
+                    name.clone(),
+                    bucket.arrivals_per_s + f64::from(count) / DEMAND_WINDOW_S,
+                )
+            })
+            .filter(|(_, demand)| *demand > 0.01)
+            .collect()
     }
 
     /// The counts of each class at this node.
@@ -434,37 +459,43 @@
 
     /// The next reservations that this node gave, for the members: job, class, and milliseconds from `now`.
     pub fn local_reservations(&self, now: Millis) -> Vec<(JobId, WorkloadClassName, u64)> {
-        let mut turns: Vec<(Millis, JobId, usize)> = self
+        let mut reservations: Vec<(Millis, JobId, usize)> = self
             .reservations
             .iter()
-            .filter(|(_, turn)| turn.is_local && turn.at > now)
-            .map(|(job, turn)| (turn.at, *job, turn.class))
+            .filter(|(_, reservation)| reservation.is_local && reservation.due_at > now)
+            .map(|(job, reservation)| (reservation.due_at, *job, reservation.class_index))
             .collect();
-        turns.sort_unstable();
-        turns.truncate(MAX_RESERVATIONS_SHARED);
-        let turns = turns.into_iter();
-        turns
-            .map(|(at, job, class)| (job, self.class_names[class].clone(), at - now))
+        reservations.sort_unstable();
+        reservations.truncate(MAX_RESERVATIONS_SHARED);
+        let reservations = reservations.into_iter();
+        reservations
+            .map(|(due_at, job, class_index)| {
+                (job, self.class_names[class_index].clone(), due_at - now)
+            })
             .collect()
     }
 
     /// Adds reservations that other members gave: job, class, and milliseconds from `now`.
-    pub fn learn_reservations(&mut self, turns: &[(JobId, WorkloadClassName, u64)], now: Millis) {
-        for (job, class, in_ms) in turns {
-            if self.reservations.contains_key(job) || *in_ms > USER_RETRY_PERIOD_MS {
+    pub fn add_remote_reservations(
+        &mut self,
+        reservations: &[(JobId, WorkloadClassName, u64)],
+        now: Millis,
+    ) {
+        for (job, class, delay_ms) in reservations {
+            if self.reservations.contains_key(job) || *delay_ms > USER_RETRY_PERIOD_MS {
                 continue;
             }
-            let class = self.class_slot(class);
-            let at = now + in_ms;
+            let class_index = self.class_index(class);
+            let due_at = now + delay_ms;
             // It is not added to the queue: the user may retry at any node, so new submissions need not leave a
             // token for it here.
-            let own = false;
+            let is_local = false;
             self.reservations.insert(
                 *job,
                 Reservation {
-                    class,
-                    at,
-                    is_local: own,
+                    class_index,
+                    due_at,
+                    is_local,
                 },
             );
         }
--- a/src/coordination/admission/load_shedding/tests.rs
+++ b/src/coordination/admission/load_shedding/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn load_shedding_order_is_the_same_for_every_resource() {
-    let ranks = [
+    let priorities = [
         RequestPriority::IdlePoll,
         RequestPriority::Poll,
         RequestPriority::SubmissionBeyondShare,
@@ -10,11 +10,11 @@
         RequestPriority::Cancellation,
         RequestPriority::ControlPlane,
     ];
-    for two in ranks.windows(2) {
-        let (first, second) = (two[0], two[1]);
-        assert!(first < second);
-        assert!(reserved_fraction(first.urgency()) >= reserved_fraction(second.urgency()));
-        assert!(first.max_lateness() <= second.max_lateness());
+    for pair in priorities.windows(2) {
+        let (lower, higher) = (pair[0], pair[1]);
+        assert!(lower < higher);
+        assert!(reserved_fraction(lower.urgency()) >= reserved_fraction(higher.urgency()));
+        assert!(lower.max_lateness() <= higher.max_lateness());
     }
     assert_eq!(
         reserved_fraction(RequestPriority::ControlPlane.urgency()),
--- a/src/coordination/admission/mod.rs
+++ b/src/coordination/admission/mod.rs
@@ -97,29 +97,34 @@
     /// The fraction of the time in which the processor could not keep up, from 0 to 1.
     lateness: f64,
     /// The last status of each member, and when it was received.
-    members: BTreeMap<String, (Millis, MemberStatus)>,
+    member_statuses: BTreeMap<String, (Millis, MemberStatus)>,
     /// When new quotas were last stored, or may have been.
     quotas_stored_at: Millis,
     store_in_flight: bool,
 }
 
 impl Admission {
-    /// Records that a step of the node began `gap` after the one before. After more than `due`, the processor
-    /// counts as late for the whole gap, of which at most 1000 ms count.
-    pub(super) fn record_pass(&mut self, gap: Millis, due: Millis) {
-        let late = if gap > due { gap.min(1000) as f64 } else { 0.0 };
-        let part = 1.0 - (-(gap.min(1000) as f64) / LATENESS_WINDOW_MS).exp();
-        let now = if gap > 0 {
-            late / gap.min(1000) as f64
+    /// Records that a step of the node began `gap_ms` after the one before. After more than `late_after_ms`, the
+    /// processor counts as late for the whole gap, of which at most 1000 ms count.
+    pub(super) fn record_pass(&mut self, gap_ms: Millis, late_after_ms: Millis) {
+        let late_ms = if gap_ms > late_after_ms {
+            gap_ms.min(1000) as f64
         } else {
             0.0
         };
-        self.lateness += (now - self.lateness) * part;
+        let weight = 1.0 - (-(gap_ms.min(1000) as f64) / LATENESS_WINDOW_MS).exp();
+        let current_lateness = if gap_ms > 0 {
+            late_ms / gap_ms.min(1000) as f64
+        } else {
+            0.0
+        };
+        self.lateness += (current_lateness - self.lateness) * weight;
     }
 
-    /// A job is accepted. `here`: this node answers the user, as opposed to a change read from the state service.
-    pub(super) fn on_accepted(&mut self, job: JobId, here: bool, now: Millis) {
-        self.controller.on_accepted(job, here, now);
+    /// A job is accepted. `by_this_node`: this node answers the user. Otherwise the job was read from the state
+    /// service.
+    pub(super) fn on_accepted(&mut self, job: JobId, by_this_node: bool, now: Millis) {
+        self.controller.on_accepted(job, by_this_node, now);
     }
 
     /// A submission was admitted, but its user was asked to retry.
@@ -140,29 +145,33 @@
     pub(super) fn reservations(&self, now: Millis) -> Vec<ReservationNotice> {
         let own = self.controller.local_reservations(now);
         let others = self
-            .members
+            .member_statuses
             .values()
             .filter(|(at, _)| *at + STATUS_INTERVAL_MS * 2 > now);
-        let others = others.flat_map(|(at, news)| {
-            let age = now - at;
-            let left = move |(job, class, in_ms): &ReservationNotice| {
-                Some((*job, class.clone(), in_ms.checked_sub(age)?))
+        let others = others.flat_map(|(at, status)| {
+            let age_ms = now - at;
+            let remaining = move |(job, class, delay_ms): &ReservationNotice| {
+                Some((*job, class.clone(), delay_ms.checked_sub(age_ms)?))
             };
-            news.reservations.iter().filter_map(left)
+            status.reservations.iter().filter_map(remaining)
         });
         own.into_iter().chain(others).collect()
     }
 
-    pub(super) fn learn_reservations(&mut self, turns: &[ReservationNotice], now: Millis) {
-        self.controller.learn_reservations(turns, now);
+    pub(super) fn add_remote_reservations(
+        &mut self,
+        reservations: &[ReservationNotice],
+        now: Millis,
+    ) {
+        self.controller.add_remote_reservations(reservations, now);
     }
 }
 
 impl FairShareLedger {
     /// The fair share status of each class, by the names of team and class.
     pub fn named_statuses(&self, cluster: &ClusterState) -> Vec<(WorkloadClassName, ShareStatus)> {
-        let standings = self.statuses();
-        let named = standings.map(|(class, standing)| {
+        let statuses = self.statuses();
+        let named_statuses = statuses.map(|(class, status)| {
             let class = WorkloadClassName {
                 team: cluster.teams[class.team.as_usize()].name.clone(),
                 class: cluster
@@ -171,9 +180,9 @@
                     .unwrap_or_default()
                     .to_owned(),
             };
-            (class, standing.clone())
+            (class, status.clone())
         });
-        named.collect()
+        named_statuses.collect()
     }
 }
 
@@ -186,28 +195,28 @@
 
 impl Node {
     /// Submissions a second that this node's share of the state service's limits allows if it is the leader
-    /// (`leads`), or a follower. The lesser of the two is the least capacity that any node has.
-    fn submission_capacity(&self, leads: bool) -> f64 {
+    /// (`is_leader`), or a follower. The lesser of the two is the least capacity that any node has.
+    fn submission_capacity(&self, is_leader: bool) -> f64 {
         let state = &self.config.settings.state;
         let nodes = self.config.members.len() as f64 + 1.0;
-        let shares = crate::coordination::rate_limit_shares::shares_for(nodes, leads);
-        let part = if leads {
+        let shares = crate::coordination::rate_limit_shares::shares_for(nodes, is_leader);
+        let fraction = if is_leader {
             LEADER_SUBMISSION_FRACTION
         } else {
             FOLLOWER_SUBMISSION_FRACTION
         };
-        part * (shares.state_writes * state.write_rps).min(shares.state_requests * state.rps)
+        fraction * (shares.state_writes * state.write_rps).min(shares.state_requests * state.rps)
     }
 
     pub(super) fn quota_shares(&self) -> QuotaShares {
-        let least = self
+        let min_capacity_per_s = self
             .submission_capacity(false)
             .min(self.submission_capacity(true));
-        let (equal, floor) = (least, quotas::floor_rate(least));
-        let following = &self.admission.follower;
-        following.shares_at(
+        let (default_rate, floor) = (min_capacity_per_s, quotas::floor_rate(min_capacity_per_s));
+        let follower = &self.admission.follower;
+        follower.shares_at(
             &self.config.label,
-            (equal, floor),
+            (default_rate, floor),
             self.read_barrier.confirmed_at,
             self.now,
         )
@@ -216,15 +225,16 @@
     /// Whether a leader has the memory for a submission's tasks. All nodes count the same jobs, except those accepted
     /// since their last read barrier.
     fn has_memory_for(&self, submission: &Submission) -> bool {
-        let bytes = self.config.settings.limits.mem_mb * 1e6 * TASK_MEMORY_FRACTION;
-        let part = if submission.tasks > LONG_ARRAY_TASKS {
+        let memory_bytes = self.config.settings.limits.mem_mb * 1e6 * TASK_MEMORY_FRACTION;
+        let usable_fraction = if submission.tasks > LONG_ARRAY_TASKS {
             1.0 - LONG_ARRAY_RESERVE_FRACTION
         } else {
             1.0
         };
-        let tasks = self.registry.unfinished_task_count() + u64::from(submission.tasks);
+        let task_count = self.registry.unfinished_task_count() + u64::from(submission.tasks);
         // A single job is accepted whatever its number of tasks.
-        tasks as f64 * BYTES_PER_TASK <= bytes * part || self.registry.unfinished_task_count() == 0
+        task_count as f64 * BYTES_PER_TASK <= memory_bytes * usable_fraction
+            || self.registry.unfinished_task_count() == 0
     }
 
     /// Decides on a submission whose job is not in the registry. Returns its priority if it is admitted. If not, its
@@ -237,95 +247,103 @@
         if !self.has_memory_for(submission) {
             let tasks = submission.tasks;
             tracing::debug!(job = %submission.id, tasks, "submission deferred: no memory for its tasks");
-            let answer = ApiResponse {
+            let response = ApiResponse {
                 retry_after_s: Some(MEMORY_RETRY_AFTER_S),
                 ..ApiResponse::error(429, "too many tasks wait")
             };
-            self.respond(id, answer);
+            self.respond(id, response);
             return None;
         }
-        let parts = self.quota_shares();
+        let shares = self.quota_shares();
         let now = self.now;
-        self.admission.controller.refill(&parts, now);
+        self.admission.controller.refill(&shares, now);
         let job = submission.id;
         let class = workload_class_name(submission);
-        let (after_s, turn) = match self.admission.controller.decide(&class, job, now) {
-            AdmissionDecision::Admitted { within_share } => {
-                let rank = if within_share {
-                    RequestPriority::SubmissionWithinShare
-                } else {
-                    RequestPriority::SubmissionBeyondShare
-                };
-                if self.admission.lateness <= rank.max_lateness() {
-                    return Some(rank);
+        let (retry_after_s, has_reservation) =
+            match self.admission.controller.decide(&class, job, now) {
+                AdmissionDecision::Admitted { within_share } => {
+                    let priority = if within_share {
+                        RequestPriority::SubmissionWithinShare
+                    } else {
+                        RequestPriority::SubmissionBeyondShare
+                    };
+                    if self.admission.lateness <= priority.max_lateness() {
+                        return Some(priority);
+                    }
+                    self.admission.controller.on_refused(job);
+                    (2, true)
                 }
-                self.admission.controller.on_refused(job);
-                (2, true)
-            }
-            AdmissionDecision::Deferred {
-                retry_after_s: after_s,
-                has_reservation: turn,
-            } => (after_s, turn),
-        };
-        tracing::debug!(%job, class = class.class, team = class.team, after_s, turn, "submission deferred");
-        let error = if turn {
+                AdmissionDecision::Deferred {
+                    retry_after_s,
+                    has_reservation,
+                } => (retry_after_s, has_reservation),
+            };
+        tracing::debug!(%job, class = class.class, team = class.team, retry_after_s, has_reservation,
+            "submission deferred");
+        let error = if has_reservation {
             "too much comes at once: come back when told"
         } else {
             "too much comes at once: no turn can be told"
         };
-        let answer = ApiResponse {
-            retry_after_s: Some(after_s),
+        let response = ApiResponse {
+            retry_after_s: Some(retry_after_s),
             ..ApiResponse::error(429, error)
         };
-        self.respond(id, answer);
+        self.respond(id, response);
         None
     }
 
     /// Whether the processor keeps up well enough for a request of this priority. If not, the request has been
     /// answered as unavailable.
-    pub(super) fn admit_by_lateness(&mut self, id: RequestId, rank: RequestPriority) -> bool {
-        let bears = self.admission.lateness <= rank.max_lateness();
-        if !bears {
+    pub(super) fn admit_by_lateness(&mut self, id: RequestId, priority: RequestPriority) -> bool {
+        let is_admitted = self.admission.lateness <= priority.max_lateness();
+        if !is_admitted {
             self.respond(
                 id,
                 ApiResponse::unavailable("the processor can't follow", 5),
             );
         }
-        bears
+        is_admitted
     }
 
     /// The registry holds admission quotas that were read from the state service, also this node's own.
     pub(super) fn on_admission_quotas_read(&mut self) {
-        let Some((table, _)) = &self.registry.admission_quotas else {
+        let Some((quotas, _)) = &self.registry.admission_quotas else {
             return;
         };
-        if table.seq <= self.admission.quotas_seq() {
-            if table.is_settled && table.seq == self.admission.quotas_seq() {
-                let table = table.clone();
-                let following = &mut self.admission.follower;
-                following.adopt(&self.config.label, table, QuotaShares::default(), self.now);
+        if quotas.seq <= self.admission.quotas_seq() {
+            if quotas.is_settled && quotas.seq == self.admission.quotas_seq() {
+                let quotas = quotas.clone();
+                let follower = &mut self.admission.follower;
+                follower.adopt(&self.config.label, quotas, QuotaShares::default(), self.now);
             }
             return;
         }
-        let table = table.clone();
-        let parts = self.quota_shares();
-        let (whole, part) = (table.total_per_s.round(), parts.total().round());
-        tracing::info!(seq = table.seq, whole, part, "adopted new admission quotas");
+        let quotas = quotas.clone();
+        let shares = self.quota_shares();
+        let (total_per_s, share_per_s) = (quotas.total_per_s.round(), shares.total().round());
+        tracing::info!(
+            seq = quotas.seq,
+            total_per_s,
+            share_per_s,
+            "adopted new admission quotas"
+        );
         // Also quotas that another leader stored have to settle before this node stores new ones.
         self.admission.quotas_stored_at = self.now;
-        let following = &mut self.admission.follower;
-        following.adopt(&self.config.label, table, parts, self.now);
+        let follower = &mut self.admission.follower;
+        follower.adopt(&self.config.label, quotas, shares, self.now);
     }
 
     /// Stores the status that a member returned to the leader's announcement. A node that does not lead ignores it.
-    pub(super) fn on_member_status(&mut self, news: MemberStatus) {
+    pub(super) fn on_member_status(&mut self, status: MemberStatus) {
         let now = self.now;
-        if self.leader_state.is_none() || news.label.is_empty() {
+        if self.leader_state.is_none() || status.label.is_empty() {
             return;
         }
-        self.admission.learn_reservations(&news.reservations, now);
-        let label = news.label.clone();
-        self.admission.members.insert(label, (now, news));
+        self.admission
+            .add_remote_reservations(&status.reservations, now);
+        let label = status.label.clone();
+        self.admission.member_statuses.insert(label, (now, status));
     }
 
     /// Does the periodic work: updates the demand, publishes the status, and on the leader stores new quotas.
@@ -337,30 +355,30 @@
         self.admission.updated_at = now;
         // Only after the first read barrier: before, the first refill would fill the buckets at the floor's rate.
         if self.read_barrier.confirmed_at.is_some() {
-            let parts = self.quota_shares();
-            self.admission.controller.refill(&parts, now);
+            let shares = self.quota_shares();
+            self.admission.controller.refill(&shares, now);
         }
         self.admission.controller.update_demand(now);
         if self.admission.status_published_at + STATUS_INTERVAL_MS <= now {
             self.admission.status_published_at = now;
-            let news = self.member_status();
+            let status = self.member_status();
             self.effects
-                .push(Effect::PublishMemberStatus(Box::new(news)));
+                .push(Effect::PublishMemberStatus(Box::new(status)));
         }
         self.store_admission_quotas();
         self.log_served();
     }
 
     fn member_status(&self) -> MemberStatus {
-        let door = &self.admission.controller;
+        let controller = &self.admission.controller;
         MemberStatus {
             label: self.config.label.clone(),
             quotas_seq: self.admission.quotas_seq(),
             capacity_per_s: self.submission_capacity(self.leader_state.is_some()),
             lateness: self.admission.lateness,
-            demands: door.demand_by_class().into_iter().collect(),
-            reservations: door.local_reservations(self.now),
-            counts: door
+            demands: controller.demand_by_class().into_iter().collect(),
+            reservations: controller.local_reservations(self.now),
+            counts: controller
                 .counts()
                 .map(|(class, counts)| (class.clone(), counts))
                 .collect(),
@@ -369,25 +387,25 @@
 
     /// The demand of each node by its last status. A member without a recent status keeps its floor.
     fn node_demands(&self, floor: f64) -> BTreeMap<String, NodeDemand> {
-        let demand = |news: &MemberStatus| NodeDemand {
-            capacity_per_s: news.capacity_per_s,
-            class_demands: news.demands.iter().cloned().collect(),
-            lateness: news.lateness,
+        let demand_of = |status: &MemberStatus| NodeDemand {
+            capacity_per_s: status.capacity_per_s,
+            class_demands: status.demands.iter().cloned().collect(),
+            lateness: status.lateness,
         };
         let mut demands =
-            BTreeMap::from([(self.config.label.clone(), demand(&self.member_status()))]);
+            BTreeMap::from([(self.config.label.clone(), demand_of(&self.member_status()))]);
         for member in &self.config.members {
-            let known = self.admission.members.get(&member.label);
-            let fresh = known.filter(|(at, _)| *at + STATUS_VALIDITY_MS > self.now);
-            let demand = fresh.map_or(
+            let last_status = self.admission.member_statuses.get(&member.label);
+            let recent_status = last_status.filter(|(at, _)| *at + STATUS_VALIDITY_MS > self.now);
+            let demand = recent_status.map_or(
                 NodeDemand {
                     capacity_per_s: floor,
                     ..NodeDemand::default()
                 },
-                |(_, news)| NodeDemand {
+                |(_, status)| NodeDemand {
                     // The member may have been the leader when it sent its status, and is a follower now.
-                    capacity_per_s: news.capacity_per_s.min(self.submission_capacity(false)),
-                    ..demand(news)
+                    capacity_per_s: status.capacity_per_s.min(self.submission_capacity(false)),
+                    ..demand_of(status)
                 },
             );
             demands.insert(member.label.clone(), demand);
@@ -401,58 +419,63 @@
             return;
         };
         let admission = &self.admission;
-        let since = admission.quotas_stored_at.max(leader.takeover_at);
+        let last_stored_at = admission.quotas_stored_at.max(leader.takeover_at);
         if leader.cluster.is_none() || admission.store_in_flight || !self.can_start_tasks() {
             return;
         }
-        if let Some((table, version)) = &self.registry.admission_quotas
-            && !table.is_settled
-            && table.seq == admission.quotas_seq()
-            && since + QUOTAS_SETTLE_MS <= self.now
+        if let Some((quotas, version)) = &self.registry.admission_quotas
+            && !quotas.is_settled
+            && quotas.seq == admission.quotas_seq()
+            && last_stored_at + QUOTAS_SETTLE_MS <= self.now
         {
-            let settled = AdmissionQuotas {
+            let settled_quotas = AdmissionQuotas {
                 is_settled: true,
-                ..table.clone()
+                ..quotas.clone()
             };
             let tag = StateTag::WriteSettledQuotas {
                 lease: leader.lease,
             };
-            return self.write_admission_quotas(tag, *version, &settled);
+            return self.write_admission_quotas(tag, *version, &settled_quotas);
         }
-        if since + QUOTAS_INTERVAL_MS > self.now {
+        if last_stored_at + QUOTAS_INTERVAL_MS > self.now {
             return;
         }
-        let (known, version) = match &self.registry.admission_quotas {
-            Some((table, version)) => (Some(table), *version),
+        let (stored_quotas, version) = match &self.registry.admission_quotas {
+            Some((quotas, version)) => (Some(quotas), *version),
             None => (None, 0),
         };
-        let equal = self
+        let default_rate = self
             .submission_capacity(false)
             .min(self.submission_capacity(true));
-        let floor = quotas::floor_rate(equal);
+        let floor = quotas::floor_rate(default_rate);
         let demands = self.node_demands(floor);
-        let names: usize = demands
+        let max_name_bytes: usize = demands
             .values()
             .flat_map(|demand| demand.class_demands.keys())
             .map(|class| class.team.len() + class.class.len())
             .max()
             .unwrap_or(0);
-        let each = names + BYTES_PER_CLASS + 12 * demands.len();
-        let bytes = self.config.settings.state.max_value_bytes();
-        let most = bytes.saturating_sub(QUOTAS_OVERHEAD_BYTES + 72 * demands.len()) / each;
-        let seq = known.map_or(0, |table| table.seq) + 1;
-        let table = quotas::allocate_quotas(&demands, floor, (seq, leader.term), most);
-        let table = table.following(known, equal, floor);
-        if known.is_some_and(|known| !table.differs_by(known, MIN_SHARE_CHANGE)) {
+        let bytes_per_class = max_name_bytes + BYTES_PER_CLASS + 12 * demands.len();
+        let max_bytes = self.config.settings.state.max_value_bytes();
+        let max_classes =
+            max_bytes.saturating_sub(QUOTAS_OVERHEAD_BYTES + 72 * demands.len()) / bytes_per_class;
+        let seq = stored_quotas.map_or(0, |quotas| quotas.seq) + 1;
+        let new_quotas = quotas::allocate_quotas(&demands, floor, (seq, leader.term), max_classes);
+        let new_quotas = new_quotas.following(stored_quotas, default_rate, floor);
+        if stored_quotas.is_some_and(|stored| !new_quotas.differs_by(stored, MIN_SHARE_CHANGE)) {
             return;
         }
         let lease = leader.lease;
         // The write may be applied from this moment.
         self.admission.quotas_stored_at = self.now;
-        self.write_admission_quotas(StateTag::WriteAdmissionQuotas { lease }, version, &table);
+        self.write_admission_quotas(
+            StateTag::WriteAdmissionQuotas { lease },
+            version,
+            &new_quotas,
+        );
     }
 
-    fn write_admission_quotas(&mut self, tag: StateTag, version: u64, table: &AdmissionQuotas) {
+    fn write_admission_quotas(&mut self, tag: StateTag, version: u64, quotas: &AdmissionQuotas) {
         let Some(leader) = &self.leader_state else {
             return;
         };
@@ -463,7 +486,7 @@
         });
         txn.writes.push(Write::Put {
             key: storage::ADMISSION_QUOTAS_KEY.into(),
-            value: storage::to_value(table),
+            value: storage::to_value(quotas),
             lease: None,
         });
         self.admission.store_in_flight = true;
@@ -511,14 +534,14 @@
             return;
         }
         self.admission.served_logged_at = now;
-        let served = self.total_admission_counts();
-        let standings: BTreeMap<WorkloadClassName, ShareStatus> = leader
+        let counts_by_class = self.total_admission_counts();
+        let share_statuses: BTreeMap<WorkloadClassName, ShareStatus> = leader
             .fair_share
             .named_statuses(cluster)
             .into_iter()
             .collect();
-        for (class, counts) in &served {
-            let standing = standings.get(class).cloned().unwrap_or_default();
+        for (class, counts) in &counts_by_class {
+            let share_status = share_statuses.get(class).cloned().unwrap_or_default();
             tracing::info!(
                 team = class.team,
                 class = class.class,
@@ -528,15 +551,15 @@
                 sent_away = counts.deferred,
                 no_turn = counts.deferred_unreserved,
                 given_up = counts.abandoned,
-                waiting = standing.waiting_tasks,
-                oldest_ms = standing.oldest_wait_ms,
-                started = standing.tasks_started,
-                done = standing.tasks_completed,
-                gave_way = standing.attempts_preempted,
-                jobs_done = standing.jobs_completed,
-                jobs_in_time = standing.jobs_on_time,
-                due = standing.entitled.round(),
-                got = standing.allocated.round(),
+                waiting = share_status.waiting_tasks,
+                oldest_ms = share_status.oldest_wait_ms,
+                started = share_status.tasks_started,
+                done = share_status.tasks_completed,
+                gave_way = share_status.attempts_preempted,
+                jobs_done = share_status.jobs_completed,
+                jobs_in_time = share_status.jobs_on_time,
+                due = share_status.entitled.round(),
+                got = share_status.allocated.round(),
                 "served"
             );
         }
@@ -551,14 +574,14 @@
 
     /// The sums of the counts of this node and the last received counts of its members, by class.
     fn total_admission_counts(&self) -> BTreeMap<WorkloadClassName, AdmissionCounts> {
-        let mut served: BTreeMap<WorkloadClassName, AdmissionCounts> = BTreeMap::new();
+        let mut totals: BTreeMap<WorkloadClassName, AdmissionCounts> = BTreeMap::new();
         let own = self.local_admission_counts().into_iter();
-        let members = self.admission.members.values();
-        let others = members.flat_map(|(_, news)| news.counts.iter().cloned());
+        let members = self.admission.member_statuses.values();
+        let others = members.flat_map(|(_, status)| status.counts.iter().cloned());
         for (class, counts) in own.chain(others) {
-            served.entry(class).or_default().add(&counts);
+            totals.entry(class).or_default().add(&counts);
         }
-        served
+        totals
     }
 }
 
--- a/src/coordination/admission/quotas.rs
+++ b/src/coordination/admission/quotas.rs
@@ -74,67 +74,72 @@
 impl AdmissionQuotas {
     /// Whether the rate of any class on any node, or a node's unassigned rate, differs by more than the fraction
     /// `worth` of the node's total rate.
-    pub fn differs_by(&self, other: &AdmissionQuotas, worth: f64) -> bool {
+    pub fn differs_by(&self, other: &AdmissionQuotas, min_change: f64) -> bool {
         if self.nodes != other.nodes {
             return true;
         }
         self.nodes.iter().any(|node| {
-            let (Some((ours, rest)), Some((theirs, other_rest))) =
+            let (Some((own_rates, own_unassigned)), Some((other_rates, other_unassigned))) =
                 (self.shares_of(node), other.shares_of(node))
             else {
                 return true;
             };
-            let whole = ours.values().sum::<f64>() + rest;
-            let far = |a: f64, b: f64| (a - b).abs() > worth * whole;
-            let named = ours.keys().chain(theirs.keys());
-            far(rest, other_rest)
-                || named.into_iter().any(|class| {
-                    let part = |parts: &BTreeMap<&WorkloadClassName, f64>| {
-                        parts.get(class).copied().unwrap_or(0.0)
+            let total = own_rates.values().sum::<f64>() + own_unassigned;
+            let differs = |a: f64, b: f64| (a - b).abs() > min_change * total;
+            let classes = own_rates.keys().chain(other_rates.keys());
+            differs(own_unassigned, other_unassigned)
+                || classes.into_iter().any(|class| {
+                    let rate_of = |rates: &BTreeMap<&WorkloadClassName, f64>| {
+                        rates.get(class).copied().unwrap_or(0.0)
                     };
-                    far(part(&ours), part(&theirs))
+                    differs(rate_of(&own_rates), rate_of(&other_rates))
                 })
         })
     }
 
     /// A node's total rate in the previous quotas; `None` if these quotas don't hold it.
     fn previous_total_of(&self, node: &str) -> Option<f64> {
-        let at = self.nodes.iter().position(|label| label == node)?;
-        self.previous_totals.get(at).copied()
+        let index = self.nodes.iter().position(|label| label == node)?;
+        self.previous_totals.get(index).copied()
     }
 
     /// A node's total rate; `None` if the quotas don't list the node.
     fn total_of(&self, node: &str) -> Option<f64> {
-        let (classes, rest) = self.shares_of(node)?;
-        Some(classes.values().sum::<f64>() + rest)
+        let (classes, unassigned) = self.shares_of(node)?;
+        Some(classes.values().sum::<f64>() + unassigned)
     }
 
-    /// These quotas with [`AdmissionQuotas::previous_totals`] taken from the quotas `known` that they replace. If
-    /// there were none, each node used the rate `equal`; a node that they did not list used its `floor`.
+    /// These quotas with [`AdmissionQuotas::previous_totals`] taken from the quotas `previous` that they replace. If
+    /// there were none, each node used the rate `default_rate`; a node that they did not list used its `floor`.
     pub fn following(
         mut self,
-        known: Option<&AdmissionQuotas>,
-        equal: f64,
+        previous: Option<&AdmissionQuotas>,
+        default_rate: f64,
         floor: f64,
     ) -> AdmissionQuotas {
-        let had = |node: &String| match known {
-            Some(known) => known.total_of(node).unwrap_or(floor),
-            None => equal,
+        let previous_total = |node: &String| match previous {
+            Some(previous) => previous.total_of(node).unwrap_or(floor),
+            None => default_rate,
         };
-        self.previous_totals = self.nodes.iter().map(had).map(round_down).collect();
+        self.previous_totals = self
+            .nodes
+            .iter()
+            .map(previous_total)
+            .map(round_down)
+            .collect();
         self
     }
 
     /// A node's rate for each class, and its unassigned rate; `None` if the quotas don't list the node.
     pub fn shares_of(&self, node: &str) -> Option<(BTreeMap<&WorkloadClassName, f64>, f64)> {
-        let at = self.nodes.iter().position(|label| label == node)?;
-        let part = |parts: &[f64]| parts.get(at).copied().unwrap_or(0.0).max(0.0);
+        let index = self.nodes.iter().position(|label| label == node)?;
+        let rate_at = |rates: &[f64]| rates.get(index).copied().unwrap_or(0.0).max(0.0);
         let classes = self
             .class_shares
             .iter()
-            .map(|(class, parts)| (class, part(parts)))
+            .map(|(class, rates)| (class, rate_at(rates)))
             .collect();
-        Some((classes, part(&self.unassigned)))
+        Some((classes, rate_at(&self.unassigned)))
     }
 }
 
@@ -158,90 +163,93 @@
 
 /// The floor: the rate that each node keeps even if it has no response from the state service, computed from the
 /// capacity of the node with the least capacity. All rates are submissions a second.
-pub fn floor_rate(takes_least: f64) -> f64 {
-    takes_least * MIN_CAPACITY_FRACTION * FLOOR_FRACTION
+pub fn floor_rate(lowest_capacity_per_s: f64) -> f64 {
+    lowest_capacity_per_s * MIN_CAPACITY_FRACTION * FLOOR_FRACTION
 }
 
 /// Divides the capacity of the nodes among the classes, max-min fair by their demand, and the rate of each class
 /// among the nodes that receive its submissions, first the nodes with the least other demand. Each node's `floor` and
 /// the capacity that no class demands stay unassigned, for submissions of any class.
 ///
-/// `most_classes` limits the number of named classes: those with the least demand are left out.
+/// `max_classes` limits the number of named classes: those with the least demand are left out.
 #[expect(clippy::too_many_lines, reason = "still to be split")]
 pub fn allocate_quotas(
     demands: &BTreeMap<String, NodeDemand>,
     floor: f64,
     (seq, term): (u64, u64),
-    most_classes: usize,
+    max_classes: usize,
 ) -> AdmissionQuotas {
-    let ready: Vec<f64> = demands
+    let capacities: Vec<f64> = demands
         .values()
         .map(|demand| demand.effective_capacity().max(floor))
         .collect();
-    let mut free: Vec<f64> = ready.iter().map(|ready| ready - floor).collect();
-    let mut wants: BTreeMap<&WorkloadClassName, Vec<f64>> = BTreeMap::new();
+    let mut unallocated: Vec<f64> = capacities.iter().map(|capacity| capacity - floor).collect();
+    let mut demand_by_class: BTreeMap<&WorkloadClassName, Vec<f64>> = BTreeMap::new();
     for (node, demand) in demands.values().enumerate() {
         for (class, rate) in &demand.class_demands {
-            let wants = wants.entry(class).or_insert_with(|| vec![0.0; free.len()]);
-            wants[node] += rate.max(0.0);
+            let node_rates = demand_by_class
+                .entry(class)
+                .or_insert_with(|| vec![0.0; unallocated.len()]);
+            node_rates[node] += rate.max(0.0);
         }
     }
     // The size of a stored value limits the number of classes: those with the least demand use the unassigned rate.
-    let mut named: Vec<(&WorkloadClassName, Vec<f64>)> = wants.into_iter().collect();
-    named.sort_by(|a, b| {
+    let mut classes: Vec<(&WorkloadClassName, Vec<f64>)> = demand_by_class.into_iter().collect();
+    classes.sort_by(|a, b| {
         total_rate(&b.1)
             .total_cmp(&total_rate(&a.1))
             .then(a.0.cmp(b.0))
     });
-    named.truncate(most_classes);
-    let mut parts = vec![vec![0.0; free.len()]; named.len()];
-    let step = total_rate(&free) / ALLOCATION_STEPS as f64;
-    let mut open: Vec<usize> = (0..named.len()).collect();
+    classes.truncate(max_classes);
+    let mut class_rates = vec![vec![0.0; unallocated.len()]; classes.len()];
+    let step_rate = total_rate(&unallocated) / ALLOCATION_STEPS as f64;
+    let mut open_classes: Vec<usize> = (0..classes.len()).collect();
     // The class with the lowest rate so far that has unmet demand gets the next step.
-    while let Some(&class) = open.iter().min_by(|a, b| {
-        total_rate(&parts[**a])
-            .total_cmp(&total_rate(&parts[**b]))
+    while let Some(&class) = open_classes.iter().min_by(|a, b| {
+        total_rate(&class_rates[**a])
+            .total_cmp(&total_rate(&class_rates[**b]))
             .then(a.cmp(b))
     }) {
         // It gets the step on the node with the least unmet demand per free capacity: the submissions of another
         // class may all arrive at one node and need the capacity of that node.
-        let crowd = |node: usize| {
-            let unmet = named
+        let contention = |node: usize| {
+            let unmet = classes
                 .iter()
-                .zip(&parts)
-                .map(|((_, wants), got)| wants[node] - got[node]);
-            unmet.sum::<f64>() / free[node].max(1e-9)
+                .zip(&class_rates)
+                .map(|((_, demand), rates)| demand[node] - rates[node]);
+            unmet.sum::<f64>() / unallocated[node].max(1e-9)
         };
-        let open_at = |node: &usize| {
-            free[*node] > step * 1e-3 && named[class].1[*node] - parts[class][*node] > step * 1e-3
+        let can_allocate_at = |node: &usize| {
+            unallocated[*node] > step_rate * 1e-3
+                && classes[class].1[*node] - class_rates[class][*node] > step_rate * 1e-3
         };
-        let node = (0..free.len())
-            .filter(open_at)
-            .min_by(|a, b| crowd(*a).total_cmp(&crowd(*b)));
+        let node = (0..unallocated.len())
+            .filter(can_allocate_at)
+            .min_by(|a, b| contention(*a).total_cmp(&contention(*b)));
         let Some(node) = node else {
-            open.retain(|other| *other != class);
+            open_classes.retain(|other| *other != class);
             continue;
         };
-        let part = step
-            .min(free[node])
-            .min(named[class].1[node] - parts[class][node]);
-        parts[class][node] += part;
-        free[node] -= part;
+        let rate = step_rate
+            .min(unallocated[node])
+            .min(classes[class].1[node] - class_rates[class][node]);
+        class_rates[class][node] += rate;
+        unallocated[node] -= rate;
     }
     AdmissionQuotas {
         seq,
         term,
         is_settled: false,
-        total_per_s: total_rate(&ready),
+        total_per_s: total_rate(&capacities),
         nodes: demands.keys().cloned().collect(),
-        class_shares: named
+        class_shares: classes
             .into_iter()
-            .zip(parts)
-            .map(|((class, _), parts)| (class.clone(), parts.into_iter().map(round_down).collect()))
+            .zip(class_rates)
+            .map(|((class, _), rates)| (class.clone(), rates.into_iter().map(round_down).collect()))
             .collect(),
-        unassigned: free
+        unassigned: unallocated
             .into_iter()
-            .map(|free| round_down(floor + free))
+            .map(|rate| round_down(floor + rate))
             .collect(),
         previous_totals: Vec::new(),
     }
@@ -295,81 +303,92 @@
 impl QuotaFollower {
     /// The sequence number of the newest quotas that were read; 0 if none were.
     pub fn seq(&self) -> u64 {
-        self.quotas.as_ref().map_or(0, |table| table.seq)
+        self.quotas.as_ref().map_or(0, |quotas| quotas.seq)
     }
 
     /// Takes over newer quotas that `node` has read. Until they have settled, the node's total rate does not exceed
-    /// its total in the quotas before. If the new quotas don't hold that, the limit is the total of `parts`, the rates
-    /// that the node applies now; for a process that has just started that is only its floor.
+    /// its total in the quotas before. If the new quotas don't hold that, the limit is the total of `current_shares`,
+    /// the rates that the node applies now; for a process that has just started that is only its floor.
     ///
     /// The settling time counts from `now`, not from when the quotas were written, as the write may have been
     /// applied late. Quotas that are marked as settled apply in full at once. Older quotas are ignored.
-    pub fn adopt(&mut self, node: &str, table: AdmissionQuotas, parts: QuotaShares, now: Millis) {
-        if table.seq < self.seq() || (table.seq == self.seq() && !table.is_settled) {
+    pub fn adopt(
+        &mut self,
+        node: &str,
+        quotas: AdmissionQuotas,
+        current_shares: QuotaShares,
+        now: Millis,
+    ) {
+        if quotas.seq < self.seq() || (quotas.seq == self.seq() && !quotas.is_settled) {
             return;
         }
-        self.previous = (!table.is_settled).then(|| PreviousShare {
-            total_per_s: table.previous_total_of(node).unwrap_or(parts.total()),
+        self.previous = (!quotas.is_settled).then(|| PreviousShare {
+            total_per_s: quotas
+                .previous_total_of(node)
+                .unwrap_or(current_shares.total()),
             until: now + QUOTAS_SETTLE_MS,
         });
-        self.quotas = Some(table);
+        self.quotas = Some(quotas);
     }
 
-    /// The rates that `node` may admit at `now`. `synced`: the send time of the last read barrier that succeeded;
-    /// `equal`: the node's rate if no quotas were ever read; `floor`: the rate that it keeps in any case.
+    /// The rates that `node` may admit at `now`. `default_rate`: the node's rate if no quotas were ever read; `floor`:
+    /// the rate that it keeps in any case; `confirmed_at`: the send time of the last read barrier that succeeded.
     pub fn shares_at(
         &self,
         node: &str,
-        (equal, floor): (f64, f64),
-        synced: Option<Millis>,
+        (default_rate, floor): (f64, f64),
+        confirmed_at: Option<Millis>,
         now: Millis,
     ) -> QuotaShares {
-        let only = |rest| QuotaShares {
-            unassigned: rest,
+        let unassigned_only = |unassigned_rate| QuotaShares {
+            unassigned: unassigned_rate,
             ..QuotaShares::default()
         };
-        let age = synced.map(|at| now.saturating_sub(at));
+        let age = confirmed_at.map(|at| now.saturating_sub(at));
         let Some(age) = age.filter(|age| *age < QUOTAS_LAPSE_MS) else {
             return QuotaShares {
                 is_lapsed: true,
-                ..only(floor)
+                ..unassigned_only(floor)
             };
         };
-        let mut parts = match &self.quotas {
-            None => only(equal),
-            Some(table) => match table.shares_of(node) {
-                Some((classes, rest)) => QuotaShares {
+        let mut shares = match &self.quotas {
+            None => unassigned_only(default_rate),
+            Some(quotas) => match quotas.shares_of(node) {
+                Some((classes, unassigned_rate)) => QuotaShares {
                     classes: classes
                         .into_iter()
-                        .map(|(class, part)| (class.clone(), part))
+                        .map(|(class, rate)| (class.clone(), rate))
                         .collect(),
-                    unassigned: rest,
+                    unassigned: unassigned_rate,
                     is_lapsed: false,
                 },
-                None => return only(floor),
+                None => return unassigned_only(floor),
             },
         };
         // Another node may still use the rate that the newest quotas add to this node's share.
-        let before = self.previous.as_ref().filter(|before| now < before.until);
-        if let Some(before) = before
-            && parts.total() > before.total_per_s
+        let previous = self
+            .previous
+            .as_ref()
+            .filter(|previous| now < previous.until);
+        if let Some(previous) = previous
+            && shares.total() > previous.total_per_s
         {
-            parts.scale_by(before.total_per_s / parts.total());
+            shares.scale_by(previous.total_per_s / shares.total());
         }
         if age >= QUOTAS_STALE_MS {
-            parts.scale_by(0.5);
+            shares.scale_by(0.5);
         }
-        if parts.total() < floor {
-            return only(floor);
+        if shares.total() < floor {
+            return unassigned_only(floor);
         }
-        parts
+        shares
     }
 }
 
 impl QuotaShares {
-    fn scale_by(&mut self, by: f64) {
-        self.classes.values_mut().for_each(|part| *part *= by);
-        self.unassigned *= by;
+    fn scale_by(&mut self, factor: f64) {
+        self.classes.values_mut().for_each(|rate| *rate *= factor);
+        self.unassigned *= factor;
     }
 }
 
--- a/src/coordination/admission/tests.rs
+++ b/src/coordination/admission/tests.rs
@@ -24,31 +24,31 @@
     let mut node = Node::new(config.expect("valid settings"));
     node.registry.mark_loaded_for_test();
     node.registry_load = RegistryLoad::Done;
-    let kind = json!({"sku": "c16", "cpus": 16.0, "ram_gb": 64.0, "hourly": 1.0,
+    let machine_type = json!({"sku": "c16", "cpus": 16.0, "ram_gb": 64.0, "hourly": 1.0,
         "ready_s": 10.0, "pull_gb_per_s": 1.0, "local_gb": 50.0, "yards": ["a"]});
-    node.machine_types = vec![serde_json::from_value(kind).expect("a machine type")];
-    synced(&mut node, 1000);
+    node.machine_types = vec![serde_json::from_value(machine_type).expect("a machine type")];
+    complete_read_barrier(&mut node, 1000);
     node
 }
 
-fn at(steady: Millis) -> ClockReading {
+fn clock_at(now: Millis) -> ClockReading {
     ClockReading {
-        monotonic_ms: steady,
-        wall_ms: steady,
+        monotonic_ms: now,
+        wall_ms: now,
     }
 }
 
-fn synced(node: &mut Node, now: Millis) {
+fn complete_read_barrier(node: &mut Node, now: Millis) {
     let changes = Changes {
         revision: 1,
         events: Vec::new(),
     };
-    let sync = Command::StateResponse {
+    let response = Command::StateResponse {
         tag: StateTag::ReadBarrier { generation: 0 },
         sent_at: now,
         result: Ok(StateReply::Changes(changes)),
     };
-    node.step([sync], at(now));
+    node.step([response], clock_at(now));
 }
 
 fn submission(id: u64, tasks: u32) -> Submission {
@@ -68,84 +68,88 @@
     tasks: u32,
     now: Millis,
 ) -> (usize, Vec<ApiResponse>) {
-    let asks =
+    let commands =
         ids.map(|id| Command::ApiRequest(id, ApiRequest::Submit(Box::new(submission(id, tasks)))));
-    let effects = node.step(asks.collect::<Vec<_>>(), at(now));
-    let goes_on = |effect: &&Effect| {
+    let effects = node.step(commands.collect::<Vec<_>>(), clock_at(now));
+    let is_put_job = |effect: &&Effect| {
         let tag = match effect {
             Effect::CallStateService { tag, .. } => tag,
             _ => return false,
         };
         matches!(tag, StateTag::PutJob { .. })
     };
-    let on = effects.iter().filter(goes_on).count();
-    let answers = effects.into_iter().filter_map(|effect| match effect {
-        Effect::Respond(_, answer) => Some(answer),
+    let stored_count = effects.iter().filter(is_put_job).count();
+    let responses = effects.into_iter().filter_map(|effect| match effect {
+        Effect::Respond(_, response) => Some(response),
         _ => None,
     });
-    (on, answers.collect())
+    (stored_count, responses.collect())
 }
 
 /// A node that gets a flood of submissions admits its share, and answers the others at once with a retry delay.
 #[test]
 fn node_admits_its_share_and_defers_the_rest_with_retry_after() {
     let mut node = node();
-    let (on, answers) = submit(&mut node, 1..401, 1, 1000);
-    let part = node.quota_shares().total();
+    let (stored_count, responses) = submit(&mut node, 1..401, 1, 1000);
+    let share_per_s = node.quota_shares().total();
     assert!(
-        on as f64 >= part && on as f64 <= part * 3.0 + 1.0,
-        "{on} admitted at {part} a second"
+        stored_count as f64 >= share_per_s && stored_count as f64 <= share_per_s * 3.0 + 1.0,
+        "{stored_count} admitted at {share_per_s} a second"
     );
     assert_eq!(
-        on + answers.len(),
+        stored_count + responses.len(),
         400,
         "every submission is stored or answered at once"
     );
-    for answer in &answers {
-        let after = answer.retry_after_s.expect("a retry delay");
-        assert_eq!(answer.status, 429);
-        assert!((1..=30).contains(&after));
+    for response in &responses {
+        let retry_after_s = response.retry_after_s.expect("a retry delay");
+        assert_eq!(response.status, 429);
+        assert!((1..=30).contains(&retry_after_s));
     }
 }
 
 /// A node without responses from the state service reduces its rate in steps, but never to zero.
 #[test]
-fn node_without_sync_falls_back_to_its_floor() {
+fn node_without_read_barrier_falls_back_to_its_floor() {
     let mut node = node();
-    let whole = node.quota_shares().total();
-    for (now, least, most) in [
+    let initial_total = node.quota_shares().total();
+    for (now, min_fraction, max_fraction) in [
         (2000, 1.0, 1.0),
         (4500, 0.4, 0.6),
         (7000, 0.05, 0.2),
         (90_000, 0.05, 0.2),
     ] {
-        node.step([Command::Tick], at(now));
-        let part = node.quota_shares().total() / whole;
+        node.step([Command::Tick], clock_at(now));
+        let fraction = node.quota_shares().total() / initial_total;
         assert!(
-            (least..=most).contains(&part),
-            "{part} of the first share at {now} ms"
+            (min_fraction..=max_fraction).contains(&fraction),
+            "{fraction} of the first share at {now} ms"
         );
     }
 }
 
-/// Fifty arrays of 100,000 tasks would fill a leader's memory. Long arrays are deferred before that, small jobs are not.
+/// Fifty arrays of 100,000 tasks would fill a leader's memory. Long arrays are deferred before that; small jobs are
+/// still admitted.
 #[test]
 fn long_arrays_are_deferred_for_memory_and_leave_a_reserve() {
     let mut node = node();
-    let mut taken = 0;
+    let mut accepted_count = 0;
     for id in 1..20 {
-        let (on, answers) = submit(&mut node, id..id + 1, 10_000, 1000 + id * 500);
-        if on == 1 {
-            taken += 1;
+        let (stored_count, responses) = submit(&mut node, id..id + 1, 10_000, 1000 + id * 500);
+        if stored_count == 1 {
+            accepted_count += 1;
             let spec = Box::new(submission(id, 10_000));
             node.registry
                 .put_job_record(JobId(id), JobRecord::Live { at_ms: 1, spec }, id);
         } else {
-            assert_eq!(answers[0].retry_after_s, Some(MEMORY_RETRY_AFTER_S));
+            assert_eq!(responses[0].retry_after_s, Some(MEMORY_RETRY_AFTER_S));
         }
-        synced(&mut node, 1000 + id * 500);
+        complete_read_barrier(&mut node, 1000 + id * 500);
     }
-    assert!((4..=8).contains(&taken), "{taken} arrays accepted");
+    assert!(
+        (4..=8).contains(&accepted_count),
+        "{accepted_count} arrays accepted"
+    );
     assert_eq!(submit(&mut node, 100..101, 10, 11_000).0, 1);
     // Memory is free again as jobs end.
     node.registry
@@ -161,24 +165,30 @@
     let spec = Box::new(submission(7, 1));
     node.registry
         .put_job_record(JobId(7), JobRecord::Live { at_ms: 1, spec }, 3);
-    for (late, polls, submits) in [(0.1, true, true), (0.4, false, true), (0.95, false, false)] {
-        node.admission.lateness = late;
+    for (lateness, polls_pass, submissions_pass) in
+        [(0.1, true, true), (0.4, false, true), (0.95, false, false)]
+    {
+        node.admission.lateness = lateness;
         let now = node.now + 10;
-        synced(&mut node, now);
-        node.admission.lateness = late;
-        let asks = [
+        complete_read_barrier(&mut node, now);
+        node.admission.lateness = lateness;
+        let commands = [
             Command::ApiRequest(1, ApiRequest::Poll(JobId(7))),
             Command::ApiRequest(2, ApiRequest::Cancel(JobId(7))),
             Command::ApiRequest(3, ApiRequest::Submit(Box::new(submission(900 + now, 1)))),
         ];
-        let effects = node.step(asks, at(now + 1));
-        let sent_away = |ask: RequestId| {
+        let effects = node.step(commands, clock_at(now + 1));
+        let is_refused = |request: RequestId| {
             effects.iter().any(|effect| {
-                matches!(effect, Effect::Respond(id, answer) if *id == ask && answer.retry_after_s.is_some())
+                matches!(effect, Effect::Respond(id, response) if *id == request && response.retry_after_s.is_some())
             })
         };
-        assert_eq!(!sent_away(1), polls, "polls at lateness {late}");
-        assert!(!sent_away(2), "cancellations at lateness {late}");
-        assert_eq!(!sent_away(3), submits, "submissions at lateness {late}");
+        assert_eq!(!is_refused(1), polls_pass, "polls at lateness {lateness}");
+        assert!(!is_refused(2), "cancellations at lateness {lateness}");
+        assert_eq!(
+            !is_refused(3),
+            submissions_pass,
+            "submissions at lateness {lateness}"
+        );
     }
 }
--- a/src/coordination/user_requests/feasibility.rs
+++ b/src/coordination/user_requests/feasibility.rs
@@ -47,7 +47,7 @@
         for dependency in &job.dependencies {
             match self.registry.get(*dependency) {
                 None => return Feasibility::Infeasible("awaits a job that was never accepted"),
-                Some(RegisteredJob::Live(other)) if other.spec.kind == JobKind::Service => {
+                Some(RegisteredJob::Live(live)) if live.spec.kind == JobKind::Service => {
                     return Feasibility::Infeasible("awaits a service, which is never done");
                 }
                 _ => {}
--- a/src/coordination/user_requests/mod.rs
+++ b/src/coordination/user_requests/mod.rs
@@ -143,9 +143,9 @@
     /// Answers requests for jobs in a final state from memory, and all others after a read barrier. A cancellation
     /// of a job that is in the registry needs no barrier, as the conditional write to the job's key decides.
     fn answer_from_registry(&mut self, id: RequestId, pending: PendingRequest) {
-        let known = self.registry.get(pending.job_id());
-        let cancel = matches!(pending, PendingRequest::Cancel { .. });
-        if known.is_some_and(|entry| cancel || entry.final_status().is_some()) {
+        let registered_job = self.registry.get(pending.job_id());
+        let is_cancellation = matches!(pending, PendingRequest::Cancel { .. });
+        if registered_job.is_some_and(|job| is_cancellation || job.final_status().is_some()) {
             self.pending_requests.insert(id, pending);
             self.resolve_request(id);
         } else {
@@ -159,8 +159,8 @@
             return;
         };
         let job = pending.job_id();
-        let known = self.registry.get(job).cloned();
-        match (known, pending) {
+        let registered_job = self.registry.get(job).cloned();
+        match (registered_job, pending) {
             (Some(RegisteredJob::Live(_)), PendingRequest::Poll(_) | PendingRequest::Submit(_))
             | (Some(RegisteredJob::CancelledByDependency(_) | RegisteredJob::Ended(..)), _) => {
                 self.admission.on_accepted(job, true, self.now);
@@ -231,7 +231,7 @@
 
     /// The state of a job as its user gets it, from the registry and the last progress that the leader announced.
     fn job_view(&self, id: JobId) -> JobView {
-        let ended = self.registry.get(id).and_then(RegisteredJob::final_status);
+        let final_status = self.registry.get(id).and_then(RegisteredJob::final_status);
         let (done, running) = match &self.leader_state {
             Some(leader) => leader.task_counts(id),
             None => self
@@ -240,7 +240,7 @@
                 .map(|progress| (progress.done, progress.running)),
         }
         .unwrap_or_default();
-        let status = ended.unwrap_or(if running > 0 {
+        let status = final_status.unwrap_or(if running > 0 {
             JobStatus::Running
         } else {
             JobStatus::Pending
--- a/src/coordination/user_requests/relay.rs
+++ b/src/coordination/user_requests/relay.rs
@@ -30,12 +30,12 @@
         let Some(pending) = self.pending_requests.remove(&id) else {
             return;
         };
-        let leader = self.current_other_leader();
+        let other_leader = self.current_other_leader();
         let member = self
             .config
             .members
             .iter()
-            .min_by_key(|member| Some(&member.label) != leader.as_ref());
+            .min_by_key(|member| Some(&member.label) != other_leader.as_ref());
         let job = pending.job_id();
         let Some(member) = member else {
             return self.respond_unavailable(id, job);
@@ -95,7 +95,7 @@
         }
         self.lease_renewer.leader_heard_at = Some(self.now);
         self.admission
-            .learn_reservations(&announcement.reservations, self.now);
+            .add_remote_reservations(&announcement.reservations, self.now);
         self.on_leader_announced(announcement.term, announcement.leader);
         self.job_progress = announcement
             .jobs
--- a/src/coordination/user_requests/submission.rs
+++ b/src/coordination/user_requests/submission.rs
@@ -33,10 +33,10 @@
             }
         };
         let limits = &self.config.settings.state;
-        let (record, texts) =
+        let (record, parts) =
             storage::live_job_record(self.wall_ms, &submission, limits.max_value_bytes());
         let job = submission.id;
-        if texts.len() >= limits.max_txn_ops as usize {
+        if parts.len() >= limits.max_txn_ops as usize {
             // It may have been accepted before, when the state service's limits were higher.
             return if is_current {
                 self.respond(id, ApiResponse::error(400, "too many names"))
@@ -46,10 +46,10 @@
         }
         let mut txn = Txn::default();
         txn.put(storage::job_key(job), 0, storage::to_value(&record));
-        for (text, part) in texts.iter().zip(0..) {
+        for (part, number) in parts.iter().zip(0..) {
             txn.writes.push(Write::Put {
-                key: storage::job_part_key(job, part),
-                value: storage::to_value(text),
+                key: storage::job_part_key(job, number),
+                value: storage::to_value(part),
                 lease: None,
             });
         }
@@ -61,7 +61,7 @@
         self.call_state_service(
             StateTag::PutJob {
                 id,
-                single_key: texts.is_empty(),
+                single_key: parts.is_empty(),
             },
             StateRequest::Txn(txn),
             priority.urgency(),
