--- a/src/coordination/user_requests/relay.rs
+++ b/src/coordination/user_requests/relay.rs
@@ -1,4 +1,4 @@
-//! Relaying: a member answers what this node can't answer now.
+//! Relaying: has another member answer a user's request that this node can't answer now.
 
 use std::collections::{HashMap, HashSet};
 
@@ -9,33 +9,33 @@
     time::Millis,
 };
 
-/// Members that could not answer are not asked again for this long.
+/// After a member could not answer either, no request is relayed for this long.
 const RELAY_RETRY_MS: Millis = 1000;
 
-/// Requests that other members answer for this node, or it for them.
+/// The requests that this node relayed to members, and those that members relayed to it.
 #[derive(Default)]
 pub struct RelayState {
     /// Relayed to a member, and not answered yet.
     relayed_out: HashMap<RequestId, JobId>,
-    /// Relayed here by a member: not relayed again.
+    /// Relayed to this node by a member; these are not relayed again.
     pub(super) relayed_in: HashSet<RequestId>,
-    /// The members could not answer either: they are not asked again before this time.
+    /// No request is relayed before this time, as a member could not answer either.
     retry_at: Millis,
 }
 
 impl Node {
-    /// The request can't be answered here now. The state service may be out of reach of this node alone:
-    /// then another member can answer, and the user need not come back.
+    /// Relays a request that can't be answered here now, or refuses it. If the state service is out of reach of
+    /// this node alone, another member can answer, and the user need not retry. The leader is preferred.
     pub(in crate::coordination) fn relay_or_refuse(&mut self, id: RequestId) {
         let Some(pending) = self.pending_requests.remove(&id) else {
             return;
         };
-        let leader = self.current_other_leader();
+        let other_leader = self.current_other_leader();
         let member = self
             .config
             .members
             .iter()
-            .min_by_key(|member| Some(&member.label) != leader.as_ref());
+            .min_by_key(|member| Some(&member.label) != other_leader.as_ref());
         let job = pending.job_id();
         let Some(member) = member else {
             return self.respond_unavailable(id, job);
@@ -79,13 +79,13 @@
         }
     }
 
-    /// No member can answer now.
+    /// Answers that the state service is unavailable; neither this node nor a member can answer now.
     fn respond_unavailable(&mut self, id: RequestId, job: JobId) {
         self.admission.on_refused(job);
         self.respond(id, state_service_unavailable());
     }
 
-    /// Takes in what the leader announces.
+    /// Handles an announcement of the leader. One from an earlier term is ignored.
     pub(in crate::coordination) fn on_leader_announcement(
         &mut self,
         announcement: LeaderAnnouncement,
@@ -95,7 +95,7 @@
         }
         self.lease_renewer.leader_heard_at = Some(self.now);
         self.admission
-            .learn_reservations(&announcement.reservations, self.now);
+            .add_remote_reservations(&announcement.reservations, self.now);
         self.on_leader_announced(announcement.term, announcement.leader);
         self.job_progress = announcement
             .jobs
