--- a/build.rs
+++ b/build.rs
@@ -1,4 +1,4 @@
-//! Generates the mesh's gRPC code with a pure-Rust protobuf compiler, so that cargo alone builds it.
+//! Generates the mesh's gRPC code with a protobuf compiler in Rust, so that no `protoc` is needed.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto/mesh.proto");
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The settings file that the platform hands over, checked.
+//! Reads and validates the settings file that the platform provides.
 
 use std::{collections::HashSet, fs, net::SocketAddrV4, path::Path};
 
@@ -17,14 +17,14 @@
 /// The settings of one node.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Config {
-    /// The name of this node, unlike those of the others.
+    /// The name of this node, unique among the nodes of the deployment.
     pub label: String,
     /// The zone of this node.
     #[serde(rename = "domain")]
     pub zone: String,
-    /// Where this node takes requests of users and workers.
+    /// The address at which this node accepts requests from users and workers.
     pub listen: SocketAddrV4,
-    /// Where this node takes requests of other nodes.
+    /// The address at which this node accepts requests from other nodes.
     pub mesh_addr: SocketAddrV4,
     /// The other nodes of this deployment.
     #[serde(default)]
@@ -33,8 +33,8 @@
     pub services: Services,
     /// The settings of all nodes.
     pub settings: Settings,
-    /// The cells that share the teams' quotas: named by flags, not by the file. `None`: this
-    /// deployment keeps the limits of the file by itself.
+    /// The cells that share the teams' quotas; set by flags, not by the file. `None`: quotas are not
+    /// shared, and this deployment applies the limits in the file on its own.
     #[serde(skip)]
     pub cells: Option<CellTopology>,
 }
@@ -47,14 +47,14 @@
     /// Its zone.
     #[serde(rename = "domain")]
     pub zone: String,
-    /// Where it takes requests of other nodes.
+    /// The address at which it accepts requests from other nodes.
     pub address: SocketAddrV4,
 }
 
 /// Addresses of the services.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Services {
-    /// The cloud that machines are rented from.
+    /// The cloud that provides machines.
     pub cloud: SocketAddrV4,
     /// The state service.
     pub state: SocketAddrV4,
@@ -68,10 +68,10 @@
     Read {
         /// The file.
         path: String,
-        /// The error of the system.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The file is not JSON, or lacks a field, or has a field of another type.
+    /// The file is not JSON, or a field is missing or has the wrong type.
     #[error("{path}: {source}")]
     Parse {
         /// The file.
@@ -84,16 +84,16 @@
     Invalid {
         /// The file.
         path: String,
-        /// Everything wrong, each naming its field.
+        /// The errors; each names its field.
         problems: Vec<String>,
     },
 }
 
 impl Config {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// The file can't be read, is malformed, or has values that can't be used.
+    /// The file can't be read, is malformed, or has invalid values.
     pub fn load(path: &Path) -> Result<Self, ConfigError> {
         let shown_path = path.display().to_string();
         let text = fs::read_to_string(path).map_err(|source| ConfigError::Read {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Everything wrong with the values, each error naming its field.
+    /// All errors in the values; each names its field.
     pub fn validation_errors(&self) -> Vec<String> {
         let mut errors = self.label_errors();
         errors.extend(self.settings.validation_errors());
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,4 +1,4 @@
-//! What the platform sets for the whole deployment.
+//! The settings that all nodes of a deployment share.
 
 use serde::Deserialize;
 
@@ -7,7 +7,7 @@
     team::{self, Team},
 };
 
-/// Most zones of a deployment.
+/// The most zones in a deployment.
 const MAX_ZONES: usize = 64;
 /// Fewest sockets that a node can work with.
 const MIN_SOCKETS: u32 = 32;
@@ -15,14 +15,14 @@
 /// The settings of all nodes.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
-    /// Where machines can be rented.
+    /// The zones in which machines can be provisioned.
     pub zones: Vec<String>,
-    /// Who submits jobs.
+    /// The teams that submit jobs.
     pub teams: Vec<Team>,
-    /// How soon jobs should start or finish.
+    /// Targets for how soon jobs start or finish.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Reports, leases and cancellations of workers.
+    /// Intervals and time limits of workers: heartbeats, leases and cancellations.
     pub workers: WorkerTimings,
     /// Limits of the state service.
     pub state: StateLimits,
@@ -31,16 +31,16 @@
     /// Limits of each node.
     #[serde(default)]
     pub limits: NodeLimits,
-    /// How far the clocks of nodes may differ from the time of day, in milliseconds.
+    /// Most that the clock of a node may differ from the true time of day, in milliseconds.
     #[serde(default)]
     pub clock_error_ms: f64,
 }
 
-/// What a node itself may use.
+/// Resource limits of a node's own process.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct NodeLimits {
-    /// Open sockets.
+    /// Number of open sockets.
     pub sockets: u32,
     /// Memory in megabytes.
     pub mem_mb: f64,
@@ -55,52 +55,52 @@
     }
 }
 
-/// An aim for starting or finishing jobs.
+/// A target for starting or finishing jobs.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
-    /// What is aimed at.
+    /// The kind of target.
     pub kind: String,
-    /// The class of jobs; `None`: all.
+    /// The workload class that it applies to; `None` for all classes.
     #[serde(default)]
     pub class: Option<String>,
-    /// The time aimed at, in seconds.
+    /// The target time in seconds.
     #[serde(default)]
     #[serde(rename = "within_s")]
     pub target_s: Option<f64>,
-    /// Of a deadline: how many times the job's own.
+    /// For targets relative to the job's own deadline: the factor by which that is multiplied.
     #[serde(default)]
     pub times: Option<f64>,
-    /// The part of the jobs that should reach it, 0 to 1.
+    /// The fraction of jobs that should meet the target, 0 to 1.
     #[serde(default)]
     pub share: Option<f64>,
 }
 
-/// Times of workers, in seconds.
+/// Intervals and time limits of workers, in seconds.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WorkerTimings {
-    /// Between two reports of a worker.
+    /// The interval between two heartbeats of a worker.
     #[serde(rename = "report_s")]
     pub report_interval_s: f64,
-    /// How long a worker runs tasks without a renewal of its lease.
+    /// How long a worker keeps running tasks after the last renewal of its lease.
     #[serde(rename = "lease_s")]
     pub lease_ttl_s: f64,
-    /// Within which a cancelled job has ended everywhere.
+    /// The time within which all tasks of a cancelled job must have ended.
     #[serde(rename = "cancel_s")]
     pub cancellation_bound_s: f64,
 }
 
-/// What the cloud accepts.
+/// Limits of the cloud.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CloudLimits {
-    /// Requests per second of all nodes together.
+    /// Total requests per second from all nodes.
     pub rps: f64,
-    /// How old the list of machines may be, in seconds.
+    /// Most that the machine list may lag behind the actual state, in seconds.
     #[serde(default)]
     pub list_lag_s: f64,
 }
 
 impl Settings {
-    /// Everything wrong with the values, each error naming its field.
+    /// All errors in the values; each names its field.
     pub(super) fn validation_errors(&self) -> Vec<String> {
         let mut errors = zone_errors(&self.zones);
         errors.extend(team::validation_errors(&self.teams));
--- a/src/config/state_limits.rs
+++ b/src/config/state_limits.rs
@@ -1,33 +1,33 @@
-//! Limits of the state service, now and to come.
+//! Limits of the state service, both current and upcoming.
 
 use serde::Deserialize;
 
 const BYTES_PER_KB: f64 = 1024.0;
-/// Least accepted bound of a value's length.
+/// The smallest limit on values that a node can work with.
 const MIN_VALUE_KB: f64 = 2.0;
-/// Least accepted bound of a transaction's size.
+/// The smallest limit on a transaction's size that a node can work with.
 const MIN_TXN_OPS: u32 = 4;
 
-/// What the state service accepts.
+/// Limits of the state service.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StateLimits {
-    /// Requests per second of all nodes together.
+    /// Total requests per second from all nodes.
     pub rps: f64,
-    /// Writes per second of all nodes together.
+    /// Total writes per second from all nodes.
     pub write_rps: f64,
-    /// Longest value, in units of 1024 bytes of JSON.
+    /// The longest value, in units of 1024 bytes of JSON.
     #[serde(rename = "value_kb")]
     pub max_value_kb: f64,
-    /// Most conditions and writes of one transaction.
+    /// The most conditions and writes in one transaction.
     #[serde(rename = "txn_ops")]
     pub max_txn_ops: u32,
-    /// Limits in force from some moment on that the service does not announce.
+    /// Limits that will take effect at a time that the service does not announce.
     #[serde(default)]
     #[serde(rename = "next")]
     pub upcoming: Option<UpcomingStateLimits>,
 }
 
-/// Limits to come; those without a value stay as they are.
+/// Upcoming limits; those without a value do not change.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 pub struct UpcomingStateLimits {
     /// See [`StateLimits::rps`].
@@ -64,8 +64,9 @@
 }
 
 impl StateLimits {
-    /// What respects the limits now and those to come. Nobody announces when they change, and a
-    /// transaction within the limits when it was sent may be applied after the change.
+    /// The stricter of the current and the upcoming value of each limit. The service does not announce
+    /// when the limits change, and a transaction that was within the limits when it was sent may be
+    /// applied after the change.
     pub fn strictest(&self) -> StateLimits {
         let upcoming = self.upcoming.unwrap_or_default();
         let strictest =
@@ -87,7 +88,7 @@
         (self.max_value_kb * BYTES_PER_KB) as usize
     }
 
-    /// Everything wrong with the limits, each error naming its field.
+    /// All errors in the limits; each names its field.
     pub(super) fn validation_errors(&self) -> Vec<String> {
         let current = UpcomingStateLimits {
             rps: Some(self.rps),
--- a/src/config/team.rs
+++ b/src/config/team.rs
@@ -7,18 +7,18 @@
 /// A team's guarantees and limits; 0 means none.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Team {
-    /// The name that jobs give.
+    /// Its name, as given in submissions.
     pub name: String,
     /// Guaranteed processors.
     #[serde(default)]
     pub cpus: f64,
-    /// Most processors.
+    /// Limit on processors.
     #[serde(default)]
     pub cpus_max: f64,
-    /// Guaranteed graphics processors.
+    /// Guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Most graphics processors.
+    /// Limit on GPUs.
     #[serde(default)]
     pub gpus_max: f64,
 }
@@ -44,7 +44,7 @@
     }
 }
 
-/// Everything wrong with the teams, each error naming its field.
+/// All errors in the teams; each names its field.
 pub(super) fn validation_errors(teams: &[Team]) -> Vec<String> {
     let mut errors = Vec::new();
     if teams.is_empty() {
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A file in which every value that is checked is wrong.
+/// A settings file in which every validated value is invalid.
 const INVALID: &str = r#"{
     "label": "", "domain": "a", "listen": "127.0.0.1:1", "mesh_addr": "127.0.0.1:2",
     "members": [{"label": "", "domain": "a", "address": "127.0.0.1:5"},
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,10 @@
 //! dalelb: a fair, fault-tolerant cluster scheduler.
 //!
-//! The layers, from the outside in: [`transport`] moves bytes and decides nothing, [`protocol`] knows the wire,
-//! [`coordination`] is the control plane (who leads, what workers are told, what users are answered), and
-//! [`cluster`], [`scheduling`], [`autoscaler`] and [`quota`] hold what runs where and decide what should. [`storage`]
-//! names the keys and records of the state service. [`daemon`] runs the event loop that ties them together.
-//! `docs/ARCHITECTURE.md` shows the whole on one page.
+//! The layers, from the outside in: [`transport`] moves bytes and makes no decisions, [`protocol`] defines the
+//! messages, [`coordination`] is the control plane (leader election, orders to workers, responses to users), and
+//! [`cluster`], [`scheduling`], [`autoscaler`] and [`quota`] hold the cluster state and make the scheduling
+//! decisions. [`storage`] defines the keys and records in the state service. [`daemon`] runs the event loop that
+//! connects them. `docs/ARCHITECTURE.md` describes the whole.
 
 pub mod autoscaler;
 pub mod cells;
--- a/src/main.rs
+++ b/src/main.rs
@@ -13,7 +13,7 @@
 };
 use tracing_subscriber::EnvFilter;
 
-/// Wrong settings, or an address that can't be listened at.
+/// The exit code for invalid settings, or an address that can't be listened on.
 const EXIT_FAILURE: u8 = 2;
 
 #[derive(Parser)]
@@ -21,7 +21,7 @@
 struct Cli {
     #[command(subcommand)]
     command: Command,
-    /// How much to log to standard error: error, warn, info, debug or trace.
+    /// Log level for standard error: error, warn, info, debug or trace.
     #[arg(long, env = "LOG_LEVEL", default_value = "info", global = true)]
     log_level: tracing::Level,
 }
@@ -33,12 +33,12 @@
         /// The settings file (JSON).
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
-        /// The name of this cell: it shares the teams' limits and guarantees with the cells named by --peer-cell, and
-        /// reads the teams again whenever the settings file changes.
+        /// The name of this cell. It shares the teams' limits and guarantees with the cells given by --peer-cell, and
+        /// reloads the teams whenever the settings file changes.
         #[arg(long, value_name = "NAME", env = "DALELB_CELL")]
         cell: Option<String>,
-        /// Another cell, and where its controllers take requests from others. Once for each; in the variable, one
-        /// after the other with semicolons between.
+        /// Another cell, and the addresses at which its controllers accept requests from other cells. Repeat the flag
+        /// for each cell; in the environment variable, separate cells with semicolons.
         #[arg(
             long = "peer-cell",
             value_name = "NAME=ADDRESS:PORT[,ADDRESS:PORT...]",
@@ -48,7 +48,7 @@
         )]
         peer_cells: Vec<PeerCell>,
     },
-    /// Check a settings file and say everything that is wrong with it.
+    /// Check a settings file and report all errors in it.
     Check {
         /// The settings file (JSON).
         #[arg(long, value_name = "FILE")]
@@ -118,7 +118,7 @@
         .init();
 }
 
-/// The cells that share quotas, this one among them.
+/// The cells that share quotas, including this one.
 fn cell_topology(
     config: &Config,
     own_cell: &str,
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,11 +1,11 @@
-//! Nodes -> cloud: machine types, rentals, deletions, the machine list.
+//! Messages between nodes and the cloud: machine types, instance requests, deletions, the machine list.
 
 use serde::{Deserialize, Serialize};
 
 /// A machine type that the cloud offers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Name of the type.
+    /// The name of the type.
     #[serde(rename = "sku")]
     pub name: String,
     /// CPUs.
@@ -18,24 +18,24 @@
     /// Disk for images in GB.
     #[serde(rename = "local_gb", default)]
     pub cache_gb: f64,
-    /// How fast images are fetched, in GB a second.
+    /// Rate at which images are fetched, in GB per second.
     #[serde(rename = "pull_gb_per_s", default)]
     pub fetch_gb_per_s: f64,
     /// Price per hour.
     #[serde(rename = "hourly")]
     pub price: f64,
-    /// Price per hour of a spot instance; `None`: not offered.
+    /// Price per hour of a spot instance; `None` if not offered as spot.
     #[serde(default)]
     pub spot_price: Option<f64>,
     /// Usual boot time in seconds.
     #[serde(rename = "ready_s", default)]
     pub boot_s: f64,
-    /// Zones in which it is offered.
+    /// Zones that offer it.
     #[serde(rename = "yards", default)]
     pub zones: Vec<String>,
 }
 
-/// All machine types.
+/// The cloud's list of machine types.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypes {
     /// The types.
@@ -46,7 +46,7 @@
 /// Requests instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RentRequest {
-    /// Name of the request, which makes it idempotent; never used twice.
+    /// Name of the request, never reused: the cloud executes requests of one name only once.
     #[serde(rename = "hire")]
     pub name: String,
     /// Machine type.
@@ -55,10 +55,10 @@
     /// Zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether spot instances are asked for.
+    /// Whether to request spot instances.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// How many, at most 50.
+    /// Number of instances, at most 50.
     pub count: u32,
 }
 
@@ -70,16 +70,16 @@
     pub machines: Vec<String>,
 }
 
-/// The state of a listed machine.
+/// The status of a listed machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MachineStatus {
-    /// Not up yet.
+    /// It has not booted yet.
     #[serde(rename = "booting")]
     Booting,
-    /// Up.
+    /// It has booted.
     #[serde(rename = "running")]
     Running,
-    /// Stopped by itself; listed until it is deleted.
+    /// It stopped without having been deleted; the cloud lists it until it is deleted.
     #[serde(rename = "failed")]
     Failed,
 }
@@ -89,7 +89,7 @@
 pub struct ListedMachine {
     /// Name of the machine.
     pub id: String,
-    /// Where its worker takes direct orders, once it is up.
+    /// The address at which its worker accepts direct orders, once it has booted.
     #[serde(rename = "endpoint", default)]
     pub addr: Option<String>,
     /// Machine type.
@@ -101,7 +101,7 @@
     /// Whether it is a spot instance.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
-    /// Its state.
+    /// Its status.
     pub status: MachineStatus,
     /// Seconds since it was requested.
     #[serde(rename = "held_s")]
@@ -111,18 +111,18 @@
 /// A page of the machine list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineList {
-    /// Machines in the order of their names.
+    /// Machines, sorted by name.
     #[serde(rename = "berths")]
     pub machines: Vec<ListedMachine>,
-    /// More machines follow.
+    /// Whether another page follows.
     #[serde(rename = "has_next", default)]
     pub more: bool,
 }
 
-/// What can be asked of the cloud.
+/// A request to the cloud.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudRequest {
-    /// Lists machine types.
+    /// Lists the machine types.
     Types,
     /// Requests instances.
     Rent(RentRequest),
@@ -130,33 +130,33 @@
     Delete(Vec<String>),
     /// Lists machines.
     List {
-        /// Only machines after the one of this name.
+        /// Lists only machines whose names sort after this one.
         after: Option<String>,
     },
 }
 
-/// What the cloud answered.
+/// The cloud's reply to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudReply {
     /// The machine types.
     Types(MachineTypes),
-    /// Names of the instances, perhaps fewer than were asked for.
+    /// Names of the instances; there may be fewer than requested.
     Rented(Vec<String>),
-    /// Nothing of that type is available there.
+    /// No machine of that type is available in the zone.
     NoCapacity,
-    /// The machines and everything on them are gone.
+    /// The machines are deleted, with everything on them.
     Deleted,
     /// A page of the machine list.
     List(MachineList),
 }
 
-/// A call to the cloud that gave no reply.
+/// Why a call to the cloud has no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CloudError {
-    /// Answered with a refusal of this status: surely not executed.
+    /// The cloud refused with this HTTP status: the request was not executed.
     #[error("refused with status {0}")]
     Refused(u16),
-    /// No usable answer: executed, or not, or to be executed later.
+    /// No usable response: the request may have been executed, or may still be.
     #[error("no answer")]
     NoAnswer,
 }
--- a/src/protocol/ids.rs
+++ b/src/protocol/ids.rs
@@ -1,11 +1,11 @@
-//! Interner that carry structure: job ids and task ids.
+//! Job ids and task ids, and their text form.
 
 use std::{fmt, str::FromStr};
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
-/// A job's id, `j-` and at least six digits. Only the canonical spelling is a job id, so the
-/// number alone stands for the name everywhere inside.
+/// A job's id: `j-` and at min_digits six digits. Each number has exactly one valid text form, so the
+/// number identifies the job.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct JobId(pub u64);
 
@@ -14,11 +14,11 @@
 pub struct TaskId {
     /// The job.
     pub job: JobId,
-    /// Number of the task within the job, from 0.
+    /// The task's index in the job, from 0.
     pub index: u32,
 }
 
-/// The text is no job or task id in its canonical form.
+/// The text is not a job or task id in its canonical form.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("not a job or task id")]
 pub struct ParseIdError;
@@ -47,10 +47,12 @@
     }
 }
 
-fn parse_digits<T: FromStr>(text: &str, least: usize) -> Result<T, ParseIdError> {
-    let plain = text.len() >= least && text.bytes().all(|b| b.is_ascii_digit());
-    let canonical = text.len() == least || !text.starts_with('0');
-    if !plain || !canonical {
+/// Parses a number of at min_digits `min_digits` digits, which has leading zeros only if it is exactly that
+/// long.
+fn parse_digits<T: FromStr>(text: &str, min_digits: usize) -> Result<T, ParseIdError> {
+    let only_digits = text.len() >= min_digits && text.bytes().all(|b| b.is_ascii_digit());
+    let canonical = text.len() == min_digits || !text.starts_with('0');
+    if !only_digits || !canonical {
         return Err(ParseIdError);
     }
     text.parse().map_err(|_| ParseIdError)
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -1,4 +1,4 @@
-//! Users -> nodes: submissions and what is answered about a job.
+//! Messages between users and nodes: submissions, and the status of a job.
 
 use std::collections::HashSet;
 
@@ -6,20 +6,21 @@
 
 use super::{DecodeError, ids::JobId};
 
-/// Most tasks that a job may have.
+/// The most tasks that a job may have.
 pub const MAX_TASKS_PER_JOB: u32 = 100_000;
 const MAX_NAME_LEN: usize = 200;
 const MAX_MACHINE_TYPES_PER_JOB: usize = 64;
-/// Far above any machine or wait; keeps sums of amounts finite.
+/// Upper bound of every amount in a submission: far above any machine or duration, and small enough
+/// that sums of amounts stay finite.
 const MAX_RESOURCE_AMOUNT: f64 = 1e12;
 
-/// How a job's tasks belong together.
+/// How a job's tasks depend on each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
-    /// A job array: independent tasks, each runs to completion.
+    /// A job array: independent tasks, each of which runs to completion.
     #[serde(rename = "array")]
     Array,
-    /// All tasks run at the same time, or none.
+    /// A gang: either all tasks run at the same time, or none does.
     #[serde(rename = "group")]
     Gang,
     /// Replicas that run until the job is cancelled.
@@ -27,10 +28,10 @@
     Service,
 }
 
-/// Lower is more urgent.
+/// A job's priority; the lower value is the more urgent one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
-    /// Services that users wait for.
+    /// Production services, on whose responses users wait.
     #[serde(rename = "critical")]
     Production,
     /// Urgent work.
@@ -39,26 +40,26 @@
     /// Ordinary work.
     #[serde(rename = "standard")]
     Normal,
-    /// Work that runs where room is left.
+    /// Work that uses only resources left over by others.
     #[serde(rename = "best_effort")]
     Low,
 }
 
-/// What a user asks to be run.
+/// A user's request to run a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Submission {
-    /// The job's id, chosen by its user; a repeated submission uses the same one.
+    /// The job's id, chosen by its user; a retried submission uses the same one.
     pub id: JobId,
-    /// Workload class, to which objectives apply.
+    /// The workload class; objectives apply to classes.
     #[serde(rename = "lane")]
     pub class: String,
-    /// Team whose guarantee and limit apply.
+    /// The team whose guarantee and limit apply.
     #[serde(rename = "crew")]
     pub team: String,
-    /// How its tasks belong together.
+    /// How its tasks depend on each other.
     #[serde(rename = "shape")]
     pub kind: JobKind,
-    /// How urgent it is.
+    /// Its priority.
     #[serde(rename = "urgency")]
     pub priority: Priority,
     /// Number of tasks.
@@ -70,41 +71,41 @@
     pub gpus: f64,
     /// Memory of each task in GB.
     pub ram_gb: f64,
-    /// Image that a task needs.
+    /// The image that a task needs.
     #[serde(rename = "kit")]
     pub image: String,
     /// Size of the image in GB.
     #[serde(rename = "size_gb")]
     pub image_gb: f64,
-    /// Allowed machine types; `None`: any.
+    /// The allowed machine types; `None` allows any.
     #[serde(rename = "builds", default)]
     pub types: Option<Vec<String>>,
-    /// The only allowed zone.
+    /// The only allowed zone; `None` allows any.
     #[serde(rename = "yard", default)]
     pub zone: Option<String>,
-    /// All tasks have to be in the same zone.
+    /// Whether all tasks must be in the same zone.
     #[serde(rename = "together")]
     pub one_zone: bool,
-    /// At most half of the tasks, rounded up, may be in one zone.
+    /// Whether to spread the tasks: at most half of them, rounded up, may be in one zone.
     #[serde(rename = "apart")]
     pub spread: bool,
-    /// Whether spot instances will do.
+    /// Whether tasks may run on spot instances.
     #[serde(rename = "loaners")]
     pub spot: bool,
     /// The user's estimate of a task's run time in seconds.
     #[serde(rename = "guess_s")]
     pub estimate_s: f64,
-    /// Seconds of progress between two checkpoints; 0: a task never saves.
+    /// Seconds of progress between two checkpoints; 0 if a task never saves one.
     #[serde(rename = "bookmark_s")]
     pub checkpoint_s: f64,
-    /// Seconds that a task needs to save when it is stopped.
+    /// Seconds that a task needs to save a checkpoint when it is stopped.
     #[serde(rename = "stash_s")]
     pub save_s: f64,
-    /// When the job should be complete, in seconds from its submission.
+    /// The deadline for the job's completion, in seconds from its submission.
     #[serde(rename = "due_s", default)]
     pub deadline_s: Option<f64>,
-    /// Jobs that must be done before a task of this one starts, each once. Left out while empty, as
-    /// versions that do not know it wrote it.
+    /// Jobs that must be done before a task of this one starts, without duplicates. An empty list is
+    /// not written, so that the result equals that of versions without dependencies.
     #[serde(
         default,
         deserialize_with = "deserialize_unique_ids",
@@ -114,7 +115,7 @@
     pub dependencies: Vec<JobId>,
 }
 
-/// A list that may be null, without repetitions.
+/// Deserializes a list that may be null, and removes duplicates.
 fn deserialize_unique_ids<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Vec<JobId>, D::Error> {
@@ -125,7 +126,7 @@
 }
 
 impl Submission {
-    /// Decodes and checks a request body.
+    /// Decodes and validates a request body.
     pub fn from_body(body: &[u8]) -> Result<Self, DecodeError> {
         let submission: Submission = super::decode(body)?;
         submission.validate()?;
@@ -133,7 +134,7 @@
     }
 
     fn validate(&self) -> Result<(), DecodeError> {
-        let name = |field, text: &str| {
+        let check_name = |field, text: &str| {
             if text.is_empty() || text.len() > MAX_NAME_LEN {
                 return Err(DecodeError::Invalid {
                     field,
@@ -142,10 +143,10 @@
             }
             Ok(())
         };
-        let amount = |field, value: f64, zero: bool| {
+        let check_amount = |field, value: f64, zero_allowed: bool| {
             if !value.is_finite()
                 || !(0.0..=MAX_RESOURCE_AMOUNT).contains(&value)
-                || (value == 0.0 && !zero)
+                || (value == 0.0 && !zero_allowed)
             {
                 return Err(DecodeError::Invalid {
                     field,
@@ -154,11 +155,11 @@
             }
             Ok(())
         };
-        name("lane", &self.class)?;
-        name("crew", &self.team)?;
-        name("kit", &self.image)?;
+        check_name("lane", &self.class)?;
+        check_name("crew", &self.team)?;
+        check_name("kit", &self.image)?;
         if let Some(zone) = &self.zone {
-            name("yard", zone)?;
+            check_name("yard", zone)?;
         }
         if let Some(types) = &self.types {
             if types.len() > MAX_MACHINE_TYPES_PER_JOB {
@@ -167,8 +168,8 @@
                     reason: "names too many machine types",
                 });
             }
-            for each in types {
-                name("builds", each)?;
+            for type_name in types {
+                check_name("builds", type_name)?;
             }
         }
         if self.tasks == 0 || self.tasks > MAX_TASKS_PER_JOB {
@@ -177,15 +178,15 @@
                 reason: "must be 1 to 100000",
             });
         }
-        amount("cpus", self.cpus, false)?;
-        amount("gpus", self.gpus, true)?;
-        amount("ram_gb", self.ram_gb, false)?;
-        amount("size_gb", self.image_gb, true)?;
-        amount("guess_s", self.estimate_s, true)?;
-        amount("bookmark_s", self.checkpoint_s, true)?;
-        amount("stash_s", self.save_s, true)?;
+        check_amount("cpus", self.cpus, false)?;
+        check_amount("gpus", self.gpus, true)?;
+        check_amount("ram_gb", self.ram_gb, false)?;
+        check_amount("size_gb", self.image_gb, true)?;
+        check_amount("guess_s", self.estimate_s, true)?;
+        check_amount("bookmark_s", self.checkpoint_s, true)?;
+        check_amount("stash_s", self.save_s, true)?;
         if let Some(deadline) = self.deadline_s {
-            amount("due_s", deadline, false)?;
+            check_amount("due_s", deadline, false)?;
         }
         Ok(())
     }
@@ -194,10 +195,10 @@
 /// The status of a job as users see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobStatus {
-    /// No task runs.
+    /// No task is running.
     #[serde(rename = "pending")]
     Pending,
-    /// Tasks run.
+    /// At least one task is running.
     #[serde(rename = "running")]
     Running,
     /// All tasks are done; final.
@@ -208,15 +209,15 @@
     Cancelled,
 }
 
-/// The answer to every user request about a job.
+/// The response to a user's request about a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobView {
     /// The job.
     pub id: JobId,
     /// Its status.
     pub status: JobStatus,
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     pub done: u32,
-    /// Tasks that run.
+    /// Number of tasks that are running.
     pub running: u32,
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,7 +1,7 @@
-//! The wire: message types, their odd field names, and the checks made at the door.
+//! The messages on the wire: their types, encoding and validation.
 //!
-//! The outside world's vocabulary (`pieces`, `berth`, `baton` ...) stops in this module. Inside,
-//! the field's own terms are used: job, task, attempt, machine, zone, session, term.
+//! The wire has names of its own (`pieces`, `berth`, `baton` ...), which serde attributes in this
+//! module map to the usual terms: task, machine, fencing token. All other code uses only the latter.
 
 pub mod cloud;
 pub mod ids;
@@ -11,22 +11,22 @@
 
 use serde::{Serialize, de::DeserializeOwned};
 
-/// The largest request body that is read.
+/// The largest request body that is accepted, in bytes.
 pub const MAX_BODY_BYTES: u64 = 64 * 1024;
 
-/// Why a body was refused.
+/// Why a body was rejected.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum DecodeError {
-    /// It is not a map.
+    /// The body is not a map.
     #[error("the body is not a MessagePack map")]
     NotAMap,
-    /// It is no MessagePack, or a field is missing or of another type.
+    /// The body is not valid MessagePack, or a field is missing or has the wrong type.
     #[error("{0}")]
     Malformed(String),
     /// A field's value is not allowed.
     #[error("{field}: {reason}")]
     Invalid {
-        /// The field, by its name on the wire.
+        /// The field's name on the wire.
         field: &'static str,
         /// What is wrong with it.
         reason: &'static str,
@@ -38,7 +38,10 @@
     rmp_serde::to_vec_named(message).expect("messages hold only plain data")
 }
 
-/// Decodes a MessagePack map; any other value is refused, also one that has the fields in order.
+/// Decodes a MessagePack map. Any other value is rejected, including an array of the fields in order.
+///
+/// # Errors
+/// The body is not a map, is not a message of this type, or has bytes after the map.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, DecodeError> {
     match body.first() {
         Some(0x80..=0x8f | 0xde | 0xdf) => {}
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -1,4 +1,4 @@
-//! Nodes -> state service.
+//! Messages between nodes and the state service.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -9,10 +9,10 @@
     /// The key.
     #[serde(rename = "path")]
     pub key: String,
-    /// The stored value, plain JSON data.
+    /// The stored value.
     #[serde(rename = "v")]
     pub value: Value,
-    /// Revision of the key's last change.
+    /// Revision at which the key last changed.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -20,9 +20,9 @@
 /// A page of a listing, in key order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Page {
-    /// The keys of this page.
+    /// The keys on this page, with values and versions.
     pub rows: Vec<Row>,
-    /// More keys follow after the last one.
+    /// Whether more keys follow after the last one.
     #[serde(rename = "has_next", default)]
     pub more: bool,
     /// Revision of the store at the time of the listing.
@@ -30,18 +30,18 @@
     pub revision: u64,
 }
 
-/// A condition of a compare-and-swap: the key still has this version.
+/// A condition of a transaction: the key must still have this version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Condition {
     /// The key.
     #[serde(rename = "path")]
     pub key: String,
-    /// 0: the key does not exist.
+    /// The expected version; 0 if the key must not exist.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// A change that a transaction makes.
+/// A write of a transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Write {
@@ -53,11 +53,12 @@
         /// The new value.
         #[serde(rename = "v")]
         value: Value,
-        /// The lease on whose expiry the store removes the key; `None` detaches it.
+        /// The lease to attach the key to: the state service deletes the key when it expires. `None`
+        /// detaches the key from any lease.
         #[serde(rename = "permit", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
-    /// Removes a key.
+    /// Deletes a key.
     Delete {
         /// The key.
         #[serde(rename = "delete")]
@@ -65,19 +66,20 @@
     },
 }
 
-/// A compare-and-swap: all writes are applied atomically if all conditions hold.
+/// A compare-and-swap transaction: all writes are applied atomically if all conditions hold,
+/// otherwise none.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Txn {
-    /// What has to hold.
+    /// The conditions, all of which must hold.
     #[serde(rename = "if")]
     pub conditions: Vec<Condition>,
-    /// What is changed then.
+    /// The writes to apply.
     #[serde(rename = "then")]
     pub writes: Vec<Write>,
 }
 
 impl Txn {
-    /// A transaction without writes yet, under a condition for all of them.
+    /// A transaction with one condition and no writes yet.
     pub fn only_if(condition: Condition) -> Self {
         Txn {
             conditions: vec![condition],
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Writes the key, given that it has the version (0: that it is not there).
+    /// Adds a write of the key on the condition that it has this version (0: that it does not exist).
     pub fn put(&mut self, key: String, version: u64, value: Value) {
         self.conditions.push(Condition {
             key: key.clone(),
@@ -99,23 +101,23 @@
     }
 }
 
-/// The answer to a transaction whose conditions held.
+/// The response to a transaction whose conditions held.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Committed {
-    /// Revision of all its changes.
+    /// Revision at which all its writes were applied.
     #[serde(rename = "ledger")]
     pub revision: u64,
 }
 
-/// The answer to a transaction of which a condition failed.
+/// The response to a transaction with a condition that failed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Conflict {
-    /// The keys whose versions differ.
+    /// The keys whose versions differ from the conditions.
     #[serde(default)]
     pub failed: Vec<String>,
 }
 
-/// Asks for a new lease.
+/// Requests a new lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// Time to live without a renewal, in milliseconds.
@@ -126,12 +128,12 @@
 /// A granted lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Lease {
-    /// Its number; never used twice.
+    /// Its number, which is never reused.
     #[serde(rename = "permit")]
     pub id: u64,
 }
 
-/// A change as a watch reports it.
+/// A change reported by a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Event {
@@ -147,21 +149,21 @@
         #[serde(rename = "stamp")]
         version: u64,
     },
-    /// A key was removed.
+    /// A key was deleted.
     Delete {
         /// The key.
         #[serde(rename = "delete")]
         key: String,
-        /// Revision of the removal.
+        /// Revision of the deletion.
         #[serde(rename = "stamp", default)]
         version: u64,
     },
 }
 
-/// All changes after a revision.
+/// The changes after a revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Changes {
-    /// The revision up to which these are all.
+    /// The revision up to which the list of changes is complete.
     #[serde(rename = "ledger")]
     pub revision: u64,
     /// The changes, oldest first.
@@ -169,16 +171,16 @@
     pub events: Vec<Event>,
 }
 
-/// What a node asks of the state service.
+/// A request to the state service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StateRequest {
     /// Lists keys.
     List {
-        /// What the keys start with.
+        /// The prefix of the keys.
         prefix: &'static str,
-        /// Lists only keys after this one.
+        /// Lists only keys that sort after this one.
         after: Option<String>,
-        /// The most keys to list.
+        /// The most keys to return.
         limit: u32,
     },
     /// Reads a key.
@@ -186,7 +188,7 @@
         /// The key.
         key: String,
     },
-    /// Runs a compare-and-swap.
+    /// Executes a transaction.
     Txn(Txn),
     /// Grants a lease.
     Grant {
@@ -198,28 +200,29 @@
         /// The lease.
         lease: u64,
     },
-    /// Ends a lease at once.
+    /// Releases a lease, which deletes the keys attached to it.
     Release {
         /// The lease.
         lease: u64,
     },
     /// Watches for changes.
     Changes {
-        /// What the keys start with.
+        /// The prefix of the keys.
         prefix: &'static str,
-        /// Only changes after this revision.
+        /// Returns only changes after this revision.
         after: u64,
-        /// How long to wait for one, in milliseconds; 0 answers at once and so serves as a read barrier.
+        /// Longest wait for a change, in milliseconds. With 0 the response is immediate, and the
+        /// request serves as a read barrier.
         hold_ms: u64,
     },
 }
 
-/// What it answered.
+/// The state service's reply to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StateReply {
     /// A page of keys.
     Page(Page),
-    /// The key that was asked for.
+    /// The requested key.
     Row(Row),
     /// The key does not exist.
     Missing,
@@ -229,34 +232,35 @@
     Conflict(Vec<String>),
     /// The new lease.
     Granted(u64),
-    /// The lease was renewed or ended.
+    /// The lease was renewed or released.
     Touched,
     /// The lease has expired.
     NoLease,
-    /// What has changed.
+    /// The changes after the requested revision.
     Changes(Changes),
-    /// The store no longer keeps changes from that revision on: read all keys again.
+    /// The service no longer stores the changes since that revision: all keys must be listed again.
     TooOld,
 }
 
-/// A call to the state service that gave no reply.
+/// Why a call to the state service has no reply.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StateError {
-    /// Answered with a refusal: surely not executed.
+    /// The service refused with this HTTP status: the request was not executed.
     #[error("refused with status {0}")]
     Refused(u16),
-    /// No usable answer: executed, or not, or to be executed later.
+    /// No usable response: the request may have been executed, or may still be.
     #[error("no answer")]
     NoAnswer,
 }
 
-/// Who may take the last tokens.
+/// The priority of a request to a service under the rate limit: requests of a lower priority leave a
+/// reserve of tokens to those of a higher one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
-    /// Lease renewals, leadership.
+    /// Lease renewals and leader election.
     Vital,
-    /// What a user waits for.
+    /// Requests on which a user's request waits.
     Prompt,
-    /// The rest.
+    /// All other requests.
     Normal,
 }
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -1,10 +1,10 @@
-//! Workers <-> nodes: reports and commands.
+//! Messages between workers and nodes: heartbeats and orders.
 
 use serde::{Deserialize, Serialize};
 
 use super::ids::TaskId;
 
-/// How far a task on a worker is.
+/// The state of a task on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
     /// Waiting for its image.
@@ -16,10 +16,10 @@
     /// Running.
     #[serde(rename = "running")]
     Running,
-    /// Was told to stop and saves a checkpoint.
+    /// Saving a checkpoint after an order to stop.
     #[serde(rename = "flushing")]
     Saving,
-    /// Over; its cause tells why.
+    /// Ended; [`TaskReport::cause`] holds the reason.
     #[serde(rename = "ended")]
     Ended,
 }
@@ -39,24 +39,24 @@
     /// The start was refused: not enough free resources.
     #[serde(rename = "full")]
     NoRoom,
-    /// The start was refused: another attempt of the task is there.
+    /// The start was refused: another attempt of the task is on the worker.
     #[serde(rename = "in_use")]
     Busy,
     /// The start was refused: no such task.
     #[serde(rename = "unknown")]
     Unknown,
-    /// Others of its gang are gone.
+    /// Other members of its gang were lost.
     #[serde(rename = "mates_gone")]
     PeersGone,
-    /// Its gang did not get together in time.
+    /// Not all members of its gang became ready in time.
     #[serde(rename = "incomplete")]
     Alone,
-    /// A cause that this version does not know: treated like an error.
+    /// A cause that this version does not support; treated like [`Self::Error`].
     #[serde(other)]
     Other,
 }
 
-/// A task as its worker reports it.
+/// The state of a task in a worker's heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskReport {
     /// The task.
@@ -65,13 +65,13 @@
     /// Number of the attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// How far it is.
+    /// Its state.
     #[serde(rename = "status")]
     pub state: TaskState,
-    /// Why it ended.
+    /// Why it ended; `None` while it has not.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<FailureCause>,
-    /// Whether its progress was saved as it was stopped.
+    /// Whether a checkpoint was saved when it was stopped.
     #[serde(rename = "kept", default)]
     pub saved: Option<bool>,
 }
@@ -82,7 +82,7 @@
     /// Name of the machine.
     #[serde(rename = "berth")]
     pub machine: String,
-    /// Where it takes direct orders.
+    /// The address at which it accepts direct orders.
     #[serde(rename = "endpoint")]
     pub addr: String,
     /// Its machine type.
@@ -94,19 +94,19 @@
     /// Whether it is a spot instance.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
-    /// The worker's incarnation: rises each time its lease expires.
+    /// The worker's incarnation, which increases each time its lease expires.
     #[serde(rename = "shift")]
     pub incarnation: u64,
-    /// Rises with each message; orders messages of one incarnation.
+    /// Sequence number, which increases with each message and orders those of one incarnation.
     #[serde(rename = "tick")]
     pub seq: u64,
-    /// The highest fencing token that it has seen.
+    /// The highest fencing token that the worker has received.
     #[serde(rename = "baton", default)]
     pub token: u64,
-    /// Seconds until the cloud reclaims the machine.
+    /// Seconds until the cloud reclaims the machine; `None` if no reclaim is announced.
     #[serde(rename = "recall_s", default)]
     pub notice_s: Option<f64>,
-    /// All tasks there, ended ones until they are reaped.
+    /// All tasks on the machine, including ended ones until they are reaped.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskReport>,
 }
@@ -138,7 +138,7 @@
         #[serde(rename = "wind_down_s")]
         grace_s: f64,
     },
-    /// Reap an attempt that has ended: leave it out of reports.
+    /// Reap an attempt that has ended: omit it from further heartbeats.
     #[serde(rename = "reap")]
     Forget {
         /// The task.
@@ -150,42 +150,43 @@
     },
 }
 
-/// The answer to a report.
+/// The response to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Orders {
     /// The leader's fencing token.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// What to do, in this order.
+    /// The orders, to be executed in this sequence.
     pub orders: Vec<Order>,
 }
 
-/// Orders sent straight to a worker.
+/// Orders that the leader sends to a worker without waiting for its heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DirectOrders {
     /// The leader's fencing token.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// The incarnation that the orders are meant for.
+    /// The incarnation that the orders are for; any other one rejects them.
     #[serde(rename = "shift")]
     pub incarnation: u64,
-    /// What to do, in this order.
+    /// The orders, to be executed in this sequence.
     pub orders: Vec<Order>,
 }
 
-/// Sent with 421: who handles reports.
+/// The body of a 421 response, which redirects a worker to the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// Label of the leader, where it is known.
+    /// Label of the leader, if known.
     #[serde(rename = "foreman", default, skip_serializing_if = "Option::is_none")]
     pub leader: Option<String>,
 }
 
-/// How a worker took direct orders.
+/// A worker's reply to direct orders.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerReply {
-    /// The orders were executed; the report is from after that.
+    /// The orders were executed; the report shows the state afterwards.
     Executed(Report),
-    /// Nothing was executed: a lower fencing token or another incarnation.
+    /// No order was executed: the fencing token was lower than the worker's, or the incarnation
+    /// differed.
     Rejected(Report),
 }
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,21 +1,21 @@
-//! What is stored in the state service, and under which keys.
+//! The keys and records in the state service.
 //!
-//! * `shared/`: followed by every node. `shared/job/<id>` is a job's record, with `shared/part/<id>/`
-//!   where that is too long for one value, `shared/leader` names the leader (on its lease),
-//!   `shared/term` holds the term, `shared/types` the machine types as the cloud last listed them,
-//!   `shared/deputy/<node>` is a node's right to renew workers' leases, `shared/admission` the
-//!   admission quotas of the nodes.
-//! * `books/log/<slot>`: the leader's log, a ring of entries. An entry records what changed since the
-//!   one before, for tasks of any number of jobs, so that a change costs only a part of a write.
-//! * `books/task/<id>/<number>`: a snapshot of all that is known of a range of a job's tasks.
-//!   Snapshots are written when the ring comes round, for what the oldest entries record.
-//! * `books/images/<part>`: which machines have which images, for a new leader to place by. Only a
-//!   hint: nothing depends on it.
+//! * `shared/`: watched by every node. `shared/job/<id>` is a job's record, with the submission in
+//!   `shared/part/<id>/` if it is too long for one value. `shared/leader` names the leader and is
+//!   attached to its lease, `shared/term` holds the term, `shared/types` holds the machine types that
+//!   the cloud listed last, `shared/deputy/<node>` entitles a node to renew workers' leases, and
+//!   `shared/admission` holds the admission quotas of the nodes.
+//! * `books/log/<slot>`: the leader's log, a ring of log records. A log record holds the changes since
+//!   the previous one, for tasks of any number of jobs, so that many changes share one write.
+//! * `books/task/<id>/<number>`: a snapshot of the state of a range of a job's tasks. Before a slot of
+//!   the ring is reused, snapshots are written of the tasks in the oldest log records.
+//! * `books/images/<part>`: which machines hold which images, so that a new leader can place tasks
+//!   near their images. It is only a hint: correctness does not depend on it.
 //! * `quota/cells`, `quota/home/<team>`, `quota/hold/<team>`: which cells share quotas, what a team's
-//!   coordinator has granted to each, and what this cell holds. Only where cells are configured.
+//!   coordinator has granted to each cell, and what this cell holds. Only if cells are configured.
 //!
-//! Records of one task are ordered by attempt and by what can follow what, so that it makes no
-//! difference in which order a new leader reads them, or whether it reads one twice.
+//! Records of one task are ordered by attempt, then by status ([`RecordedStatus::precedence`]).
+//! A new leader can therefore read them in any order and more than once.
 
 mod keys;
 mod machine_types;
@@ -32,17 +32,18 @@
     submission_parts::{join_submission_parts, live_job_record},
 };
 
-/// What is kept free in a value besides what is counted.
+/// Bytes of a value that are left free for what the length calculation does not count.
 const VALUE_HEADROOM_BYTES: usize = 64;
-/// The longest task record with a machine of its own, as JSON.
+/// The longest task record together with a machine record that only it uses, as JSON.
 const MAX_TASK_RECORD_BYTES: f64 = 160.0;
 
-/// The length of something as JSON, in bytes.
+/// The length of a record as JSON, in bytes.
 pub fn json_len<T: Serialize>(record: &T) -> usize {
     serde_json::to_vec(record).map_or(0, |text| text.len())
 }
 
-/// How many tasks share a snapshot, so that it stays within the limit on values, in kilobytes.
+/// The number of tasks in a snapshot, such that it stays within `value_kb`, the limit on values in
+/// units of 1024 bytes.
 pub fn task_range_len(value_kb: f64) -> u32 {
     ((value_kb * 1024.0 - 512.0) / MAX_TASK_RECORD_BYTES).clamp(1.0, 128.0) as u32
 }
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -4,80 +4,82 @@
 
 use crate::protocol::{ids::JobId, job::Submission};
 
-/// A job's record: the submission until the job is over, then only how it ended.
+/// A job's record: its submission until the job has ended, then only its outcome.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "status", rename_all = "lowercase")]
 pub enum JobRecord {
-    /// Not over.
+    /// The job has not ended.
     Live {
         /// When it was submitted, in milliseconds of the time of day.
         at_ms: u64,
         /// What was submitted.
         spec: Box<Submission>,
     },
-    /// Not over, with a submission too long for one value: its JSON is cut into parts under further
-    /// keys, which come and go with the record. Versions without dependencies between jobs can't read
-    /// it; by the time that users submit what is so long, there are none left.
+    /// The job has not ended, and its submission is too long for one value. The submission's JSON is
+    /// split into parts under separate keys, which are written and deleted together with the record.
+    /// Versions without dependencies between jobs can't read this record. Submissions this long only
+    /// occur once no node runs such a version.
     Split {
         /// When it was submitted, in milliseconds of the time of day.
         at_ms: u64,
-        /// How many parts there are.
+        /// The number of parts.
         parts: u32,
     },
     /// All tasks are done.
     Done {
-        /// When its last task was known to be done, in milliseconds of the leader's time of day: the
-        /// release of jobs that depend on it. Versions without dependencies between jobs don't store it.
+        /// When the leader recorded its last task as done, in milliseconds of the leader's time of
+        /// day. Jobs that depend on it can start from then on. Versions without dependencies between
+        /// jobs don't store it.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         at_ms: Option<u64>,
     },
-    /// It was cancelled.
+    /// The job was cancelled.
     Cancelled,
 }
 
-/// The leader.
+/// Names the current leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// The leader's name.
+    /// The leader's label.
     pub node: String,
     /// The lease that holds the key.
     pub lease: u64,
-    /// The term at the takeover; fencing may have raised it since.
+    /// The term at the time of the takeover; fencing may have raised it since.
     pub term: u64,
 }
 
-/// A node that may renew workers' leases.
+/// Entitles a node to renew workers' leases.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRenewerRecord {
     /// The lease that holds the key.
     pub lease: u64,
 }
 
-/// The highest term so far.
+/// Holds the highest term so far.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TermRecord {
-    /// The term, which is the fencing token that workers obey.
+    /// The term. Workers use it as fencing token: they reject orders with a lower one.
     pub term: u64,
 }
 
-/// A task in a snapshot or log entry.
+/// The state of a task in a snapshot or log record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskRecord(
     /// Its index in the job.
     pub u32,
     /// The number of its latest attempt.
     pub u32,
-    /// How it stands.
+    /// Its status.
     pub RecordedStatus,
 );
 
-/// How a recorded task stands.
+/// The status of a recorded task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordedStatus {
-    /// It may be on this one of the record's machines, by its position.
+    /// It may be on the machine at this index in the record's list of machines.
     #[serde(rename = "m")]
     OnMachine(u32),
-    /// It is to be placed.
+    /// It waits to be placed.
     #[serde(rename = "w")]
     Waiting,
     /// It is done.
@@ -86,8 +88,9 @@
 }
 
 impl RecordedStatus {
-    /// Orders records of one attempt, the later ones higher: an attempt that was recorded as gone does
-    /// not come back, and a task that is done stays so.
+    /// Rank among the records of one attempt; the later of two records has the higher rank. An
+    /// attempt that was recorded as no longer on a machine does not return there, and a task that is
+    /// done remains done.
     pub fn precedence(self) -> u8 {
         match self {
             RecordedStatus::OnMachine(_) => 0,
@@ -97,7 +100,8 @@
     }
 }
 
-/// Enough of a machine to call it, and to count what runs there, before it sends a heartbeat.
+/// What a new leader needs to call a machine and to count the resources of tasks on it before the
+/// machine's first heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineRecord {
     /// Its unique name.
@@ -107,19 +111,20 @@
     pub machine_type: String,
     /// The name of its zone.
     pub zone: String,
-    /// The cloud may reclaim it at any time.
+    /// Whether it is a spot machine, which the cloud may reclaim at any time.
     pub spot: bool,
-    /// Its worker's address, where that is known.
+    /// Its worker's address, if known.
     pub addr: Option<String>,
 }
 
-/// What a job's tasks reserve. Log entries and snapshots repeat it: the job's own record does not have
-/// it any more once the job is cancelled, but tasks that are still being stopped count.
+/// The resources that each of a job's tasks reserves. Log records and snapshots repeat it: once the
+/// job is cancelled, its own record no longer holds it, but its tasks that are still being stopped
+/// count against the team and the machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSummary {
     /// The name of its team.
     pub team: String,
-    /// How many tasks it has.
+    /// The number of its tasks.
     #[serde(rename = "of")]
     pub task_count: u32,
     /// Processors of each task.
@@ -136,41 +141,42 @@
     /// The job.
     #[serde(flatten)]
     pub job: JobSummary,
-    /// The machines on which tasks may be.
+    /// The machines to which the tasks refer.
     pub machines: Vec<MachineRecord>,
-    /// Those of its tasks that were ever placed.
+    /// Those tasks of the range that have been placed at least once.
     pub tasks: Vec<TaskRecord>,
 }
 
-/// A log entry: the latest states of tasks that changed, job by job.
+/// A log record: the latest states of the tasks that changed, grouped by job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LogRecord {
-    /// The entry's sequence number, which is never used again.
+    /// The record's sequence number, which is never reused.
     pub seq: u64,
-    /// Entries before this one are obsolete: snapshots hold what they recorded.
+    /// The oldest record that is still needed: snapshots hold the contents of those before it.
     #[serde(rename = "first")]
     pub first_live_seq: u64,
-    /// The machines on which tasks may be.
+    /// The machines to which the tasks refer.
     pub machines: Vec<MachineRecord>,
-    /// The tasks that changed, by job.
+    /// The tasks that changed, grouped by job.
     pub jobs: Vec<(JobId, JobSummary, Vec<TaskRecord>)>,
 }
 
-/// Which images some machines have on their disks, and which are to be replaced.
+/// The images on the disks of some machines, and which of these machines are to be replaced.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ImagesRecord {
-    /// Name and size in gigabytes.
+    /// Each image's name and size in gigabytes.
     pub images: Vec<(String, f64)>,
-    /// A machine's name, and a bit for each image, and [`REPLACEMENT_BIT`].
+    /// Each machine's name and a bit mask: one bit for each image that it holds, by index in
+    /// `images`, and [`REPLACEMENT_BIT`].
     pub machines: Vec<(String, u64)>,
-    /// Quarantined jobs; in the first record only.
+    /// Quarantined jobs; only the first record lists them.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "at_fault")]
     pub quarantined: Vec<JobId>,
 }
 
-/// Set for a machine that is draining because its tasks fail or are slow.
+/// The bit that is set for a machine that is draining because its tasks fail or are slow.
 pub const REPLACEMENT_BIT: u64 = 1 << MAX_IMAGES_PER_RECORD;
 
-/// How many images one record can name.
+/// The most images that one record can name.
 pub const MAX_IMAGES_PER_RECORD: usize = 48;
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,9 +1,9 @@
-//! Time as the event loop reads it: milliseconds of a clock that never goes back.
+//! Time in the event loop: milliseconds of a monotonic clock.
 
-/// Milliseconds of the steady clock since the process began.
+/// Milliseconds since the start of the process, by the monotonic clock.
 pub type Millis = u64;
 
-/// Whole milliseconds of a duration in seconds.
+/// Converts seconds to whole milliseconds, rounded down.
 pub fn millis(seconds: f64) -> Millis {
     (seconds * 1000.0) as Millis
 }
