--- a/src/daemon/background_tasks.rs
+++ b/src/daemon/background_tasks.rs
@@ -1,10 +1,10 @@
-//! The tasks that run as long as the process. Dropping the set ends them.
+//! Asynchronous tasks that run as long as the process. Dropping the set cancels them.
 
 use std::{collections::HashMap, future::Future};
 
 use tokio::task::{Id, JoinError, JoinSet};
 
-/// Named tasks that should never fail.
+/// A set of named asynchronous tasks that should never end.
 #[derive(Default)]
 pub(super) struct BackgroundTasks {
     tasks: JoinSet<()>,
@@ -22,10 +22,10 @@
         self.names.insert(handle.id(), name);
     }
 
-    /// Starts a task that stays on this thread.
+    /// Starts a task on this thread; it need not be `Send`.
     ///
     /// # Panics
-    /// Outside a `LocalSet`.
+    /// If called outside a `LocalSet`.
     pub(super) fn spawn_local(
         &mut self,
         name: &'static str,
@@ -35,7 +35,7 @@
         self.names.insert(handle.id(), name);
     }
 
-    /// Logs each task that ends, for none should. Never returns.
+    /// Logs each task that ends or panics; none should. Never returns.
     pub(super) async fn log_failures(&mut self) {
         while let Some(ended) = self.tasks.join_next_with_id().await {
             self.log_end(ended);
--- a/src/daemon/effects.rs
+++ b/src/daemon/effects.rs
@@ -1,5 +1,5 @@
-//! Executes the event loop's effects: replies to requests, and calls whose results return to it
-//! as commands.
+//! Executes the event loop's effects: replies to requests, and calls to other processes. The event
+//! loop receives the results of calls as commands.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -30,7 +30,7 @@
     },
     transport::{
         client::{CloudClient, StateClient, WorkerClient},
-        mesh::{MemberClients, peer_cells::PeerCellClient},
+        mesh::{MemberClients, peer_cells::PeerCellClients},
     },
 };
 
@@ -39,16 +39,16 @@
     service_rate_limits::ServiceRateLimits,
 };
 
-/// Executes effects. Each call is a task of its own; dropping the executor cancels them.
+/// Executes effects. Each call runs in a task of its own; dropping the executor cancels all calls.
 pub(super) struct EffectExecutor {
     outbound: Rc<Outbound>,
     calls: JoinSet<()>,
     replies: PendingReplies,
-    /// What this node says of itself to the leader.
+    /// This node's status, which it reports to the leader.
     member_status: watch::Sender<MemberStatus>,
 }
 
-/// What the calls share: the clients, and the queue for results.
+/// What all calls share: the clients, the rate limits and the queue for results.
 struct Outbound {
     clock: Clock,
     commands: mpsc::UnboundedSender<Command>,
@@ -59,11 +59,11 @@
     workers: WorkerClient,
     members: MemberClients,
     member_addrs: HashMap<String, SocketAddrV4>,
-    peer_cells: PeerCellClient,
+    peer_cells: PeerCellClients,
 }
 
 impl EffectExecutor {
-    /// An executor that connects when first used. Results go to `commands`.
+    /// An executor whose clients connect when first used. The results of calls go to `commands`.
     pub(super) fn new(
         config: &Config,
         clock: Clock,
@@ -84,12 +84,12 @@
         &self.outbound.metrics
     }
 
-    /// The requests that wait for a reply.
+    /// The requests that the event loop has not answered yet.
     pub(super) fn pending_replies(&mut self) -> &mut PendingReplies {
         &mut self.replies
     }
 
-    /// Executes one effect, or starts the call that it asks for.
+    /// Executes one effect, or starts the call that it requests.
     pub(super) fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::Respond(id, response) => self.replies.respond(id, response),
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Logs the calls that panicked since the last time. Their effects never get a result, which
-    /// the node treats like a lost message.
+    /// Logs the calls that panicked since the last time. The event loop gets no result of such a call
+    /// and treats it like a lost message.
     pub(super) fn log_failed_calls(&mut self) {
         while let Some(ended) = self.calls.try_join_next() {
             if let Err(error) = ended {
@@ -197,15 +197,15 @@
             members: MemberClients::new(member_addrs.values().copied()),
             member_addrs,
             peer_cells: match &config.cells {
-                Some(cells) => PeerCellClient::new(&cells.peers),
-                None => PeerCellClient::new(&BTreeMap::new()),
+                Some(cells) => PeerCellClients::new(&cells.peers),
+                None => PeerCellClients::new(&BTreeMap::new()),
             },
         }
     }
 
     /// Returns a call's result to the event loop.
     fn send_command(&self, command: Command) {
-        // The event loop is gone only when the process ends.
+        // The event loop only stops receiving when the process ends.
         let _ = self.commands.send(command);
     }
 
@@ -221,10 +221,10 @@
             StateRequest::Txn(txn) => txn.writes.len(),
             _ => 0,
         };
-        let allowed = self.rate_limits.acquire_state_request(writes, urgency);
-        let is_allowed = tokio::time::timeout(timeout, allowed).await.is_ok();
+        let permit = self.rate_limits.acquire_state_request(writes, urgency);
+        let has_permit = tokio::time::timeout(timeout, permit).await.is_ok();
         let sent_at = self.clock.monotonic_ms();
-        let result = if is_allowed {
+        let result = if has_permit {
             self.exchange_with_state(&request, timeout).await
         } else {
             Err(StateError::Refused(StatusCode::TOO_MANY_REQUESTS.as_u16()))
@@ -244,7 +244,7 @@
         let result = self.state.call(request, timeout).await;
         if let Err(error) = &result {
             self.metrics.record_state_error(error);
-            tracing::debug!(?request, %error, "state service");
+            tracing::debug!(?request, %error, "state service call failed");
         }
         result
     }
@@ -264,7 +264,7 @@
         let result = self.cloud.call(request, timeout).await;
         if let Err(error) = &result {
             self.metrics.record_cloud_error(error);
-            tracing::debug!(?request, %error, "cloud");
+            tracing::debug!(?request, %error, "cloud call failed");
         }
         result
     }
--- a/src/daemon/event_loop.rs
+++ b/src/daemon/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: takes commands and requests in batches and has the effects executed.
+//! The event loop: receives commands and requests in batches, steps the node, and executes the effects.
 
 use std::time::Duration;
 
@@ -11,14 +11,14 @@
 
 use super::{Clock, EffectExecutor, queues::EventQueues};
 
-/// How often the node is stepped when nothing else happens.
+/// Interval of the ticks that step the node when there is nothing else to process.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// How often the node's status is recorded in the metrics.
+/// Interval at which the node's status is recorded in the metrics.
 const STATUS_INTERVAL: Duration = Duration::from_secs(1);
-/// Commands of one batch.
+/// Most commands, or requests, in one batch.
 const MAX_COMMANDS_PER_BATCH: usize = 256;
 
-/// Runs the node as long as the process.
+/// Runs the node until the process ends.
 pub(super) async fn run(
     mut node: Node,
     mut executor: EffectExecutor,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Collects what is queued; its buffers are reused from batch to batch.
+/// Collects queued commands and requests into batches; its buffers are reused.
 struct BatchReceiver {
     tick: Interval,
     batch: Vec<Command>,
@@ -64,8 +64,9 @@
         }
     }
 
-    /// Waits for the next commands, requests or tick and puts them into the batch. Results of
-    /// effects come first: work under way is finished before new work is taken.
+    /// Waits for the next commands, requests or tick and puts them into the batch. Commands, which
+    /// include the results of effects, come first: work in progress is finished before new requests
+    /// are taken.
     async fn receive(&mut self, queues: &mut EventQueues, executor: &mut EffectExecutor) {
         let replies = executor.pending_replies();
         tokio::select! {
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,8 +1,8 @@
 //! The process: listeners, the event loop that owns all state, and the execution of its effects.
 //!
 //! Everything runs on one thread. Listeners and the settings watcher are background tasks that
-//! send commands and requests through queues; the event loop takes them in batches, and what its
-//! effects bring about returns through the same queues.
+//! send commands and requests through queues. The event loop receives them in batches, and the
+//! results of its effects return through the same queues.
 
 use std::{
     net::SocketAddrV4,
@@ -32,16 +32,17 @@
 use effects::EffectExecutor;
 use queues::EventSenders;
 
-/// Part of the sockets for connections from users and workers. The services, the mesh and closing
-/// connections have what these three shares leave.
+/// Fraction of the sockets for connections from users and workers. The sockets beyond this share and
+/// the next two are for the services, the mesh and connections that are being closed.
 const INBOUND_SOCKET_SHARE: f64 = 0.65;
-/// Part of the sockets for calls to workers under way.
+/// Fraction of the sockets for calls to workers in progress.
 const WORKER_CALL_SOCKET_SHARE: f64 = 0.2;
-/// Part of the sockets for idle connections to workers.
+/// Fraction of the sockets for idle connections to workers.
 const IDLE_WORKER_SOCKET_SHARE: f64 = 0.1;
-/// Longest interval between a worker's reports that connections are kept open for.
+/// Upper bound of the heartbeat interval, in seconds, from which the idle timeout of connections is
+/// derived.
 const MAX_REPORT_INTERVAL_S: f64 = 600.0;
-/// Wait before the mesh server is started again.
+/// Delay before the mesh server is restarted after a failure.
 const MESH_RESTART_DELAY: Duration = Duration::from_secs(1);
 
 /// Why a node could not start.
@@ -55,16 +56,16 @@
     Listen {
         /// The address from the settings.
         addr: SocketAddrV4,
-        /// The error of the system.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// Runs a node until the process is killed. Where cells share quotas, the settings file is read
-/// again when it changes.
+/// Runs a node until the process is killed. If cells share quotas, the teams are reloaded when the
+/// settings file changes.
 ///
 /// # Errors
-/// The runtime can't be created, or the node can't listen at its address.
+/// The runtime can't be created, or the node can't listen on its address.
 pub fn run(config: Config, settings_path: &Path) -> Result<(), DaemonError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -124,7 +125,7 @@
     background.spawn("HTTP server", server);
 }
 
-/// The mesh server is started again whenever it fails: its address may be free again.
+/// Starts the mesh server, which is restarted whenever it fails: its address may have become free.
 fn spawn_mesh_server(
     background: &mut BackgroundTasks,
     addr: SocketAddrV4,
@@ -161,7 +162,7 @@
         }
     }
 
-    /// Milliseconds since the start, by the monotonic clock.
+    /// Milliseconds since the process started, by the monotonic clock.
     fn monotonic_ms(self) -> u64 {
         self.started_at.elapsed().as_millis() as u64
     }
--- a/src/daemon/pending_replies.rs
+++ b/src/daemon/pending_replies.rs
@@ -1,4 +1,4 @@
-//! Requests that the event loop has taken and not yet answered.
+//! Requests that the event loop has received but not yet answered.
 
 use std::collections::HashMap;
 
@@ -6,7 +6,7 @@
 
 use crate::coordination::{ApiResponse, CellGrants, RenewalReply, RequestId};
 
-/// Where the reply to each request goes. Requests of all kinds are numbered together.
+/// The channel for the reply to each request. Requests of all kinds share one sequence of ids.
 #[derive(Default)]
 pub(super) struct PendingReplies {
     last_id: RequestId,
@@ -16,21 +16,21 @@
 }
 
 impl PendingReplies {
-    /// Numbers a request of a user, a worker, a health check or a member that relays.
+    /// Assigns an id to a request from a user, a worker, a health check or a member that relays one.
     pub(super) fn add_api_request(&mut self, reply: oneshot::Sender<ApiResponse>) -> RequestId {
         let id = self.next_id();
         self.api_responses.insert(id, reply);
         id
     }
 
-    /// Numbers a leader's question about silent workers.
+    /// Assigns an id to a leader's request to revoke the leases of unresponsive workers.
     pub(super) fn add_revocation(&mut self, reply: oneshot::Sender<RenewalReply>) -> RequestId {
         let id = self.next_id();
         self.renewals.insert(id, reply);
         id
     }
 
-    /// Numbers a report of another cell.
+    /// Assigns an id to another cell's quota report.
     pub(super) fn add_cell_report(
         &mut self,
         reply: oneshot::Sender<Option<CellGrants>>,
--- a/src/daemon/queues.rs
+++ b/src/daemon/queues.rs
@@ -1,4 +1,4 @@
-//! The queues into the event loop.
+//! The queues through which the event loop receives its input.
 
 use tokio::sync::mpsc;
 
@@ -10,19 +10,19 @@
     },
 };
 
-/// What the event loop takes commands and requests from.
+/// The receiving ends, which the event loop polls.
 pub(super) struct EventQueues {
-    /// Results of effects, and what members and the settings watcher tell.
+    /// Results of effects, announcements of leaders, and teams from the settings watcher.
     pub(super) commands: mpsc::UnboundedReceiver<Command>,
-    /// Requests of users, workers, health checks and members that relay.
+    /// Requests from users, workers and health checks, and users' requests that members relay.
     pub(super) api_requests: mpsc::UnboundedReceiver<IncomingRequest>,
-    /// Questions of a leader about silent workers.
+    /// Leaders' requests to revoke the leases of unresponsive workers.
     pub(super) revocations: mpsc::UnboundedReceiver<RevocationRequest>,
-    /// Reports of other cells.
+    /// Quota reports of other cells.
     pub(super) cell_reports: mpsc::UnboundedReceiver<CellReportRequest>,
 }
 
-/// The other ends of [`EventQueues`].
+/// The sending ends of [`EventQueues`].
 pub(super) struct EventSenders {
     pub(super) commands: mpsc::UnboundedSender<Command>,
     pub(super) api_requests: RequestSender,
@@ -30,7 +30,8 @@
     pub(super) cell_reports: CellReportSender,
 }
 
-/// Creates the queues, unbounded: the listeners bound what is under way.
+/// Creates the queues. They are unbounded because the listeners limit the number of requests in
+/// progress.
 pub(super) fn event_queues() -> (EventSenders, EventQueues) {
     let (command_sender, commands) = mpsc::unbounded_channel();
     let (request_sender, api_requests) = mpsc::unbounded_channel();
--- a/src/daemon/service_rate_limits.rs
+++ b/src/daemon/service_rate_limits.rs
@@ -7,9 +7,9 @@
     transport::rate_limiter::TokenBucket,
 };
 
-/// A token bucket for each limit. The leader's shares are larger than the followers'.
+/// A token bucket for each limit. The leader gets a larger share of each limit than a follower.
 pub(super) struct ServiceRateLimits {
-    /// Nodes of the deployment, this one included.
+    /// Number of nodes in the deployment, including this one.
     node_count: f64,
     cluster: ClusterRateLimits,
     state_requests: TokenBucket,
@@ -17,7 +17,7 @@
     cloud_requests: TokenBucket,
 }
 
-/// The limits of all nodes together, per second.
+/// The limits for all nodes together, in operations per second.
 struct ClusterRateLimits {
     state_rps: f64,
     state_write_rps: f64,
@@ -25,7 +25,7 @@
 }
 
 impl ServiceRateLimits {
-    /// The buckets of a follower.
+    /// The buckets with a follower's rates.
     pub(super) fn new(config: &Config) -> Self {
         let state = config.settings.state.strictest();
         let cluster = ClusterRateLimits {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Sets the rates of a leader or a follower.
+    /// Sets the rates to those of a leader or a follower.
     pub(super) fn set_leadership(&self, is_leader: bool) {
         let RateLimitShares {
             state_requests,
--- a/src/daemon/settings_file.rs
+++ b/src/daemon/settings_file.rs
@@ -1,4 +1,4 @@
-//! The settings file while the process runs: its teams are read again when it changes.
+//! Watches the settings file while the process runs, and reloads its teams when it changes.
 
 use std::{
     path::{Path, PathBuf},
@@ -13,10 +13,10 @@
     coordination::Command,
 };
 
-/// How often the file's metadata is read.
+/// Interval at which the file's metadata is read.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What differs once a file has been written again.
+/// Metadata that changes when a file is written.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct FileFingerprint {
     modified_at: SystemTime,
@@ -24,7 +24,7 @@
 }
 
 impl FileFingerprint {
-    /// `None`: the file can't be read now.
+    /// The fingerprint of the file; `None` if its metadata can't be read.
     fn of(path: &Path) -> Option<Self> {
         let metadata = std::fs::metadata(path).ok()?;
         Some(FileFingerprint {
@@ -34,7 +34,7 @@
     }
 }
 
-/// Why changed settings are not applied.
+/// Why changed settings were not applied.
 #[derive(Debug, thiserror::Error)]
 enum SettingsError {
     #[error(transparent)]
@@ -43,25 +43,28 @@
     Cells(#[from] CellError),
 }
 
-/// Sends the teams to the event loop whenever the file has changed and is valid. Otherwise logs the
-/// errors on one line and keeps the settings in force. Returns when the event loop is gone.
+/// Sends the teams to the event loop whenever the file has changed and is valid. If it is invalid,
+/// logs the errors on one line, and the settings in force remain. Returns when the event loop has
+/// stopped.
 pub(super) async fn watch_settings_file(path: PathBuf, commands: mpsc::UnboundedSender<Command>) {
-    let mut known = FileFingerprint::of(&path);
+    let mut last_fingerprint = FileFingerprint::of(&path);
     let mut poll = tokio::time::interval(POLL_INTERVAL);
     loop {
         poll.tick().await;
-        let current = FileFingerprint::of(&path);
-        if current == known {
+        let fingerprint = FileFingerprint::of(&path);
+        if fingerprint == last_fingerprint {
             continue;
         }
-        known = current;
+        last_fingerprint = fingerprint;
         match load_teams(&path) {
             Ok(teams) => {
                 if commands.send(Command::TeamsChanged(teams)).is_err() {
                     return;
                 }
             }
-            Err(error) => tracing::error!(%error, "the settings before stay in force"),
+            Err(error) => {
+                tracing::error!(%error, "invalid settings file: previous settings stay in force")
+            }
         }
     }
 }
--- a/src/daemon/settings_file/tests.rs
+++ b/src/daemon/settings_file/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn settings(limit: &str) -> String {
+fn settings_json(limit: &str) -> String {
     format!(
         r#"{{"label":"n0","domain":"a","listen":"127.0.0.1:1","mesh_addr":"127.0.0.1:2",
         "services":{{"cloud":"127.0.0.1:3","state":"127.0.0.1:4"}},
@@ -15,22 +15,25 @@
 async fn changed_settings_are_sent_once_and_invalid_settings_never() {
     let name = format!("dalelb-follow-{}.json", std::process::id());
     let path = std::env::temp_dir().join(name);
-    std::fs::write(&path, settings("1.0")).unwrap();
-    let (owner, mut told) = mpsc::unbounded_channel();
-    tokio::spawn(watch_settings_file(path.clone(), owner));
+    std::fs::write(&path, settings_json("1.0")).unwrap();
+    let (sender, mut commands) = mpsc::unbounded_channel();
+    tokio::spawn(watch_settings_file(path.clone(), sender));
     tokio::time::sleep(2 * POLL_INTERVAL).await;
-    assert!(told.try_recv().is_err(), "nothing has changed");
-    for wrong in ["-100.0", "\"many\""] {
-        std::fs::write(&path, settings(wrong)).unwrap();
+    assert!(commands.try_recv().is_err(), "the unchanged file was sent");
+    for invalid_limit in ["-100.0", "\"many\""] {
+        std::fs::write(&path, settings_json(invalid_limit)).unwrap();
         tokio::time::sleep(3 * POLL_INTERVAL).await;
-        assert!(told.try_recv().is_err(), "{wrong}");
+        assert!(
+            commands.try_recv().is_err(),
+            "invalid limit {invalid_limit} was sent"
+        );
     }
-    std::fs::write(&path, settings("250.0")).unwrap();
-    let Some(Command::TeamsChanged(teams)) = told.recv().await else {
-        panic!("no teams");
+    std::fs::write(&path, settings_json("250.0")).unwrap();
+    let Some(Command::TeamsChanged(teams)) = commands.recv().await else {
+        panic!("the teams were not sent");
     };
     assert_eq!(teams[0].cpus_max, 250.0);
     tokio::time::sleep(3 * POLL_INTERVAL).await;
-    assert!(told.try_recv().is_err(), "told once");
+    assert!(commands.try_recv().is_err(), "the teams were sent twice");
     std::fs::remove_file(path).unwrap();
 }
--- a/src/metrics/admission.rs
+++ b/src/metrics/admission.rs
@@ -1,4 +1,4 @@
-//! Admission at this node, and what the leader knows of the classes.
+//! Metrics of this node's admission control and, on the leader, of the workload classes.
 
 use prometheus_client::{
     metrics::family::Family,
@@ -9,7 +9,7 @@
 
 use super::labels::{ClassLabels, FloatGauge, IntGauge, OutcomeLabels};
 
-/// Metrics of admission and of classes.
+/// Metrics of admission and of workload classes.
 #[derive(Default)]
 pub(super) struct AdmissionMetrics {
     submissions: Family<OutcomeLabels, IntGauge>,
@@ -85,7 +85,7 @@
         );
     }
 
-    /// Takes over the node's status. Of classes, only the leader's is set.
+    /// Sets the metrics from the node's status. Only the leader's status has values for classes.
     pub(super) fn record(&self, status: &NodeStatus) {
         self.quota_version.set(status.admission_quotas_seq as i64);
         self.admission_rate.set(status.admitted_per_s);
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -1,7 +1,7 @@
 //! A node's metrics on `/metrics`, as OpenMetrics text.
 //!
-//! The node's status is recorded once a second; counting errors and batches costs a few additions.
-//! Nothing is rendered until it is asked for.
+//! The node's status is recorded once a second; counting an error or a batch takes a few additions.
+//! The text is rendered only on request.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 
 pub use process::ShedConnection;
 
-/// Media type of what [`Metrics::render`] returns.
+/// Media type of the text that [`Metrics::render`] returns.
 pub const MEDIA_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// A node's metrics and their registry.
@@ -41,7 +41,7 @@
             admission: admission::AdmissionMetrics::default(),
             quotas: quotas::QuotaMetrics::default(),
         };
-        // The text has them in this order.
+        // The rendered text lists the metrics in this order.
         metrics.process.register(&mut metrics.registry);
         metrics.node.register(&mut metrics.registry);
         metrics.admission.register(&mut metrics.registry);
@@ -69,17 +69,17 @@
         self.process.record_failed_call("cloud", error);
     }
 
-    /// Counts a connection that was closed or refused as sockets ran out.
+    /// Counts a connection that was closed or refused because sockets were scarce.
     pub fn record_shed(&self, connection: ShedConnection) {
         self.process.record_shed(connection);
     }
 
-    /// Counts a batch of commands and the time that the node took for it.
+    /// Records the time that the event loop took to process a batch of commands.
     pub fn record_batch_duration(&self, duration: Duration) {
         self.process.record_batch_duration(duration);
     }
 
-    /// Takes over the node's status and the number of commands and requests queued.
+    /// Sets the metrics from the node's status and the number of queued commands and requests.
     pub fn record_status(&self, mut status: NodeStatus, queued: usize) {
         self.process.record_queued_commands(queued);
         self.node.record(&status);
@@ -92,7 +92,7 @@
     pub fn render(&self) -> String {
         let mut text = String::new();
         if let Err(error) = encode(&mut text, &self.registry) {
-            tracing::warn!(%error, "metrics");
+            tracing::warn!(%error, "rendering the metrics failed");
         }
         text
     }
--- a/src/metrics/node.rs
+++ b/src/metrics/node.rs
@@ -1,4 +1,4 @@
-//! Leadership, and the cluster as its leader knows it.
+//! Metrics of leadership and, on the leader, of the cluster state.
 
 use prometheus_client::{
     encoding::EncodeLabelSet,
@@ -11,7 +11,7 @@
 use super::labels::{FloatGauge, IntGauge, TeamLabels};
 
 const MILLIS_PER_SECOND: f64 = 1000.0;
-/// Upper bounds of the buckets for the wait until a task starts, in seconds.
+/// Upper bounds of the histogram buckets for the wait until a task starts, in seconds.
 const START_WAIT_BUCKETS_S: [f64; 10] = [0.5, 1.0, 2.0, 4.0, 8.0, 15.0, 30.0, 60.0, 120.0, 300.0];
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -94,7 +94,7 @@
         );
     }
 
-    /// Takes over the node's status.
+    /// Sets the metrics that every node has from its status.
     pub(super) fn record(&self, status: &NodeStatus) {
         self.is_leading.set(i64::from(status.is_leader));
         self.term.set(status.term as i64);
@@ -107,7 +107,7 @@
             .set(status.outcomes_unwritten as i64);
     }
 
-    /// Takes over what only a leader knows; other nodes have no lines of it.
+    /// Sets the metrics that only the leader has values for; other nodes export no series of them.
     pub(super) fn record_cluster(&self, status: NodeStatus) {
         self.waiting_tasks.clear();
         self.reserved_units.clear();
--- a/src/metrics/process.rs
+++ b/src/metrics/process.rs
@@ -1,4 +1,4 @@
-//! The process: failed calls, connections shed and the event loop.
+//! Metrics of the process: failed calls, shed connections and the event loop.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 use super::labels::IntGauge;
 
-/// Upper bounds of the buckets for the time of a batch, in seconds.
+/// Upper bounds of the histogram buckets for the time to process a batch, in seconds.
 const BATCH_DURATION_BUCKETS_S: [f64; 10] = [
     0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1.0,
 ];
@@ -21,16 +21,16 @@
     error: &'static str,
 }
 
-/// A connection closed or refused as sockets run out.
+/// The kind of a connection that is closed or refused because sockets are scarce.
 #[derive(Clone, Copy, Debug)]
 pub enum ShedConnection {
-    /// An idle connection to a worker, kept for the next orders.
+    /// An idle connection to a worker, closed instead of being kept for the next orders.
     IdleToWorker,
-    /// A worker's connection, after a report.
+    /// A worker's connection, closed after a heartbeat.
     AfterReport,
-    /// A user's connection, after a poll.
+    /// A user's connection, closed after a poll.
     AfterPoll,
-    /// A new connection from outside.
+    /// A new inbound connection, refused.
     RefusedInbound,
 }
 
--- a/src/metrics/quotas.rs
+++ b/src/metrics/quotas.rs
@@ -1,4 +1,4 @@
-//! Quotas that cells share. Without cells there are no values, and so no lines.
+//! Metrics of quotas that cells share. Without configured cells, no series are exported.
 
 use prometheus_client::{
     encoding::EncodeLabelSet,
@@ -15,7 +15,7 @@
     cell: String,
 }
 
-/// Metrics of quotas.
+/// Metrics of quotas that cells share.
 #[derive(Default)]
 pub(super) struct QuotaMetrics {
     allocation: Family<TeamLabels, FloatGauge>,
@@ -61,7 +61,7 @@
         );
     }
 
-    /// Takes over the status of quotas; `None`: this node knows none.
+    /// Sets the metrics from the status of the quotas; `None` if this node has no quota status.
     pub(super) fn record(&self, status: Option<QuotaStatus>) {
         self.allocation.clear();
         self.used.clear();
--- a/src/transport/client/cloud.rs
+++ b/src/transport/client/cloud.rs
@@ -13,12 +13,12 @@
 };
 
 const MAX_IDLE_CONNECTIONS: usize = 2;
-/// Machines asked for with one page of the list.
+/// Machines requested per page of the machine list.
 const PAGE_LIMIT: u32 = 500;
-/// What the body of a 503 says when the cloud has no machine of the type left.
+/// Text in the body of a 503 response if the cloud has no machine of the type available.
 const NO_CAPACITY: &[u8] = b"no capacity";
 
-/// A request to the cloud in its wire form.
+/// Encodes a request to the cloud as an HTTP request.
 pub fn cloud_request(request: &CloudRequest) -> HttpRequest {
     match request {
         CloudRequest::Types => HttpRequest::get("/machine_types"),
@@ -46,7 +46,7 @@
 }
 
 impl CloudClient {
-    /// A client of the cloud at `addr`; connects when first used.
+    /// A client of the cloud at `addr`, which connects when first used.
     pub fn new(addr: SocketAddrV4) -> Self {
         CloudClient {
             http: HttpClient::new(MAX_IDLE_CONNECTIONS, SERVICE_IDLE_TIMEOUT, true),
@@ -57,8 +57,8 @@
     /// Sends a request.
     ///
     /// # Errors
-    /// [`CloudError::Refused`]: not executed. [`CloudError::NoAnswer`]: no usable response within
-    /// `timeout`; the request may have been executed or may still be.
+    /// [`CloudError::Refused`]: the request was not executed. [`CloudError::NoAnswer`]: no usable
+    /// response within `timeout`; the request may have been executed, or may still be.
     pub async fn call(
         &self,
         request: &CloudRequest,
@@ -79,7 +79,7 @@
         (CloudRequest::Rent(_), 200) => response
             .decode::<MachineNames>()
             .map(|names| CloudReply::Rented(names.machines)),
-        // Any other 503 is a failure of the cloud itself.
+        // A 503 with any other body is a failure of the cloud itself.
         (CloudRequest::Rent(_), 503) if says_no_capacity(&response.body) => {
             Some(CloudReply::NoCapacity)
         }
--- a/src/transport/client/http.rs
+++ b/src/transport/client/http.rs
@@ -1,4 +1,4 @@
-//! A pool of HTTP connections, and requests and responses in their wire form.
+//! A pool of HTTP connections, and the requests and responses sent over it.
 
 use std::{cell::RefCell, time::Duration};
 
@@ -15,19 +15,19 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A request as it goes over HTTP.
+/// An HTTP request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HttpRequest {
     /// The method.
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// The body in MessagePack; may be empty.
+    /// The body, encoded as MessagePack; may be empty.
     pub body: Vec<u8>,
 }
 
 impl HttpRequest {
-    /// A request without a body.
+    /// A GET request without a body.
     pub fn get(path: impl Into<String>) -> Self {
         HttpRequest {
             method: Method::GET,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// A request with a body in MessagePack.
+    /// A POST request with a body encoded as MessagePack.
     pub fn post(path: impl Into<String>, body: Vec<u8>) -> Self {
         HttpRequest {
             method: Method::POST,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// A request to delete what the path names.
+    /// A DELETE request without a body.
     pub fn delete(path: impl Into<String>) -> Self {
         HttpRequest {
             method: Method::DELETE,
@@ -55,7 +55,7 @@
     }
 }
 
-/// A response as it came over HTTP.
+/// An HTTP response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HttpResponse {
     /// The status code.
@@ -65,14 +65,15 @@
 }
 
 impl HttpResponse {
-    /// The body as a message; `None`: it is malformed.
+    /// Decodes the body as a message; `None` if it is malformed.
     pub(super) fn decode<T: DeserializeOwned>(&self) -> Option<T> {
         protocol::decode(&self.body).ok()
     }
 }
 
-/// One pool of connections. A request that gets no response discards the pool: behind a network
-/// partition, its idle connections are as dead as the one that was used.
+/// An HTTP client with one pool of connections. If all of them lead to a single host, a request that
+/// times out discards the pool: in a network partition, the idle connections are as dead as the one
+/// that was used.
 pub struct HttpClient {
     client: RefCell<Client<HttpConnector, Full<Bytes>>>,
     idle_per_host: usize,
@@ -81,10 +82,10 @@
 }
 
 impl HttpClient {
-    /// A pool that keeps up to `idle_per_host` unused connections to each host for `idle_timeout`.
+    /// A client that keeps up to `idle_per_host` unused connections to each host for `idle_timeout`.
     ///
-    /// `single_host`: all requests go to one host, so that a timeout on one connection condemns
-    /// them all.
+    /// `single_host`: all requests go to one host, so a timeout on one connection discards all of
+    /// them.
     pub fn new(idle_per_host: usize, idle_timeout: Duration, single_host: bool) -> Self {
         HttpClient {
             client: RefCell::new(Self::build_client(idle_per_host, idle_timeout)),
@@ -110,8 +111,8 @@
 
     /// Sends a request to `addr` and reads the whole response.
     ///
-    /// `None`: no response within `timeout`, or the connection failed; the request may have been
-    /// executed. `keep_alive`: the connection may be reused. Dropping the future closes the
+    /// Returns `None` if there is no response within `timeout` or the connection fails; the request
+    /// may have been executed. `keep_alive`: whether the connection may be reused. Dropping the future closes the
     /// connection.
     pub async fn call(
         &self,
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Where all connections lead to the host that did not respond, starts anew without them.
+    /// If all connections lead to the host that did not respond, replaces the pool by an empty one.
     fn discard_connections(&self) {
         if self.single_host {
             *self.client.borrow_mut() = Self::build_client(self.idle_per_host, self.idle_timeout);
@@ -164,7 +165,7 @@
     Some(request)
 }
 
-/// Percent-encodes what a query value may not hold as it is.
+/// Percent-encodes the bytes that are not allowed in a query value.
 pub(super) fn percent_encode(text: &str) -> String {
     let mut escaped = String::with_capacity(text.len());
     for byte in text.bytes() {
--- a/src/transport/client/mod.rs
+++ b/src/transport/client/mod.rs
@@ -1,7 +1,7 @@
-//! HTTP clients of the services that a node calls: the state service, the cloud and the workers.
+//! HTTP clients for what a node calls: the state service, the cloud and the workers.
 //!
-//! Each client has its own file with the wire form of its requests; [`HttpClient`] is the
-//! connection pool they share.
+//! The file of each client encodes its requests and decodes its responses; all of them use
+//! [`HttpClient`] for their connections.
 
 use std::time::Duration;
 
--- a/src/transport/client/state.rs
+++ b/src/transport/client/state.rs
@@ -16,12 +16,12 @@
 };
 
 const MAX_IDLE_CONNECTIONS: usize = 8;
-/// A node has one watch.
+/// A node has only one watch at a time.
 const MAX_IDLE_WATCH_CONNECTIONS: usize = 1;
 /// The body of a request without fields.
 const EMPTY_MSGPACK_MAP: &[u8] = &[0x80];
 
-/// A request to the state service in its wire form.
+/// Encodes a request to the state service as an HTTP request.
 pub fn state_request(request: &StateRequest) -> HttpRequest {
     match request {
         StateRequest::List {
@@ -55,7 +55,7 @@
     }
 }
 
-/// The client of the state service. A watch blocks its connection, so it has a pool of its own.
+/// The client of the state service. A watch occupies its connection, so watches have their own pool.
 pub struct StateClient {
     http: HttpClient,
     watch_http: HttpClient,
@@ -63,7 +63,7 @@
 }
 
 impl StateClient {
-    /// A client of the service at `addr`; connects when first used.
+    /// A client of the service at `addr`, which connects when first used.
     pub fn new(addr: SocketAddrV4) -> Self {
         StateClient {
             http: HttpClient::new(MAX_IDLE_CONNECTIONS, SERVICE_IDLE_TIMEOUT, true),
@@ -75,8 +75,8 @@
     /// Sends a request.
     ///
     /// # Errors
-    /// [`StateError::Refused`]: surely not executed. [`StateError::NoAnswer`]: no usable response
-    /// within `timeout`; the request may have been executed or may still be.
+    /// [`StateError::Refused`]: the request was not executed. [`StateError::NoAnswer`]: no usable
+    /// response within `timeout`; the request may have been executed, or may still be.
     pub async fn call(
         &self,
         request: &StateRequest,
--- a/src/transport/client/worker.rs
+++ b/src/transport/client/worker.rs
@@ -16,11 +16,12 @@
 use super::http::{HttpClient, HttpRequest};
 
 const MAX_IDLE_CONNECTIONS_PER_WORKER: usize = 1;
-/// Orders to a worker come in bursts. There are hundreds of workers: sockets and memory for an
-/// idle connection to each, besides the one it reports over, are better kept for other clients.
+/// Orders to a worker come in bursts, so a connection is kept only for a short time. With hundreds of
+/// workers, the sockets and memory for an idle connection to each, besides the one that carries its
+/// heartbeats, are better kept for other clients.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(RecentCallCounter::WINDOW_S as u64);
 
-/// Orders to a worker in their wire form; without any, a request for its report.
+/// Encodes orders to a worker as an HTTP request; without orders, a request for its report.
 pub fn worker_request(orders: Option<&DirectOrders>) -> HttpRequest {
     match orders {
         Some(orders) => HttpRequest::post("/commands", protocol::encode(orders)),
@@ -28,19 +29,19 @@
     }
 }
 
-/// The client of all workers, with a bound on the calls under way.
+/// The client of all workers, with a limit on the number of calls in progress.
 pub struct WorkerClient {
     http: HttpClient,
     call_permits: Semaphore,
-    /// How many connections may be kept for the next orders.
+    /// The number of idle connections that may be kept for further orders.
     max_idle_connections: usize,
     recent_calls: RefCell<RecentCallCounter>,
     metrics: Arc<Metrics>,
 }
 
 impl WorkerClient {
-    /// A client with at most `max_calls` calls under way that keeps about `max_idle_connections`
-    /// connections for the next ones.
+    /// A client with at most `max_calls` calls in progress that keeps about `max_idle_connections`
+    /// idle connections for further calls.
     pub fn new(max_calls: usize, max_idle_connections: usize, metrics: Arc<Metrics>) -> Self {
         WorkerClient {
             http: HttpClient::new(MAX_IDLE_CONNECTIONS_PER_WORKER, IDLE_TIMEOUT, false),
@@ -51,10 +52,10 @@
         }
     }
 
-    /// Sends orders to the worker at `addr`, or only asks for its report.
+    /// Sends orders to the worker at `addr`, or only requests its report.
     ///
-    /// `None`: no usable response within `timeout`, which does not count the wait for a permit;
-    /// the orders may have been executed.
+    /// Returns `None` if there is no usable response within `timeout`, which does not include the
+    /// wait for a permit; the orders may have been executed.
     pub async fn call(
         &self,
         addr: &str,
--- a/src/transport/connection_limiter.rs
+++ b/src/transport/connection_limiter.rs
@@ -1,11 +1,10 @@
-//! The limit of connections from outside, and which of them are closed as sockets run out.
+//! Limits the number of inbound connections, and closes idle ones when few are left.
 //!
-//! A refused client tries another node, which costs a user up to seconds and a worker a part of its
-//! lease. Before that, connections that are idle just now are closed: first those kept open to
-//! workers between orders, then those of workers between two reports and of users between two
-//! polls. Both come back over a new connection, which costs a round trip. With a permanent
-//! connection for each worker, 2,367 permits were not enough for 4,000 machines, and new clients
-//! were refused.
+//! A refused client tries another node, which costs a user up to several seconds and a worker part
+//! of its lease time. To avoid that, idle connections are closed first: those kept open to workers
+//! between orders, then those of workers between two heartbeats and of users between two polls.
+//! These clients reconnect, which costs one round trip. With a permanent connection for each worker,
+//! 2,367 permits were not enough for 4,000 machines, and new clients were refused.
 
 use std::{
     sync::{
@@ -22,23 +21,23 @@
 
 use crate::metrics::{Metrics, ShedConnection};
 
-/// Free permits are scarce below this part of all, as a divisor.
+/// Permits are scarce when fewer than the maximum divided by this are free.
 const SCARCITY_DIVISOR: usize = 8;
-/// Warnings are logged at most this often.
+/// Minimum interval between two logged warnings.
 const MIN_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The permits for connections from outside.
+/// Issues the permits for inbound connections.
 pub struct ConnectionLimiter {
     permits: Arc<Semaphore>,
     max_connections: usize,
     metrics: Arc<Metrics>,
     started_at: Instant,
-    /// Milliseconds since the start before which no further warning is logged.
+    /// Time before which no further warning is logged, in milliseconds since `started_at`.
     next_log_at_ms: AtomicU64,
 }
 
 impl ConnectionLimiter {
-    /// A limiter of `max_connections` connections.
+    /// A limiter for at most `max_connections` connections at the same time.
     pub fn new(max_connections: usize, metrics: Arc<Metrics>) -> Self {
         ConnectionLimiter {
             permits: Arc::new(Semaphore::new(max_connections)),
@@ -49,28 +48,29 @@
         }
     }
 
-    /// A permit for a connection, held while it is open. `None`: it has to be refused, so that the
-    /// client tries another node.
+    /// A permit for a new connection, to be held while it is open. `None`: no permit is free, and the
+    /// connection must be refused so that the client tries another node.
     pub fn try_acquire(&self) -> Option<OwnedSemaphorePermit> {
         let permit = self.permits.clone().try_acquire_owned().ok();
         if permit.is_none() {
             self.metrics.record_shed(ShedConnection::RefusedInbound);
-            self.log_rate_limited("no sockets left: connections are refused");
+            self.log_rate_limited("connection limit reached: refusing new connections");
         }
         permit
     }
 
-    /// Whether a client that got its response should reconnect: few permits are free, and a client
-    /// that comes every few seconds mostly leaves its connection idle. Counted in the metrics.
+    /// Whether the connection of a client that received its response should be closed because few
+    /// permits are free. A client that sends a request every few seconds leaves its connection idle
+    /// most of the time. If so, the connection is counted as shed in the metrics.
     pub fn should_shed(&self, connection: ShedConnection) -> bool {
-        let scarce = self.permits.available_permits() < self.max_connections / SCARCITY_DIVISOR;
-        if scarce {
+        let is_scarce = self.permits.available_permits() < self.max_connections / SCARCITY_DIVISOR;
+        if is_scarce {
             self.metrics.record_shed(connection);
             self.log_rate_limited(
-                "sockets are scarce: connections are closed after reports and polls",
+                "few connections left: closing connections after heartbeats and polls",
             );
         }
-        scarce
+        is_scarce
     }
 
     fn log_rate_limited(&self, message: &'static str) {
@@ -79,7 +79,7 @@
             let until = now + MIN_LOG_INTERVAL.as_millis() as u64;
             self.next_log_at_ms.store(until, Ordering::Relaxed);
             let free = self.permits.available_permits();
-            tracing::warn!(free, of = self.max_connections, "{message}");
+            tracing::warn!(free, max = self.max_connections, "{message}");
         }
     }
 }
--- a/src/transport/mesh/cell_messages.rs
+++ b/src/transport/mesh/cell_messages.rs
@@ -1,4 +1,4 @@
-//! Conversions between the messages of cells that share quotas and the types of the event loop.
+//! Conversions between the gRPC messages of cells that share quotas and the types of the event loop.
 
 use crate::{
     coordination::{CellGrants, CellReport},
--- a/src/transport/mesh/cell_messages/tests.rs
+++ b/src/transport/mesh/cell_messages/tests.rs
@@ -9,38 +9,38 @@
 }
 
 prop_compose! {
-    fn any_position()(
+    fn any_participant_report()(
         version in any::<u64>(), granted in any_quota(), returned in any_quota(), used in any_quota(),
-        wanted in any_quota(), least in any_quota(), grain in any_quota(),
+        wanted in any_quota(), first_request in any_quota(), largest_task in any_quota(),
     ) -> ParticipantReport {
-        ParticipantReport { version, account: Account { granted, returned }, used, wanted, first_request: least, largest_task: grain }
+        ParticipantReport { version, account: Account { granted, returned }, used, wanted, first_request, largest_task }
     }
 }
 
 prop_compose! {
     fn any_grant()(
         version in any::<u64>(), guarantee in any_quota(), granted in any_quota(), target in any_quota(),
-        lowered in any::<bool>(),
+        limit_lowered in any::<bool>(),
     ) -> Grant {
-        Grant { version, guarantee, granted, target, limit_lowered: lowered }
+        Grant { version, guarantee, granted, target, limit_lowered }
     }
 }
 
 proptest! {
     #[test]
     fn cell_report_and_grants_round_trip_through_encoding(
-        position in any_position(), grant in any_grant(), from in "[a-z]{1,8}", team in "[a-z]{1,8}",
+        position in any_participant_report(), grant in any_grant(), from in "[a-z]{1,8}", team in "[a-z]{1,8}",
     ) {
         let cells = vec!["a".to_owned(), from.clone()];
-        let statement = CellReport {
+        let report = CellReport {
             from: from.clone(),
             cells: cells.clone(),
             positions: vec![(team.clone(), position)],
         };
-        let message = proto::CellStatement::from(statement.clone());
-        prop_assert_eq!(CellReport::from(message), statement);
-        let answer = CellGrants { from, cells, grants: vec![(team, grant)] };
-        let message = proto::CellAnswer::from(answer.clone());
-        prop_assert_eq!(CellGrants::from(message), answer);
+        let message = proto::CellStatement::from(report.clone());
+        prop_assert_eq!(CellReport::from(message), report);
+        let cell_grants = CellGrants { from, cells, grants: vec![(team, grant)] };
+        let message = proto::CellAnswer::from(cell_grants.clone());
+        prop_assert_eq!(CellGrants::from(message), cell_grants);
     }
 }
--- a/src/transport/mesh/members.rs
+++ b/src/transport/mesh/members.rs
@@ -39,7 +39,7 @@
     }
 
     /// Announces the leader's progress to a member and returns the member's status. `None`: no
-    /// response; whether the member received it is unknown and does not matter.
+    /// response; the member may or may not have received the announcement, and either is safe.
     pub async fn send_progress(
         &self,
         addr: SocketAddrV4,
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Has a member answer a user's request. `None`: no response; the request may have been
-    /// executed.
+    /// Relays a user's request to a member and returns its response. `None`: no response; the
+    /// request may have been executed.
     pub async fn forward_request(
         &self,
         addr: SocketAddrV4,
@@ -72,7 +72,7 @@
         })
     }
 
-    /// Asks a member to stop renewing the leases of silent workers. `None`: no response.
+    /// Requests a member to stop renewing the leases of unresponsive workers. `None`: no response.
     pub async fn request_revocation(
         &self,
         addr: SocketAddrV4,
--- a/src/transport/mesh/messages.rs
+++ b/src/transport/mesh/messages.rs
@@ -1,4 +1,4 @@
-//! Conversions between the mesh's messages and the types of the event loop.
+//! Conversions between the gRPC messages of nodes and the types of the event loop.
 
 use super::proto::{self, Renewals, Told, request::Ask};
 use crate::{
@@ -182,7 +182,7 @@
     }
 }
 
-/// A user's request as it is relayed to a member; `None`: not a request of a user.
+/// Encodes a user's request for relaying to a member; `None` for requests that are not from users.
 pub fn encode_relayed_request(request: &ApiRequest) -> Option<proto::Request> {
     let ask = match request {
         ApiRequest::Submit(submission) => Ask::Submit(protocol::encode(&**submission)),
--- a/src/transport/mesh/mod.rs
+++ b/src/transport/mesh/mod.rs
@@ -13,7 +13,7 @@
 pub use members::MemberClients;
 pub use service::{MeshService, serve};
 
-/// The messages and services that are generated from `proto/`.
+/// The messages and the service that are generated from `proto/mesh.proto`.
 #[expect(
     missing_docs,
     clippy::too_many_lines,
@@ -23,12 +23,13 @@
     tonic::include_proto!("dalelb.mesh.v1");
 }
 
-/// Another cell's report, and where the grants go; `None`: this node does not answer for its cell.
+/// Another cell's quota report, and the channel for the grants; `None`: this node can't respond for
+/// its cell.
 pub type CellReportRequest = (CellReport, oneshot::Sender<Option<CellGrants>>);
-/// Other cells' reports on their way to the event loop.
+/// The sending end of the queue of other cells' quota reports to the event loop.
 pub type CellReportSender = mpsc::UnboundedSender<CellReportRequest>;
 
-/// A leader's question about silent workers, and where the reply goes.
+/// A leader's request to revoke the leases of unresponsive workers, and the channel for the reply.
 pub type RevocationRequest = (LeaseRevocation, oneshot::Sender<RenewalReply>);
-/// Leaders' questions on their way to the event loop.
+/// The sending end of the queue of leaders' revocation requests to the event loop.
 pub type RevocationSender = mpsc::UnboundedSender<RevocationRequest>;
--- a/src/transport/mesh/peer_cells.rs
+++ b/src/transport/mesh/peer_cells.rs
@@ -13,23 +13,23 @@
 
 use super::proto::{self, mesh_client::MeshClient};
 
-/// Regions are further from each other than the members of one.
+/// Longer than between members: cells are in different regions.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// The controllers of another cell.
-struct PeerCellClients {
+/// The clients of the controllers of one other cell.
+struct CellControllerClients {
     clients: Vec<MeshClient<Channel>>,
-    /// The controller that replied last, or the one to try next.
+    /// The index of the controller that replied last or, if it failed since, the one to try next.
     next_client: Cell<usize>,
 }
 
 /// Connections to the controllers of other cells, opened when first used.
-pub struct PeerCellClient {
-    cells: HashMap<String, PeerCellClients>,
+pub struct PeerCellClients {
+    cells: HashMap<String, CellControllerClients>,
 }
 
-impl PeerCellClient {
+impl PeerCellClients {
     /// Clients of the cells' controllers at these addresses.
     pub fn new(cells: &BTreeMap<String, Vec<SocketAddrV4>>) -> Self {
         let cells = cells.iter().map(|(name, addrs)| {
@@ -42,26 +42,26 @@
                     .connect_lazy();
                 Some(MeshClient::new(channel))
             });
-            let clients = PeerCellClients {
+            let clients = CellControllerClients {
                 clients: clients.collect(),
                 next_client: Cell::new(0),
             };
             (name.clone(), clients)
         });
-        PeerCellClient {
+        PeerCellClients {
             cells: cells.collect(),
         }
     }
 
-    /// Sends this cell's report to another cell and returns the grants. `None`: no response; the
-    /// next controller is tried next time.
+    /// Sends this cell's quota report to another cell and returns the grants. `None`: no response;
+    /// the next call uses the cell's next controller.
     pub async fn exchange(&self, cell: &str, report: CellReport) -> Option<CellGrants> {
         let peer = self.cells.get(cell)?;
         let mut client = peer.clients.get(peer.next_client.get())?.clone();
         match client.exchange(proto::CellStatement::from(report)).await {
             Ok(response) => Some(response.into_inner().into()),
             Err(status) => {
-                tracing::debug!(cell, code = ?status.code(), "no response from a cell");
+                tracing::debug!(cell, code = ?status.code(), "no response from cell");
                 peer.next_client
                     .set((peer.next_client.get() + 1) % peer.clients.len());
                 None
--- a/src/transport/mesh/service.rs
+++ b/src/transport/mesh/service.rs
@@ -20,22 +20,22 @@
     },
 };
 
-/// Passes what other nodes send to the event loop, and its replies back.
+/// Forwards requests of other nodes to the event loop, and returns its replies.
 #[derive(Clone)]
 pub struct MeshService {
-    /// Announcements of leaders.
+    /// The queue for announcements of leaders.
     pub commands: mpsc::UnboundedSender<Command>,
-    /// Questions of leaders about silent workers.
+    /// The queue for leaders' requests to revoke the leases of unresponsive workers.
     pub revocations: RevocationSender,
-    /// Reports of other cells.
+    /// The queue for quota reports of other cells.
     pub cell_reports: CellReportSender,
-    /// Users' requests that another member relays.
+    /// The queue for users' requests that another member relays.
     pub api_requests: RequestSender,
-    /// What this node says of itself to a leader that announces its progress.
+    /// This node's status, sent in response to a leader's announcement.
     pub member_status: watch::Receiver<MemberStatus>,
 }
 
-/// Serves the mesh until the future is dropped, which closes its connections.
+/// Serves gRPC requests until the future is dropped, which closes all connections.
 ///
 /// # Errors
 /// The address can't be bound, or the listener fails.
@@ -62,7 +62,7 @@
         request: Request<proto::CellStatement>,
     ) -> Result<Response<proto::CellAnswer>, Status> {
         let report = request.into_inner().into();
-        let grants = ask_event_loop(&self.cell_reports, report).await?;
+        let grants = request_from_event_loop(&self.cell_reports, report).await?;
         match grants {
             Some(grants) => Ok(Response::new(grants.into())),
             None => Err(Status::unavailable(
@@ -77,7 +77,7 @@
     ) -> Result<Response<proto::Reply>, Status> {
         let request = decode_relayed_request(request.into_inner())?;
         let relayed = ApiRequest::Relayed(Box::new(request));
-        let response = ask_event_loop(&self.api_requests, relayed).await?;
+        let response = request_from_event_loop(&self.api_requests, relayed).await?;
         Ok(Response::new(proto::Reply {
             status: response.status.into(),
             body: response.body,
@@ -90,7 +90,7 @@
         request: Request<proto::Revocation>,
     ) -> Result<Response<Renewals>, Status> {
         let revocation = request.into_inner().into();
-        let reply = ask_event_loop(&self.revocations, revocation).await?;
+        let reply = request_from_event_loop(&self.revocations, revocation).await?;
         Ok(Response::new(reply.into()))
     }
 }
@@ -107,12 +107,14 @@
 }
 
 /// Sends a request to the event loop and waits for its reply.
-async fn ask_event_loop<Q, R>(
+async fn request_from_event_loop<Q, R>(
     queue: &mpsc::UnboundedSender<(Q, oneshot::Sender<R>)>,
     request: Q,
 ) -> Result<R, Status> {
-    let gone = || Status::unavailable("the owner is gone");
+    let event_loop_stopped = || Status::unavailable("the owner is gone");
     let (send, receive) = oneshot::channel();
-    queue.send((request, send)).map_err(|_| gone())?;
-    receive.await.map_err(|_| gone())
+    queue
+        .send((request, send))
+        .map_err(|_| event_loop_stopped())?;
+    receive.await.map_err(|_| event_loop_stopped())
 }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,5 +1,5 @@
-//! Servers and clients: sockets, connection pools, rate limits and timeouts. All decisions are made
-//! in [`crate::coordination`].
+//! Servers and clients: sockets, connection pools, rate limits and timeouts. All decisions about
+//! jobs, tasks and machines are made in [`crate::coordination`].
 
 pub mod client;
 mod connection_limiter;
--- a/src/transport/rate_limiter.rs
+++ b/src/transport/rate_limiter.rs
@@ -1,4 +1,4 @@
-//! Token buckets that keep this node under a service's limits, the most urgent calls first.
+//! Token buckets that keep this node's calls within a service's rate limits and prefer urgent calls.
 
 use std::{cell::RefCell, time::Duration};
 
@@ -6,16 +6,16 @@
 
 use crate::{coordination::admission::load_shedding::reserved_fraction, protocol::state::Urgency};
 
-/// Tokens that any bucket can hold, so that a single call always fits.
+/// Minimum capacity of a bucket, in tokens, so that a single call always fits.
 const MIN_CAPACITY: f64 = 1.0;
-/// Sums of fractions may fall this short of a whole token.
+/// Tolerance for rounding errors in sums of fractional tokens.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
-/// Bounds of the wait before the bucket is looked at again: others may take tokens, or the rate
-/// may change.
+/// Bounds of the wait before the bucket is checked again, in seconds: other callers may take tokens,
+/// or the rate may change.
 const MIN_WAIT_S: f64 = 0.002;
 const MAX_WAIT_S: f64 = 1.0;
 
-/// A bucket that refills at a rate and holds a second's worth.
+/// A token bucket that refills at a fixed rate and holds the tokens of one second.
 pub struct TokenBucket {
     inner: RefCell<BucketState>,
 }
@@ -38,13 +38,13 @@
         }
     }
 
-    /// Changes the rate from now on.
+    /// Sets the rate at which the bucket refills from now on.
     pub fn set_rate(&self, rate_per_s: f64) {
         self.inner.borrow_mut().rate_per_s = rate_per_s;
     }
 
-    /// Waits until `cost` tokens may be taken, and takes them. Less urgent callers leave a reserve
-    /// in the bucket. Nothing is taken when the future is dropped before.
+    /// Waits until `cost` tokens are available, and takes them. Less urgent callers leave a reserve
+    /// in the bucket. If the future is dropped before it completes, no tokens are taken.
     pub async fn acquire(&self, cost: f64, urgency: Urgency) {
         loop {
             let acquired = self.inner.borrow_mut().try_acquire(cost, urgency);
@@ -57,19 +57,19 @@
     }
 }
 
-/// Too few tokens now.
+/// The bucket holds too few tokens.
 struct Shortfall {
-    /// Seconds until the bucket holds enough, if nobody else takes any.
+    /// Seconds until the bucket holds enough, if no other caller takes any.
     wait_s: f64,
 }
 
 impl BucketState {
     fn try_acquire(&mut self, cost: f64, urgency: Urgency) -> Result<(), Shortfall> {
-        let full = self.rate_per_s.max(MIN_CAPACITY);
-        self.refill(full);
-        let reserve = full * reserved_fraction(urgency);
-        // A cost above what the bucket can ever hold is let through once it is full.
-        let needed = (cost + reserve).min(full);
+        let capacity = self.rate_per_s.max(MIN_CAPACITY);
+        self.refill(capacity);
+        let reserve = capacity * reserved_fraction(urgency);
+        // A call that costs more than the bucket's capacity is allowed once the bucket is full.
+        let needed = (cost + reserve).min(capacity);
         if self.tokens >= needed - ROUNDING_TOLERANCE {
             self.tokens -= cost;
             return Ok(());
@@ -79,10 +79,10 @@
         })
     }
 
-    fn refill(&mut self, full: f64) {
+    fn refill(&mut self, capacity: f64) {
         let now = Instant::now();
         let gained = now.duration_since(self.refilled_at).as_secs_f64() * self.rate_per_s;
-        self.tokens = (self.tokens + gained).min(full);
+        self.tokens = (self.tokens + gained).min(capacity);
         self.refilled_at = now;
     }
 }
--- a/src/transport/server/mod.rs
+++ b/src/transport/server/mod.rs
@@ -1,4 +1,4 @@
-//! The HTTP server for users, workers and health checks: its accept loop.
+//! The HTTP server for users, workers and health checks, with its accept loop.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,24 +22,24 @@
 mod responses;
 mod routes;
 
-/// Where the response to a request goes.
+/// The channel for the response to a request.
 pub type ResponseSender = oneshot::Sender<ApiResponse>;
-/// A request, and where its response goes.
+/// A request, and the channel for its response.
 pub type IncomingRequest = (ApiRequest, ResponseSender);
-/// Requests from outside on their way to the event loop.
+/// The sending end of the queue of requests to the event loop.
 pub type RequestSender = mpsc::UnboundedSender<IncomingRequest>;
 
-/// A client that sends nothing for this long is taken to have left: users poll every 5 s. Workers
-/// that report less often are waited for longer. Behind a network partition the end of a
-/// connection is never heard of, and sockets are few.
+/// The connection of a client that sends nothing for this long is closed: users poll every 5 s. If
+/// the heartbeat interval of workers is long, the timeout is longer. In a network partition the node
+/// never receives the close of a connection, and sockets are limited.
 const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Wait after a failed accept, as when the process has no descriptors left.
+/// Delay after a failed accept, for example when the process has no file descriptors left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Serves requests over at most `max_connections` connections until the future is dropped, which
-/// closes them all.
+/// closes all of them.
 ///
-/// Workers report every `report_interval`, give or take a quarter.
+/// Workers send a heartbeat every `report_interval`, plus or minus a quarter.
 pub async fn serve(
     listener: TcpListener,
     requests: RequestSender,
@@ -58,21 +58,21 @@
     loop {
         let stream = accept(&listener).await;
         log_failed_connections(&mut connections);
-        // Refused at once: the load balancer and the workers try another node.
+        // The connection is closed immediately: the load balancer and the workers try another node.
         let Some(permit) = limiter.try_acquire() else {
             continue;
         };
         let connection = http.serve_connection(TokioIo::new(stream), service.clone());
         connections.spawn(async move {
             if let Err(error) = connection.await {
-                tracing::trace!(%error, "connection");
+                tracing::trace!(%error, "connection failed");
             }
             drop(permit);
         });
     }
 }
 
-/// Takes the connections that have ended from the set.
+/// Removes the connections that have ended from the set, and logs those whose task panicked.
 fn log_failed_connections(connections: &mut JoinSet<()>) {
     while let Some(ended) = connections.try_join_next() {
         if let Err(error) = ended {
@@ -89,7 +89,7 @@
                 return stream;
             }
             Err(error) => {
-                tracing::debug!(%error, "accept");
+                tracing::debug!(%error, "accept failed");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
--- a/src/transport/server/routes.rs
+++ b/src/transport/server/routes.rs
@@ -1,4 +1,4 @@
-//! The HTTP routes: requests are decoded and passed to the event loop.
+//! The HTTP routes, which decode requests and send them to the event loop.
 
 use std::{convert::Infallible, sync::Arc};
 
@@ -21,7 +21,7 @@
     },
 };
 
-/// All routes; any other path is answered with 404.
+/// All routes; the response to any other path is 404.
 pub(super) fn routes(
     requests: RequestSender,
     limiter: Arc<ConnectionLimiter>,
@@ -86,7 +86,7 @@
         return Ok(empty_response(StatusCode::SERVICE_UNAVAILABLE));
     }
     Ok(match receive.await {
-        Ok(answer) => api_response(answer),
+        Ok(response) => api_response(response),
         Err(_) => empty_response(StatusCode::SERVICE_UNAVAILABLE),
     })
 }
@@ -99,8 +99,8 @@
         }
     };
     let mut response = dispatch(requests, ApiRequest::Submit(Box::new(submission))).await?;
-    // Over the same connection the user would retry at this node, however little load the others
-    // have: when a deployment starts, all users connect to the node that is ready first.
+    // Over the same connection the user would retry at this node even if other nodes have less load:
+    // when a deployment starts, all users connect to the node that is ready first.
     if response.status() == StatusCode::TOO_MANY_REQUESTS {
         set_connection_close(&mut response);
     }
@@ -122,13 +122,13 @@
     match protocol::decode::<Report>(&body) {
         Ok(report) => dispatch(requests, ApiRequest::Heartbeat(Box::new(report))).await,
         Err(error) => {
-            tracing::warn!(%error, "malformed worker report");
+            tracing::warn!(%error, "malformed heartbeat from worker");
             Ok(error_response(StatusCode::BAD_REQUEST, &error.to_string()))
         }
     }
 }
 
-/// Has the client reconnect for its next request while sockets are scarce.
+/// Closes the connection after the response if few connections are left.
 fn close_if_scarce(
     mut response: Response<Bytes>,
     limiter: &ConnectionLimiter,
@@ -144,7 +144,7 @@
     if rejection.find::<warp::reject::PayloadTooLarge>().is_some()
         || rejection.find::<warp::reject::LengthRequired>().is_some()
     {
-        // Clients would retry a 413 for a minute; a body this large is malformed for good.
+        // Clients retry after a 413 for a minute, but a body this large never becomes valid.
         return Ok(error_response(
             StatusCode::BAD_REQUEST,
             "the body is too large",
