--- a/src/daemon/effects.rs
+++ b/src/daemon/effects.rs
@@ -120,7 +120,7 @@
                 orders,
                 timeout_ms,
             } => self.spawn(|outbound| outbound.call_worker(tag, addr, orders, timeout_ms)),
-            Effect::AnnounceProgress(progress) => self.announce_progress(&progress),
+            Effect::AnnounceProgress(announcement) => self.announce_to_members(&announcement),
             Effect::RequestRevocation {
                 lease,
                 label,
@@ -154,9 +154,9 @@
         self.calls.spawn_local(call(self.outbound.clone()));
     }
 
-    fn announce_progress(&mut self, progress: &LeaderAnnouncement) {
+    fn announce_to_members(&mut self, announcement: &LeaderAnnouncement) {
         for addr in self.outbound.member_addrs.values().copied() {
-            let call = self.outbound.clone().announce(addr, progress.clone());
+            let call = self.outbound.clone().announce(addr, announcement.clone());
             self.calls.spawn_local(call);
         }
     }
@@ -281,8 +281,8 @@
         self.send_command(Command::WorkerResponse { tag, result });
     }
 
-    async fn announce(self: Rc<Self>, addr: SocketAddrV4, progress: LeaderAnnouncement) {
-        if let Some(status) = self.members.send_progress(addr, &progress).await {
+    async fn announce(self: Rc<Self>, addr: SocketAddrV4, announcement: LeaderAnnouncement) {
+        if let Some(status) = self.members.announce(addr, &announcement).await {
             self.send_command(Command::MemberStatus(Box::new(status)));
         }
     }
@@ -315,7 +315,7 @@
 
     async fn relay_request(self: Rc<Self>, id: RequestId, label: String, request: ApiRequest) {
         let response = match self.member_addrs.get(&label).copied() {
-            Some(addr) => self.members.forward_request(addr, request).await,
+            Some(addr) => self.members.relay_request(addr, request).await,
             None => None,
         };
         self.send_command(Command::RelayAnswered(id, response));
--- a/src/protocol/ids.rs
+++ b/src/protocol/ids.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
-/// A job's id: `j-` and at min_digits six digits. Each number has exactly one valid text form, so the
+/// A job's id: `j-` and at least six digits. Each number has exactly one valid text form, so the
 /// number identifies the job.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct JobId(pub u64);
@@ -47,7 +47,7 @@
     }
 }
 
-/// Parses a number of at min_digits `min_digits` digits, which has leading zeros only if it is exactly that
+/// Parses a number of at least `min_digits` digits, with leading zeros only if it is exactly that
 /// long.
 fn parse_digits<T: FromStr>(text: &str, min_digits: usize) -> Result<T, ParseIdError> {
     let only_digits = text.len() >= min_digits && text.bytes().all(|b| b.is_ascii_digit());
--- a/src/transport/client/http.rs
+++ b/src/transport/client/http.rs
@@ -112,8 +112,8 @@
     /// Sends a request to `addr` and reads the whole response.
     ///
     /// Returns `None` if there is no response within `timeout` or the connection fails; the request
-    /// may have been executed. `keep_alive`: whether the connection may be reused. Dropping the future closes the
-    /// connection.
+    /// may have been executed. `keep_alive`: whether the connection may be reused. Dropping the
+    /// future closes the connection.
     pub async fn call(
         &self,
         addr: &str,
--- a/src/transport/mesh/members.rs
+++ b/src/transport/mesh/members.rs
@@ -38,15 +38,15 @@
         MemberClients { channels }
     }
 
-    /// Announces the leader's progress to a member and returns the member's status. `None`: no
+    /// Sends the leader's announcement to a member and returns the member's status. `None`: no
     /// response; the member may or may not have received the announcement, and either is safe.
-    pub async fn send_progress(
+    pub async fn announce(
         &self,
         addr: SocketAddrV4,
-        progress: &LeaderAnnouncement,
+        announcement: &LeaderAnnouncement,
     ) -> Option<MemberStatus> {
         let mut client = self.channels.get(&addr).cloned()?;
-        match client.tell(proto::Progress::from(progress)).await {
+        match client.tell(proto::Progress::from(announcement)).await {
             Ok(response) => Some(response.into_inner().into()),
             Err(status) => {
                 tracing::trace!(%addr, code = ?status.code(), "announcement failed");
@@ -57,7 +57,7 @@
 
     /// Relays a user's request to a member and returns its response. `None`: no response; the
     /// request may have been executed.
-    pub async fn forward_request(
+    pub async fn relay_request(
         &self,
         addr: SocketAddrV4,
         request: ApiRequest,
--- a/src/transport/mesh/messages.rs
+++ b/src/transport/mesh/messages.rs
@@ -27,17 +27,17 @@
 }
 
 impl From<&LeaderAnnouncement> for proto::Progress {
-    fn from(progress: &LeaderAnnouncement) -> Self {
-        let jobs = progress.jobs.iter().map(|job| proto::JobProgress {
+    fn from(announcement: &LeaderAnnouncement) -> Self {
+        let jobs = announcement.jobs.iter().map(|job| proto::JobProgress {
             job: job.job.0,
             done: job.done,
             running: job.running,
         });
         proto::Progress {
-            term: progress.term,
-            leader: progress.leader.clone(),
+            term: announcement.term,
+            leader: announcement.leader.clone(),
             jobs: jobs.collect(),
-            turns: progress
+            turns: announcement
                 .reservations
                 .iter()
                 .map(encode_reservation)
