--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -7,8 +7,8 @@
 //!   `shared/admission` holds the admission quotas of the nodes.
 //! * `books/log/<slot>`: the leader's log, a ring of log records. A log record holds the changes since
 //!   the previous one, for tasks of any number of jobs, so that many changes share one write.
-//! * `books/task/<id>/<number>`: a snapshot of the state of a range of a job's tasks. Before a slot of
-//!   the ring is reused, snapshots are written of the tasks in the oldest log records.
+//! * `books/task/<id>/<number>`: a snapshot of the state of a range of a job's tasks. As the ring
+//!   fills up, snapshots are written for tasks whose state only the oldest log records hold.
 //! * `books/images/<part>`: which machines hold which images, so that a new leader can place tasks
 //!   near their images. It is only a hint: correctness does not depend on it.
 //! * `quota/cells`, `quota/home/<team>`, `quota/hold/<team>`: which cells share quotas, what a team's
