--- a/src/transport/mesh/members.rs
+++ b/src/transport/mesh/members.rs
@@ -38,15 +38,15 @@
         MemberClients { channels }
     }
 
-    /// Announces the leader's progress to a member and returns the member's status. `None`: no
-    /// response; whether the member received it is unknown and does not matter.
-    pub async fn send_progress(
+    /// Sends the leader's announcement to a member and returns the member's status. `None`: no
+    /// response; the member may or may not have received the announcement, and either is safe.
+    pub async fn announce(
         &self,
         addr: SocketAddrV4,
-        progress: &LeaderAnnouncement,
+        announcement: &LeaderAnnouncement,
     ) -> Option<MemberStatus> {
         let mut client = self.channels.get(&addr).cloned()?;
-        match client.tell(proto::Progress::from(progress)).await {
+        match client.tell(proto::Progress::from(announcement)).await {
             Ok(response) => Some(response.into_inner().into()),
             Err(status) => {
                 tracing::trace!(%addr, code = ?status.code(), "announcement failed");
@@ -55,9 +55,9 @@
         }
     }
 
-    /// Has a member answer a user's request. `None`: no response; the request may have been
-    /// executed.
-    pub async fn forward_request(
+    /// Relays a user's request to a member and returns its response. `None`: no response; the
+    /// request may have been executed.
+    pub async fn relay_request(
         &self,
         addr: SocketAddrV4,
         request: ApiRequest,
@@ -72,7 +72,7 @@
         })
     }
 
-    /// Asks a member to stop renewing the leases of silent workers. `None`: no response.
+    /// Requests a member to stop renewing the leases of unresponsive workers. `None`: no response.
     pub async fn request_revocation(
         &self,
         addr: SocketAddrV4,
--- a/src/transport/mesh/messages.rs
+++ b/src/transport/mesh/messages.rs
@@ -1,4 +1,4 @@
-//! Conversions between the mesh's messages and the types of the event loop.
+//! Conversions between the gRPC messages of nodes and the types of the event loop.
 
 use super::proto::{self, Renewals, Told, request::Ask};
 use crate::{
@@ -27,17 +27,17 @@
 }
 
 impl From<&LeaderAnnouncement> for proto::Progress {
-    fn from(progress: &LeaderAnnouncement) -> Self {
-        let jobs = progress.jobs.iter().map(|job| proto::JobProgress {
+    fn from(announcement: &LeaderAnnouncement) -> Self {
+        let jobs = announcement.jobs.iter().map(|job| proto::JobProgress {
             job: job.job.0,
             done: job.done,
             running: job.running,
         });
         proto::Progress {
-            term: progress.term,
-            leader: progress.leader.clone(),
+            term: announcement.term,
+            leader: announcement.leader.clone(),
             jobs: jobs.collect(),
-            turns: progress
+            turns: announcement
                 .reservations
                 .iter()
                 .map(encode_reservation)
@@ -182,7 +182,7 @@
     }
 }
 
-/// A user's request as it is relayed to a member; `None`: not a request of a user.
+/// Encodes a user's request for relaying to a member; `None` for requests that are not from users.
 pub fn encode_relayed_request(request: &ApiRequest) -> Option<proto::Request> {
     let ask = match request {
         ApiRequest::Submit(submission) => Ask::Submit(protocol::encode(&**submission)),
