--- a/src/quota/coordinator.rs
+++ b/src/quota/coordinator.rs
@@ -1,4 +1,4 @@
-//! The home's side of a team: its quota, what each cell was granted, and what is in force where.
+//! The coordinator's side of a team: its quota, what is granted to each cell, and which version each cell enforces.
 
 use std::collections::BTreeMap;
 
@@ -10,18 +10,19 @@
     time::Millis,
 };
 
-/// A cell that was not heard of for this long gets no more. Nothing but who gets new units depends on it.
+/// A cell that has sent no report for this long is granted nothing more. Only the choice of the cells that get new
+/// units depends on this.
 const REACHABLE_TIMEOUT_MS: Millis = 5000;
 
-/// What a home last heard of a cell.
+/// The last report of a cell.
 #[derive(Clone, Copy, Debug)]
 struct LastReport {
     report: ParticipantReport,
     received_at: Millis,
 }
 
-/// Cells that come down to a lowered limit: what each was told stays until all have, so that none is told to come down
-/// to less and to more in turn.
+/// The targets of all cells while they reduce their holdings to a lowered limit. They stay fixed until all cells have
+/// done so; otherwise a cell's target could alternate between a lower and a higher value.
 #[derive(Clone, Debug, Default)]
 struct LimitReduction {
     limit: Units,
@@ -29,32 +30,33 @@
 }
 
 impl LimitReduction {
-    /// Keeps the targets of moves that lower; takes them up from then on until the limit is kept or another one.
-    fn pin_targets(&mut self, limit: Units, outstanding: &[Units], moves: &mut [Transfer]) {
+    /// While more than `limit` is outstanding, replaces the targets in `transfers` by those planned first for this
+    /// limit. They are dropped once no more than the limit is outstanding, and recomputed when the limit changes.
+    fn pin_targets(&mut self, limit: Units, outstanding: &[Units], transfers: &mut [Transfer]) {
         if outstanding.iter().sum::<Units>() <= limit {
             self.targets.clear();
             return;
         }
-        if self.limit != limit || self.targets.len() != moves.len() {
+        if self.limit != limit || self.targets.len() != transfers.len() {
             self.limit = limit;
-            self.targets = moves.iter().map(|each| each.target).collect();
+            self.targets = transfers.iter().map(|transfer| transfer.target).collect();
         }
-        let told = self.targets.iter().zip(outstanding);
-        for (each, (target, outstanding)) in moves.iter_mut().zip(told) {
-            each.target = *target.min(outstanding);
+        let pinned = self.targets.iter().zip(outstanding);
+        for (transfer, (target, outstanding)) in transfers.iter_mut().zip(pinned) {
+            transfer.target = *target.min(outstanding);
         }
     }
 }
 
-/// A team at its home.
+/// The coordinator's state for a team.
 #[derive(Clone, Debug)]
 pub struct Coordinator {
     cells: Vec<String>,
     stored: CoordinatorRecord,
-    /// The version of the key that holds it; 0: not stored.
+    /// The version of the key under which the record is stored; 0: not stored.
     pub key_version: u64,
     last_reports: BTreeMap<String, LastReport>,
-    /// Since when the stored version has been the latest.
+    /// When the stored version became the latest, or when this leader loaded it.
     version_since: Millis,
     targets: BTreeMap<String, Quota>,
     cpu_reduction: LimitReduction,
@@ -62,7 +64,7 @@
 }
 
 impl Coordinator {
-    /// A team as its home has it stored; by default, one that was never stored.
+    /// Resumes from a stored record; the default record and key version 0 stand for a team that was never stored.
     pub fn new(cells: &[String], stored: CoordinatorRecord, key_version: u64, now: Millis) -> Self {
         Coordinator {
             cells: cells.to_vec(),
@@ -76,58 +78,62 @@
         }
     }
 
-    /// What is stored.
+    /// The stored record.
     pub fn stored(&self) -> &CoordinatorRecord {
         &self.stored
     }
 
-    /// A cell tells how it stands.
+    /// Takes in a cell's report.
+    ///
+    /// # Errors
+    /// The cell is not one of the cells, or it reports that it returned more than was granted to it.
     pub fn on_report(
         &mut self,
         cell: &str,
-        position: ParticipantReport,
+        report: ParticipantReport,
         now: Millis,
     ) -> Result<(), QuotaError> {
-        if !self.cells.iter().any(|known| known == cell) {
+        if !self.cells.iter().any(|member| member == cell) {
             return Err(QuotaError::UnknownCell(cell.to_owned()));
         }
         let granted = self.account(cell).granted;
-        if !position.account.returned.fits_within(granted) {
+        if !report.account.returned.fits_within(granted) {
             return Err(QuotaError::ReturnedMoreThanGranted(cell.to_owned()));
         }
-        let mut position = position;
-        if let Some(heard) = self.last_reports.get(cell) {
-            // A message that was overtaken: the totals show it.
-            position.account.merge(&heard.report.account);
-            position.version = position.version.max(heard.report.version);
+        let mut merged = report;
+        if let Some(previous) = self.last_reports.get(cell) {
+            // A report that arrives out of order has smaller totals.
+            merged.account.merge(&previous.report.account);
+            merged.version = merged.version.max(previous.report.version);
         }
-        let heard = LastReport {
-            report: position,
+        let last_report = LastReport {
+            report: merged,
             received_at: now,
         };
-        self.last_reports.insert(cell.to_owned(), heard);
+        self.last_reports.insert(cell.to_owned(), last_report);
         Ok(())
     }
 
-    /// What a cell was granted, and is known to have returned.
+    /// The totals granted to a cell and returned by it, from the stored record and its last report.
     pub fn account(&self, cell: &str) -> Account {
         let mut account = self.stored.accounts.get(cell).copied().unwrap_or_default();
-        if let Some(heard) = self.last_reports.get(cell) {
+        if let Some(last) = self.last_reports.get(cell) {
             account.returned = account
                 .returned
-                .componentwise_max(heard.report.account.returned);
+                .componentwise_max(last.report.account.returned);
         }
         account
     }
 
-    /// What all cells may hold, by what is known here.
+    /// What all cells may hold together, as far as they have reported returns.
     pub fn outstanding(&self) -> Quota {
         let accounts = self.cells.iter().map(|cell| self.account(cell));
         let outstanding = accounts.map(|account| account.outstanding());
         outstanding.fold(Quota::ZERO, Quota::saturating_add)
     }
 
-    /// What is to be stored next, if anything: a new version of the quota, or more for some cells.
+    /// The record to store next, if it has a new version of the quota or grants more to some cells. Also updates the
+    /// cells' targets.
     pub fn next_record(&mut self, configured: TeamQuota, now: Millis) -> Option<CoordinatorRecord> {
         let mut next = self.stored.clone();
         let changed = next.version == 0 || next.quota != configured;
@@ -135,9 +141,9 @@
             next.version += 1;
             next.quota = configured;
         }
-        let moves = self.plan_transfers(&next.quota.limit, now);
-        let mut granted = false;
-        for (cell, (cpus, gpus)) in self.cells.iter().zip(moves) {
+        let transfers = self.plan_transfers(&next.quota.limit, now);
+        let mut has_grants = false;
+        for (cell, (cpus, gpus)) in self.cells.iter().zip(transfers) {
             let target = Quota {
                 cpus: cpus.target,
                 gpus: gpus.target,
@@ -151,12 +157,12 @@
             let entry = next.accounts.entry(cell.clone()).or_default();
             entry.merge(&account);
             entry.granted = entry.granted.saturating_add(grant);
-            granted |= grant != Quota::ZERO;
+            has_grants |= grant != Quota::ZERO;
         }
-        (changed || granted).then_some(next)
+        (changed || has_grants).then_some(next)
     }
 
-    /// Moves of CPUs and of GPUs for each cell, in their order.
+    /// The transfers of CPUs and of GPUs for each cell, in the order of the cells.
     fn plan_transfers(&mut self, limit: &Quota, now: Millis) -> Vec<(Transfer, Transfer)> {
         let mut cpus = self.plan_units(limit.cpus, |quota| quota.cpus, now);
         let mut gpus = self.plan_units(limit.gpus, |quota| quota.gpus, now);
@@ -173,11 +179,16 @@
         cpus.into_iter().zip(gpus).collect()
     }
 
-    fn plan_units(&self, limit: Units, of: impl Fn(Quota) -> Units, now: Millis) -> Vec<Transfer> {
+    fn plan_units(
+        &self,
+        limit: Units,
+        component: impl Fn(Quota) -> Units,
+        now: Millis,
+    ) -> Vec<Transfer> {
         let share = |cell: &String| {
-            let outstanding = of(self.account(cell).outstanding());
+            let outstanding = component(self.account(cell).outstanding());
             match self.last_reports.get(cell) {
-                // Not heard of since this leader began: it may use all that it holds.
+                // No report since this leader took over: the cell may use all that it holds.
                 None => CellShare {
                     outstanding,
                     used: outstanding,
@@ -185,34 +196,32 @@
                     first_request: 0,
                     largest_task: 0,
                 },
-                Some(LastReport {
-                    report: position, ..
-                }) => CellShare {
+                Some(LastReport { report: last, .. }) => CellShare {
                     outstanding,
-                    used: of(position.used).min(outstanding),
-                    wanted: of(position.wanted).max(of(position.used)).min(limit),
-                    first_request: of(position.first_request),
-                    largest_task: of(position.largest_task),
+                    used: component(last.used).min(outstanding),
+                    wanted: component(last.wanted).max(component(last.used)).min(limit),
+                    first_request: component(last.first_request),
+                    largest_task: component(last.largest_task),
                 },
             }
         };
         let shares: Vec<CellShare> = self.cells.iter().map(share).collect();
-        let mut moves = plan::plan_transfers(limit, &shares);
-        for (each, cell) in moves.iter_mut().zip(&self.cells) {
+        let mut transfers = plan::plan_transfers(limit, &shares);
+        for (transfer, cell) in transfers.iter_mut().zip(&self.cells) {
             if !self.is_reachable(cell, now) {
-                each.target -= each.grant;
-                each.grant = 0;
+                transfer.target -= transfer.grant;
+                transfer.grant = 0;
             }
         }
-        moves
+        transfers
     }
 
     fn is_reachable(&self, cell: &str, now: Millis) -> bool {
-        let heard = self.last_reports.get(cell);
-        heard.is_some_and(|heard| heard.received_at + REACHABLE_TIMEOUT_MS >= now)
+        let last_report = self.last_reports.get(cell);
+        last_report.is_some_and(|last| last.received_at + REACHABLE_TIMEOUT_MS >= now)
     }
 
-    /// The record is stored under this version of its key.
+    /// The record has been stored, or read, with this version of its key. A version that is not newer is ignored.
     pub fn on_stored(&mut self, record: CoordinatorRecord, key_version: u64, now: Millis) {
         if key_version <= self.key_version {
             return;
@@ -224,7 +233,7 @@
         self.key_version = key_version;
     }
 
-    /// What the cell is told. Nothing before the team is stored.
+    /// The grant to send to a cell; `None` until the team's record is stored.
     pub fn grant(&self, cell: &str) -> Option<Grant> {
         if self.stored.version == 0 {
             return None;
@@ -246,7 +255,7 @@
         })
     }
 
-    /// A cell's part of the guarantee: where the demand is, and the rest in equal parts.
+    /// A cell's part of the guarantee: divided by demand first, the rest in equal parts.
     fn guarantee(&self, cell: &str) -> Quota {
         Quota {
             cpus: self.guaranteed_units(cell, |quota| quota.cpus),
@@ -254,41 +263,42 @@
         }
     }
 
-    fn guaranteed_units(&self, cell: &str, of: impl Fn(Quota) -> Units) -> Units {
-        let Some(at) = self.cells.iter().position(|known| known == cell) else {
+    fn guaranteed_units(&self, cell: &str, component: impl Fn(Quota) -> Units) -> Units {
+        let Some(index) = self.cells.iter().position(|member| member == cell) else {
             return 0;
         };
-        let total = of(self.stored.quota.guarantee);
+        let total = component(self.stored.quota.guarantee);
         let wanted = self
             .cells
             .iter()
             .map(|cell| match self.last_reports.get(cell) {
-                Some(heard) => of(heard.report.wanted),
-                None => of(self.account(cell).outstanding()),
+                Some(last) => component(last.report.wanted),
+                None => component(self.account(cell).outstanding()),
             });
         let parts = plan::divide_with_caps(total, &wanted.collect::<Vec<_>>());
-        let left = total - parts.iter().sum::<Units>();
-        parts[at] + left / self.cells.len() as Units
+        let remaining = total - parts.iter().sum::<Units>();
+        parts[index] + remaining / self.cells.len() as Units
     }
 
-    /// Cells in which the stored version is not in force.
+    /// Cells that have not reported that they enforce the stored version.
     pub fn outdated_cells(&self) -> Vec<&str> {
-        let behind = self.cells.iter().filter(|cell| {
-            let heard = self.last_reports.get(*cell);
-            heard.is_none_or(|heard| heard.report.version < self.stored.version)
+        let outdated = self.cells.iter().filter(|cell| {
+            let last_report = self.last_reports.get(*cell);
+            last_report.is_none_or(|last| last.report.version < self.stored.version)
         });
-        behind.map(String::as_str).collect()
+        outdated.map(String::as_str).collect()
     }
 
-    /// How old the stored version is, as far as this leader knows.
+    /// How old the stored version is, in milliseconds. An older one counts from when this leader loaded the record.
     pub fn version_age(&self, now: Millis) -> Millis {
         now.saturating_sub(self.version_since)
     }
 
-    /// For how long a change has waited to be in force everywhere; `None`: it is.
+    /// For how long, in milliseconds, the latest change has not been in force in all cells; `None`: it is in force.
     pub fn pending_for(&self, now: Millis) -> Option<Millis> {
-        let over = !self.outstanding().fits_within(self.stored.quota.limit);
-        (over || !self.outdated_cells().is_empty()).then(|| now.saturating_sub(self.version_since))
+        let exceeds_limit = !self.outstanding().fits_within(self.stored.quota.limit);
+        (exceeds_limit || !self.outdated_cells().is_empty())
+            .then(|| now.saturating_sub(self.version_since))
     }
 }
 
--- a/src/quota/participant.rs
+++ b/src/quota/participant.rs
@@ -1,39 +1,40 @@
-//! A cell's side of a team: what it holds, may use, and gives back.
+//! A participant's side of a team: what the cell holds, may use, and returns.
 
 use crate::quota::{Account, Grant, ParticipantRecord, ParticipantReport, Quota, QuotaError};
 
-/// What the books say of a team in this cell.
+/// A team's use and demand in this cell, by the cluster state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TeamDemand {
-    /// What may be running.
+    /// What the team's tasks that may be running reserve.
     pub used: Quota,
-    /// What waits.
+    /// What the waiting tasks request.
     pub waiting: Quota,
-    /// What the first of that needs at once.
+    /// What the first waiting job needs to start: one task, or all tasks of a gang together.
     pub first_request: Quota,
-    /// What the largest running task takes.
+    /// What the largest running task reserves.
     pub largest_task: Quota,
 }
 
-/// New work is expected to be this part of what there is, as a divisor: it is asked for ahead.
+/// The margin that is requested for work to come is the team's use and waiting work divided by this, but no more than
+/// the waiting work.
 const DEMAND_MARGIN_DIVISOR: u64 = 8;
 
-/// A team in a cell.
+/// A participant's state for a team.
 #[derive(Clone, Debug, Default)]
 pub struct Participant {
     stored: ParticipantRecord,
-    /// The version of the key that holds it; 0: not stored.
+    /// The version of the key under which the record is stored; 0: not stored.
     pub key_version: u64,
-    /// What is to be stored next. Its returns count at once, its grants once they are stored.
+    /// The record to store next. Its returns take effect immediately, its grants once they are stored.
     pending: ParticipantRecord,
-    /// The latest version that the books obey.
+    /// The latest version of the quota that the cell enforces.
     enforced_version: u64,
-    /// The home has told this leader that what runs above the target has to stop.
+    /// Tasks above the target have to be preempted, by the latest grant since this leader took over.
     limit_lowered: bool,
 }
 
 impl Participant {
-    /// A team as its cell has it stored; by default, one that was never stored.
+    /// Resumes from a stored record; the default record and key version 0 stand for a team that was never stored.
     pub fn new(stored: ParticipantRecord, key_version: u64) -> Self {
         Participant {
             pending: stored.clone(),
@@ -44,33 +45,36 @@
         }
     }
 
-    /// What is stored.
+    /// The stored record.
     pub fn stored(&self) -> &ParticipantRecord {
         &self.stored
     }
 
-    /// The home tells what the cell was granted.
-    pub fn on_grant(&mut self, home: &str, grant: Grant) -> Result<(), QuotaError> {
-        let known = &mut self.pending;
-        if known.coordinator.is_empty() {
-            known.coordinator = home.to_owned();
-        } else if known.coordinator != home {
+    /// Takes in a grant. Its units can be used once the next record is stored.
+    ///
+    /// # Errors
+    /// The team has another coordinator.
+    pub fn on_grant(&mut self, coordinator: &str, grant: Grant) -> Result<(), QuotaError> {
+        let pending = &mut self.pending;
+        if pending.coordinator.is_empty() {
+            pending.coordinator = coordinator.to_owned();
+        } else if pending.coordinator != coordinator {
             return Err(QuotaError::OtherCoordinator {
-                coordinator: known.coordinator.clone(),
-                claimed: home.to_owned(),
+                coordinator: pending.coordinator.clone(),
+                claimant: coordinator.to_owned(),
             });
         }
-        known.account.granted = known.account.granted.componentwise_max(grant.granted);
-        if grant.version >= known.version {
-            known.version = grant.version;
-            known.guarantee = grant.guarantee;
-            known.target = grant.target;
+        pending.account.granted = pending.account.granted.componentwise_max(grant.granted);
+        if grant.version >= pending.version {
+            pending.version = grant.version;
+            pending.guarantee = grant.guarantee;
+            pending.target = grant.target;
             self.limit_lowered = grant.limit_lowered;
         }
         Ok(())
     }
 
-    /// What the team may use here at most: granted and stored, not about to be returned.
+    /// The most that the team may use here: what is granted and stored, less what is returned or about to be.
     pub fn usable_quota(&self) -> Quota {
         let account = Account {
             granted: self.stored.account.granted,
@@ -79,7 +83,7 @@
         account.outstanding()
     }
 
-    /// What new work may bring the team's use up to: nothing new above what it is to come down to.
+    /// The use up to which new work may be started: the usable quota, but no more than the target.
     pub fn new_work_ceiling(&self) -> Quota {
         self.usable_quota().componentwise_min(self.pending.target)
     }
@@ -89,7 +93,7 @@
         self.pending.guarantee
     }
 
-    /// What runs above what the team is to come down to, by the word of its home.
+    /// What has to be preempted because the limit was lowered: the use above [`Participant::new_work_ceiling`].
     pub fn excess(&self, used: Quota) -> Quota {
         if self.limit_lowered {
             used.saturating_sub(self.new_work_ceiling())
@@ -98,8 +102,8 @@
         }
     }
 
-    /// Gives back what is not used and not to be kept, and tells what is to be stored, if anything. What is returned
-    /// must not be used from this moment on: [`Participant::new_work_ceiling`] tells so.
+    /// Gives back unused units above the target and produces the record to store, if it has changed. The units given
+    /// back must not be used from now on; [`Participant::new_work_ceiling`] no longer includes them.
     pub fn next_record(&mut self, used: Quota) -> Option<ParticipantRecord> {
         let held = self.usable_quota();
         let kept = self
@@ -109,8 +113,8 @@
             .componentwise_min(held);
         let returned = held.saturating_sub(kept);
         self.pending.account.returned = self.pending.account.returned.saturating_add(returned);
-        // Targets and parts of the guarantee follow demand, and nothing that is safe depends on them: they go with
-        // other changes.
+        // Targets and guarantees follow the demand, and safety does not depend on them. They are stored only together
+        // with other changes.
         let stored = ParticipantRecord {
             guarantee: self.pending.guarantee,
             target: self.pending.target,
@@ -119,7 +123,7 @@
         (stored != self.pending).then(|| self.pending.clone())
     }
 
-    /// The record is stored under this version of its key.
+    /// The record has been stored, or read, with this version of its key. A version that is not newer is ignored.
     pub fn on_stored(&mut self, record: ParticipantRecord, key_version: u64) {
         if key_version <= self.key_version {
             return;
@@ -132,21 +136,21 @@
         self.key_version = key_version;
     }
 
-    /// What the home is told.
+    /// The report to send to the coordinator.
     pub fn report(&mut self, demand: &TeamDemand) -> ParticipantReport {
         if !self.limit_lowered || demand.used.fits_within(self.new_work_ceiling()) {
             self.enforced_version = self.enforced_version.max(self.stored.version);
         }
-        let whole = demand.used.saturating_add(demand.waiting);
+        let total = demand.used.saturating_add(demand.waiting);
         let margin = Quota {
-            cpus: demand.waiting.cpus.min(whole.cpus / DEMAND_MARGIN_DIVISOR),
-            gpus: demand.waiting.gpus.min(whole.gpus / DEMAND_MARGIN_DIVISOR),
+            cpus: demand.waiting.cpus.min(total.cpus / DEMAND_MARGIN_DIVISOR),
+            gpus: demand.waiting.gpus.min(total.gpus / DEMAND_MARGIN_DIVISOR),
         };
         ParticipantReport {
             version: self.enforced_version,
             account: self.stored.account,
             used: demand.used,
-            wanted: whole.saturating_add(margin),
+            wanted: total.saturating_add(margin),
             first_request: demand.first_request,
             largest_task: demand.largest_task,
         }
--- a/src/quota/plan.rs
+++ b/src/quota/plan.rs
@@ -1,69 +1,70 @@
 //! How the units of a limit are divided among cells.
 //!
-//! What runs comes first, then what the first waiting task of each cell needs at once (so that two gangs which each
-//! have half of what they need don't wait for each other), then what waits, in equal parts up to what each wants. What
-//! is left over is divided equally, ahead of demand, so that new work need not wait for a round trip.
+//! Running tasks come first, then what the first waiting job of each cell needs to start (so that two gangs that hold
+//! half of what they need don't wait for each other), then other waiting work, in equal parts up to each cell's demand.
+//! The rest is divided equally, ahead of demand, so that new work need not wait for a round trip.
 //!
-//! Units move from one cell to another only while a cell is short of what it wants and the limit has nothing free, or
-//! when the limit was lowered; then only what is not used moves, unless what runs is itself above the limit.
+//! Units are reclaimed from a cell only while another cell is short of its demand and the limit has not enough free
+//! units, or when the limit was lowered. Only unused units are reclaimed, unless the use itself exceeds the limit.
 
 use crate::quota::Units;
 
-/// A cell that wants this part more than it holds, as a divisor, is short.
+/// A cell is short when it lacks at least its allocation divided by this. A smaller shortfall matters only if the cell
+/// can't start its first waiting job.
 const SHORTFALL_DIVISOR: Units = 16;
-/// Spare units are handed out only where this part is missing, as a divisor.
+/// Spare units are granted only to a cell that lacks more than its share divided by this.
 const SPARE_GRANT_DIVISOR: Units = 8;
 
-/// One cell's part of a limit.
+/// What one cell holds, uses and wants of a team's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CellShare {
-    /// What it may hold.
+    /// What the cell may hold: granted and not returned.
     pub outstanding: Units,
-    /// What may be running.
+    /// What the team's tasks that may be running reserve.
     pub used: Units,
-    /// That, what waits, and a margin.
+    /// The use, the waiting work, and a margin for work to come.
     pub wanted: Units,
-    /// What its first waiting work needs at once.
+    /// What the first waiting job needs to start: one task, or all tasks of a gang together.
     pub first_request: Units,
-    /// What its largest running task takes.
+    /// What the largest running task reserves.
     pub largest_task: Units,
 }
 
-/// What is to become of it.
+/// The planned change of what a cell holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Transfer {
-    /// More that it gets now.
+    /// Units to grant to the cell now.
     pub grant: Units,
-    /// What it is to come down to.
+    /// What the cell should keep, including the grant; it returns unused units above this.
     pub target: Units,
 }
 
-/// Divides a total equally, up to each one's cap.
+/// Divides a total equally, with no part above its cap.
 pub fn divide_with_caps(total: Units, caps: &[Units]) -> Vec<Units> {
     let mut parts = vec![0; caps.len()];
-    let mut rest = total;
+    let mut remaining = total;
     loop {
-        let open: Vec<usize> = (0..caps.len())
-            .filter(|at| parts[*at] < caps[*at])
+        let below_cap: Vec<usize> = (0..caps.len())
+            .filter(|index| parts[*index] < caps[*index])
             .collect();
-        let each = match rest.checked_div(open.len() as Units) {
+        let equal_part = match remaining.checked_div(below_cap.len() as Units) {
             None => return parts,
-            // What can't be divided goes to the first ones.
-            Some(each) => each.max(1),
+            // An indivisible remainder goes to the first parts.
+            Some(equal_part) => equal_part.max(1),
         };
-        for at in open {
-            let gain = each.min(caps[at] - parts[at]).min(rest);
-            parts[at] += gain;
-            rest -= gain;
+        for index in below_cap {
+            let increase = equal_part.min(caps[index] - parts[index]).min(remaining);
+            parts[index] += increase;
+            remaining -= increase;
         }
-        if rest == 0 {
+        if remaining == 0 {
             return parts;
         }
     }
 }
 
-/// What each cell keeps of what runs above the limit: equal parts, in whole tasks, so that no more has to stop than
-/// the limit asks for.
+/// What each cell keeps when the use exceeds the limit: equal parts, rounded to whole tasks, so that no more tasks have
+/// to be preempted than the limit requires.
 fn divide_among_running(limit: Units, shares: &[CellShare]) -> Vec<Units> {
     let used: Vec<Units> = shares.iter().map(|share| share.used).collect();
     let mut parts = divide_with_caps(limit, &used);
@@ -72,97 +73,97 @@
             *part -= part.checked_rem(share.largest_task).unwrap_or(0);
         }
     }
-    let mut rest = limit - parts.iter().sum::<Units>();
+    let mut remaining = limit - parts.iter().sum::<Units>();
     loop {
-        let mut given = false;
+        let mut has_increased = false;
         for (part, share) in parts.iter_mut().zip(shares) {
             if share.largest_task > 0
-                && share.largest_task <= rest
+                && share.largest_task <= remaining
                 && *part + share.largest_task <= share.used
             {
                 *part += share.largest_task;
-                rest -= share.largest_task;
-                given = true;
+                remaining -= share.largest_task;
+                has_increased = true;
             }
         }
-        if !given {
+        if !has_increased {
             return parts;
         }
     }
 }
 
-/// What each cell should have of what is wanted.
+/// How much of the limit each cell is to have for its use and its waiting work.
 fn compute_allocations(limit: Units, shares: &[CellShare]) -> Vec<Units> {
     let used: Vec<Units> = shares.iter().map(|share| share.used).collect();
-    let in_use: Units = used.iter().sum();
-    if in_use >= limit {
+    let total_used: Units = used.iter().sum();
+    if total_used >= limit {
         return divide_among_running(limit, shares);
     }
-    let (mut parts, mut rest) = (used, limit - in_use);
+    let (mut parts, mut remaining) = (used, limit - total_used);
     let mut order: Vec<usize> = (0..shares.len()).collect();
-    order.sort_by_key(|at| (shares[*at].used, *at));
-    for at in order {
-        let least = shares[at].first_request;
-        if least <= rest && parts[at] + least <= shares[at].wanted {
-            parts[at] += least;
-            rest -= least;
+    order.sort_by_key(|index| (shares[*index].used, *index));
+    for index in order {
+        let request = shares[index].first_request;
+        if request <= remaining && parts[index] + request <= shares[index].wanted {
+            parts[index] += request;
+            remaining -= request;
         }
     }
-    let missing = shares.iter().zip(&parts);
-    let missing: Vec<Units> = missing
+    let unmet = shares.iter().zip(&parts);
+    let unmet: Vec<Units> = unmet
         .map(|(share, part)| share.wanted.saturating_sub(*part))
         .collect();
-    let more = divide_with_caps(rest, &missing);
+    let increases = divide_with_caps(remaining, &unmet);
     parts
         .iter()
-        .zip(more)
-        .map(|(part, more)| part + more)
+        .zip(increases)
+        .map(|(part, increase)| part + increase)
         .collect()
 }
 
-/// Plans moves for all cells of one limit. What is granted never exceeds what is free.
+/// Plans the transfers of all cells for one limit. The grants together never exceed the free units.
 pub fn plan_transfers(limit: Units, shares: &[CellShare]) -> Vec<Transfer> {
-    let fill = compute_allocations(limit, shares);
-    let spare = limit - fill.iter().sum::<Units>();
-    let each = spare.checked_div(shares.len() as Units).unwrap_or(0);
-    let ideal: Vec<Units> = fill.iter().map(|part| part + each).collect();
+    let allocations = compute_allocations(limit, shares);
+    let spare = limit - allocations.iter().sum::<Units>();
+    let spare_part = spare.checked_div(shares.len() as Units).unwrap_or(0);
+    let ideals: Vec<Units> = allocations.iter().map(|part| part + spare_part).collect();
     let outstanding: Units = shares.iter().map(|share| share.outstanding).sum();
     let mut free = limit.saturating_sub(outstanding);
-    let missing: Vec<Units> = shares
+    let shortfalls: Vec<Units> = shares
         .iter()
-        .zip(&fill)
-        .map(|(share, fill)| worthwhile_shortfall(share, *fill))
+        .zip(&allocations)
+        .map(|(share, allocation)| significant_shortfall(share, *allocation))
         .collect();
-    let lowered = outstanding > limit;
-    let moves = missing.iter().sum::<Units>() > free;
+    let exceeds_limit = outstanding > limit;
+    let must_reclaim = shortfalls.iter().sum::<Units>() > free;
     let target = |share: &CellShare, ideal: Units| {
-        let least = match (lowered, moves) {
+        let kept = match (exceeds_limit, must_reclaim) {
             (true, _) => ideal,
             (false, true) => ideal.max(share.used),
             (false, false) => share.outstanding,
         };
-        least.min(share.outstanding)
+        kept.min(share.outstanding)
     };
     let mut planned: Vec<Transfer> = shares
         .iter()
-        .zip(&ideal)
+        .zip(&ideals)
         .map(|(share, ideal)| Transfer {
             grant: 0,
             target: target(share, *ideal),
         })
         .collect();
-    for (each, grant) in planned.iter_mut().zip(divide_with_caps(free, &missing)) {
-        each.grant = grant;
-        each.target += grant;
+    for (transfer, grant) in planned.iter_mut().zip(divide_with_caps(free, &shortfalls)) {
+        transfer.grant = grant;
+        transfer.target += grant;
         free -= grant;
     }
-    if !moves {
-        for ((each, share), ideal) in planned.iter_mut().zip(shares).zip(&ideal) {
-            let lacks = ideal.saturating_sub(share.outstanding + each.grant);
-            if lacks > ideal / SPARE_GRANT_DIVISOR {
-                let grant = lacks.min(free);
-                each.grant += grant;
-                each.target += grant;
+    if !must_reclaim {
+        for ((transfer, share), ideal) in planned.iter_mut().zip(shares).zip(&ideals) {
+            let lacking = ideal.saturating_sub(share.outstanding + transfer.grant);
+            if lacking > ideal / SPARE_GRANT_DIVISOR {
+                let grant = lacking.min(free);
+                transfer.grant += grant;
+                transfer.target += grant;
                 free -= grant;
             }
         }
@@ -170,12 +171,13 @@
     planned
 }
 
-/// How much a cell lacks, if that is worth a move.
-fn worthwhile_shortfall(share: &CellShare, fill: Units) -> Units {
-    let lacks = fill.saturating_sub(share.outstanding);
-    let at_once = share.used + share.first_request;
-    let matters = lacks >= fill / SHORTFALL_DIVISOR || share.outstanding < at_once;
-    if matters { lacks } else { 0 }
+/// How much a cell lacks of its allocation, or 0 if that is too little for a transfer.
+fn significant_shortfall(share: &CellShare, allocation: Units) -> Units {
+    let lacking = allocation.saturating_sub(share.outstanding);
+    let to_start_next = share.used + share.first_request;
+    let is_significant =
+        lacking >= allocation / SHORTFALL_DIVISOR || share.outstanding < to_start_next;
+    if is_significant { lacking } else { 0 }
 }
 
 #[cfg(test)]
