--- a/src/coordination/quota/demand.rs
+++ b/src/coordination/quota/demand.rs
@@ -1,15 +1,15 @@
-//! What teams use and ask for in this cell, and quotas in terms of resources.
+//! The use and demand of teams in this cell, and conversions between quotas and resources.
 
 use std::collections::BTreeMap;
 
 use crate::{
-    cluster::{ClusterState, Resources, Team as BookedTeam},
+    cluster::{ClusterState, Resources, Team as ClusterTeam},
     config::Team,
     protocol::job::JobKind,
     quota::{Quota, TeamQuota, participant::TeamDemand, units_allowed, units_of_limit, units_used},
 };
 
-/// Units of a quota as resources.
+/// A quota's units as resources.
 pub(super) fn quota_to_resources(quota: Quota) -> Resources {
     Resources {
         cpus: quota.cpus as f64 / 1000.0,
@@ -19,14 +19,14 @@
 }
 
 /// Resources in use as units of a quota, rounded up.
-pub(super) fn resources_to_quota(amounts: &Resources) -> Quota {
+pub(super) fn resources_to_quota(resources: &Resources) -> Quota {
     Quota {
-        cpus: units_used(amounts.cpus),
-        gpus: units_used(amounts.gpus),
+        cpus: units_used(resources.cpus),
+        gpus: units_used(resources.gpus),
     }
 }
 
-/// What operators set for each team.
+/// Each team's quota in the settings, by the team's name.
 pub(super) fn configured_quotas(teams: &[Team]) -> BTreeMap<&str, TeamQuota> {
     let quota = |team: &Team| TeamQuota {
         guarantee: Quota {
@@ -44,45 +44,45 @@
         .collect()
 }
 
-/// What each team uses in this cell, what waits, and what of it can't be divided.
+/// Each team's use and demand in this cell, in the order of the teams.
 pub(super) fn team_demands(cluster: &ClusterState) -> Vec<TeamDemand> {
     let mut waiting = vec![Resources::default(); cluster.teams.len()];
-    let mut grains = vec![Resources::default(); cluster.teams.len()];
+    let mut largest_tasks = vec![Resources::default(); cluster.teams.len()];
     let jobs = cluster.jobs_by_id.values().map(|index| cluster.job(*index));
     for job in jobs.filter(|job| !job.closed) {
-        let (team, slots) = (job.team.as_usize(), job.placeable_tasks() as f64);
-        waiting[team].cpus += job.requested.cpus * slots;
-        waiting[team].gpus += job.requested.gpus * slots;
+        let (team, task_count) = (job.team.as_usize(), job.placeable_tasks() as f64);
+        waiting[team].cpus += job.requested.cpus * task_count;
+        waiting[team].gpus += job.requested.gpus * task_count;
         if job.tasks.len() > job.waiting.len() + job.done_count as usize {
-            let grain = &mut grains[team];
-            grain.cpus = grain.cpus.max(job.requested.cpus);
-            grain.gpus = grain.gpus.max(job.requested.gpus);
+            let largest = &mut largest_tasks[team];
+            largest.cpus = largest.cpus.max(job.requested.cpus);
+            largest.gpus = largest.gpus.max(job.requested.gpus);
         }
     }
-    let teams = cluster.teams.iter().zip(waiting).zip(grains);
-    let demand = |((team, waiting), grain): ((&BookedTeam, Resources), Resources)| TeamDemand {
+    let teams = cluster.teams.iter().zip(waiting).zip(largest_tasks);
+    let demand = |((team, waiting), largest): ((&ClusterTeam, Resources), Resources)| TeamDemand {
         used: resources_to_quota(&team.reserved),
         waiting: resources_to_quota(&waiting),
-        first_request: smallest_request(cluster, team),
-        largest_task: resources_to_quota(&grain),
+        first_request: first_request(cluster, team),
+        largest_task: resources_to_quota(&largest),
     };
     teams.map(demand).collect()
 }
 
-/// What the team's first waiting job needs at once: a gang all of it.
-fn smallest_request(cluster: &ClusterState, team: &BookedTeam) -> Quota {
-    let Some(&(.., first)) = team.queue.first() else {
+/// What the team's first waiting job needs to start: one task, or all tasks of a gang.
+fn first_request(cluster: &ClusterState, team: &ClusterTeam) -> Quota {
+    let Some(&(.., first_job)) = team.queue.first() else {
         return Quota::ZERO;
     };
-    let job = cluster.job(first);
-    let at_once = if job.kind == JobKind::Gang {
+    let job = cluster.job(first_job);
+    let task_count = if job.kind == JobKind::Gang {
         job.placeable_tasks() as f64
     } else {
         1.0
     };
     resources_to_quota(&Resources {
-        cpus: job.requested.cpus * at_once,
-        gpus: job.requested.gpus * at_once,
+        cpus: job.requested.cpus * task_count,
+        gpus: job.requested.gpus * task_count,
         ram_gb: 0.0,
     })
 }
--- a/src/coordination/quota/exchange.rs
+++ b/src/coordination/quota/exchange.rs
@@ -1,4 +1,4 @@
-//! Reports to other cells and their grants, and the reverse.
+//! The exchange of reports and grants with other cells.
 
 use super::{CellGrants, CellQuotas, CellReport, demand::team_demands};
 use crate::{
@@ -8,52 +8,60 @@
     time::Millis,
 };
 
-/// How often a cell reports to another.
+/// The interval between reports to another cell.
 const REPORT_INTERVAL_MS: Millis = 400;
-/// After so long an answer is no longer waited for.
+/// How long a response to a report is waited for before the next report is sent.
 const REPORT_TIMEOUT_MS: Millis = 3000;
 
-/// The exchange with another cell.
+/// The state of the exchange with another cell.
 #[derive(Debug, Default)]
 pub(super) struct PeerExchange {
     pub(super) sent_at: Option<Millis>,
-    pub(super) awaits_answer: bool,
-    pub(super) answered_at: Option<Millis>,
-    /// When its silence was last logged.
+    pub(super) awaits_response: bool,
+    pub(super) responded_at: Option<Millis>,
+    /// When the lack of responses was last logged.
     pub(super) warned_at: Option<Millis>,
 }
 
 impl CellQuotas {
-    /// Takes in the list of cells that another cell named; returns whether it is the same as this one's.
+    /// Returns whether another cell has the same list of cells as this cell has configured and stored. If so, the
+    /// other cell counts as having confirmed the list; otherwise its message is logged as rejected.
     pub(super) fn confirm_cell_list(&mut self, cell: &str, cells: &[String]) -> bool {
-        let alike = cells == self.cells && self.peers.contains_key(cell) && self.has_stored_cells();
-        if alike {
+        let is_same_list =
+            cells == self.cells && self.peers.contains_key(cell) && self.has_stored_cells();
+        if is_same_list {
             self.agreeing_cells.insert(cell.to_owned());
         } else {
             self.rejected_messages += 1;
-            tracing::error!(cell, ?cells, known = ?self.cells, "a cell that knows other cells is not heard");
+            tracing::error!(
+                cell,
+                ?cells,
+                own_cells = ?self.cells,
+                "rejected a message from a cell with a different list of cells"
+            );
         }
-        alike
+        is_same_list
     }
 
-    /// Counts and logs a message of another cell that is not taken in.
+    /// Counts and logs a rejected report or grant.
     pub(super) fn reject_message(&mut self, team: &str, error: &QuotaError) {
         self.rejected_messages += 1;
-        tracing::error!(team, %error, "another cell's word on a quota is not taken");
+        tracing::error!(team, %error, "rejected a quota message");
     }
 
-    /// Teams whose coordinator is this cell are reported and granted without a message.
+    /// Exchanges this cell's reports and grants, without messages, for teams that it coordinates itself.
     pub(super) fn exchange_locally(&mut self, cluster: &ClusterState, now: Millis) {
         for (team, demand) in cluster.teams.iter().zip(team_demands(cluster)) {
             let Some(coordinator) = self.coordinators.get_mut(&team.name) else {
                 continue;
             };
             let participant = self.participants.entry(team.name.clone()).or_default();
-            let heard = coordinator.on_report(&self.own_cell, participant.report(&demand), now);
-            let granted = coordinator
+            let report_outcome =
+                coordinator.on_report(&self.own_cell, participant.report(&demand), now);
+            let grant_outcome = coordinator
                 .grant(&self.own_cell)
                 .map(|grant| participant.on_grant(&self.own_cell, grant));
-            let outcome = heard.and(granted.unwrap_or(Ok(())));
+            let outcome = report_outcome.and(grant_outcome.unwrap_or(Ok(())));
             if let Err(error) = outcome {
                 let name = team.name.clone();
                 self.reject_message(&name, &error);
@@ -61,7 +69,7 @@
         }
     }
 
-    /// What this cell tells the coordinator of some teams.
+    /// This cell's report to another cell, for the teams that the other cell coordinates.
     pub(super) fn cell_report(
         &mut self,
         to: &str,
@@ -83,7 +91,8 @@
         }
     }
 
-    /// As a coordinator, takes another cell's report in and answers it.
+    /// Takes in another cell's report and returns the grants for the teams that this cell coordinates. `None`: the
+    /// records have not been read yet, or the other cell has a different list of cells.
     pub(super) fn answer_cell_report(
         &mut self,
         report: &CellReport,
@@ -93,11 +102,11 @@
             return None;
         }
         let mut teams = Vec::new();
-        for (team, position) in &report.positions {
+        for (team, team_report) in &report.positions {
             let Some(coordinator) = self.coordinators.get_mut(team) else {
                 continue;
             };
-            match coordinator.on_report(&report.from, *position, now) {
+            match coordinator.on_report(&report.from, *team_report, now) {
                 Ok(()) => teams.extend(
                     coordinator
                         .grant(&report.from)
@@ -113,15 +122,15 @@
         })
     }
 
-    /// A coordinator's answer.
-    pub(super) fn apply_grants(&mut self, cell: &str, answer: CellGrants, now: Millis) {
-        if answer.from != cell || !self.confirm_cell_list(cell, &answer.cells) {
+    /// Takes in the grants with which another cell, as a coordinator, responds to a report.
+    pub(super) fn apply_grants(&mut self, cell: &str, response: CellGrants, now: Millis) {
+        if response.from != cell || !self.confirm_cell_list(cell, &response.cells) {
             return;
         }
         if let Some(exchange) = self.peers.get_mut(cell) {
-            exchange.answered_at = Some(now);
+            exchange.responded_at = Some(now);
         }
-        for (team, grant) in answer.grants {
+        for (team, grant) in response.grants {
             let participant = self.participants.entry(team.clone()).or_default();
             if let Err(error) = participant.on_grant(cell, grant) {
                 self.reject_message(&team, &error);
@@ -131,7 +140,7 @@
 }
 
 impl Node {
-    /// Reports to each other cell that is due how teams stand here.
+    /// Sends a report to each other cell for which the interval, or the wait for a response, is over.
     pub(super) fn send_cell_reports(&mut self) {
         let now = self.now;
         let Some(leader) = &mut self.leader_state else {
@@ -144,15 +153,15 @@
         if !quotas.is_loaded {
             return;
         }
-        let due = |exchange: &PeerExchange| {
-            let wait = if exchange.awaits_answer {
+        let is_due = |exchange: &PeerExchange| {
+            let wait = if exchange.awaits_response {
                 REPORT_TIMEOUT_MS
             } else {
                 REPORT_INTERVAL_MS
             };
             exchange.sent_at.is_none_or(|at| at + wait <= now)
         };
-        let peers = quotas.peers.iter().filter(|(_, exchange)| due(exchange));
+        let peers = quotas.peers.iter().filter(|(_, exchange)| is_due(exchange));
         let peers: Vec<String> = peers.map(|(cell, _)| cell.clone()).collect();
         if peers.is_empty() {
             return;
@@ -162,7 +171,7 @@
             let report = quotas.cell_report(&cell, cluster, &demands);
             if let Some(exchange) = quotas.peers.get_mut(&cell) {
                 exchange.sent_at = Some(now);
-                exchange.awaits_answer = true;
+                exchange.awaits_response = true;
             }
             self.effects.push(Effect::SendCellReport {
                 lease,
@@ -172,11 +181,12 @@
         }
     }
 
+    /// Handles another cell's response to a report; `None`: there was no response.
     pub(in crate::coordination) fn on_cell_grants(
         &mut self,
         lease: u64,
         cell: &str,
-        answer: Option<CellGrants>,
+        response: Option<CellGrants>,
     ) {
         if !self.holds_leadership(lease) {
             return;
@@ -186,25 +196,25 @@
             return;
         };
         if let Some(exchange) = quotas.peers.get_mut(cell) {
-            exchange.awaits_answer = false;
+            exchange.awaits_response = false;
         }
-        if let Some(answer) = answer {
-            quotas.apply_grants(cell, answer, now);
+        if let Some(response) = response {
+            quotas.apply_grants(cell, response, now);
         }
     }
 
-    /// Another cell's report. A node that does not lead does not answer it.
+    /// Handles another cell's report. Only a leader whose lease is still valid responds with grants.
     pub(in crate::coordination) fn handle_cell_report(
         &mut self,
         id: RequestId,
         report: &CellReport,
     ) {
         let now = self.now;
-        let may_start = self.can_start_tasks();
-        let answer = self
+        let can_start = self.can_start_tasks();
+        let response = self
             .leader_quotas_mut()
-            .filter(|_| may_start)
+            .filter(|_| can_start)
             .and_then(|quotas| quotas.answer_cell_report(report, now));
-        self.effects.push(Effect::RespondCellReport(id, answer));
+        self.effects.push(Effect::RespondCellReport(id, response));
     }
 }
--- a/src/coordination/quota/messages.rs
+++ b/src/coordination/quota/messages.rs
@@ -1,4 +1,4 @@
-//! What cells tell each other of teams' quotas, and what a cell stores of its membership.
+//! The messages in which cells exchange teams' quotas, and the stored record of which cells share them.
 
 use std::collections::BTreeSet;
 
@@ -6,40 +6,40 @@
 
 use crate::quota::{Grant, ParticipantReport};
 
-/// A cell tells another how it stands in the teams whose home the other is.
+/// A cell's report to another cell, for the teams that the other cell coordinates.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CellReport {
-    /// Who says so.
+    /// The cell that sends the report.
     pub from: String,
-    /// All cells that it knows, in their order.
+    /// The names of all cells that the sender has configured, sorted.
     pub cells: Vec<String>,
-    /// Each of those teams.
+    /// The report for each of those teams, by the team's name.
     pub positions: Vec<(String, ParticipantReport)>,
 }
 
-/// What the home answers.
+/// A coordinator's response to a [`CellReport`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CellGrants {
-    /// Who says so.
+    /// The cell that sends the grants.
     pub from: String,
-    /// All cells that it knows, in their order.
+    /// The names of all cells that the sender has configured, sorted.
     pub cells: Vec<String>,
-    /// Each team of which it is the home and that it was told of.
+    /// The grant for each reported team that the sender coordinates, by the team's name.
     pub grants: Vec<(String, Grant)>,
 }
 
-/// Which cells share quotas, as this cell has stored it. A home grants nothing before all cells have named the same
-/// list: one that knows other cells may know another home.
+/// The cells that share quotas, as stored in this cell. A coordinator grants nothing before all cells have confirmed
+/// the same list, because a cell with a different list may determine another coordinator for a team.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CellMembershipRecord {
-    /// All cells, in their order.
+    /// The names of all cells, sorted.
     pub cells: Vec<String>,
-    /// Those that have named the same list.
+    /// The cells that have confirmed the same list.
     pub confirmed: BTreeSet<String>,
 }
 
 impl CellMembershipRecord {
-    /// Whether all cells have named this list.
+    /// Whether all cells have confirmed this list.
     pub fn is_complete(&self) -> bool {
         !self.cells.is_empty() && self.cells.iter().all(|cell| self.confirmed.contains(cell))
     }
--- a/src/coordination/quota/mod.rs
+++ b/src/coordination/quota/mod.rs
@@ -1,9 +1,11 @@
-//! Quotas that cells share: the leader of each cell keeps its side, and for some teams the coordinator's.
+//! Quotas that cells share: the leader of each cell acts as a participant for all teams, and as the
+//! coordinator for some of them.
 //!
-//! All is off unless operators name this cell (`--cell`). Then no team may use anything before what this
-//! cell holds has been read from the state service and its coordinator has granted more. [`crate::quota`]
-//! tells why no team gets above its limit; here its records are read and written, under the leader's key
-//! and on the version that each replaces, and cells exchange reports a few times a second.
+//! This is off unless this cell is named on the command line (`--cell`). Then a team may use only what
+//! this cell's records, read from the state service, say that it holds, and what its coordinator grants
+//! from then on. [`crate::quota`] explains why no team exceeds its limit. This module reads and writes
+//! the records and exchanges reports with other cells a few times a second. Each write is conditional on
+//! the leader's key and on the version of the record that it replaces.
 
 mod demand;
 mod exchange;
@@ -29,10 +31,10 @@
 use exchange::PeerExchange;
 use records::{QuotaRead, QuotaRecordWrite};
 
-/// How often quotas are updated.
+/// The interval between updates of the quotas.
 const QUOTA_INTERVAL_MS: Millis = 100;
 
-/// The quotas that cells share, as the leader of this cell keeps them.
+/// The quotas that cells share, as held by this cell's leader.
 pub struct CellQuotas {
     own_cell: String,
     cells: Vec<String>,
@@ -41,27 +43,27 @@
     reading: QuotaRead,
     membership: CellMembershipRecord,
     membership_key_version: u64,
-    /// Cells that named this list, stored or not.
+    /// Cells that have confirmed this list, whether that is stored yet or not.
     agreeing_cells: BTreeSet<String>,
     coordinators: BTreeMap<String, Coordinator>,
     participants: BTreeMap<String, Participant>,
     writes_in_flight: Vec<QuotaRecordWrite>,
-    /// Counts writes: an answer is of one of them.
+    /// The number of the last write, to match a response to its write.
     write_number: u64,
-    /// The key that was written last: the next write begins behind it.
+    /// The last key that was written; the next write starts after it.
     last_written_key: String,
     updated_at: Millis,
     peers: BTreeMap<String, PeerExchange>,
-    /// Teams whose latest change is not in force everywhere.
+    /// Teams whose latest change is not in force in all cells.
     teams_changing: BTreeSet<String>,
-    /// Messages of other cells that were not taken in.
+    /// The number of rejected messages from other cells.
     pub rejected_messages: u64,
-    /// A record that is too long to be stored was logged.
+    /// A record that is too large to be stored has been logged.
     oversize_logged: bool,
 }
 
 impl CellQuotas {
-    /// Nothing is known yet.
+    /// The state before any record has been read.
     pub fn new(cells: &CellTopology) -> Self {
         let names = cells.names();
         let peers = cells.peers.keys();
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Whether the cells are those that this cell has stored, if it has.
+    /// Whether the configured cells are the same as the stored ones, or none are stored yet.
     pub(super) fn has_stored_cells(&self) -> bool {
         self.membership.cells.is_empty() || self.membership.cells == self.cells
     }
@@ -98,7 +100,8 @@
         coordinator_of(team, &self.cells) == Some(self.own_cell.as_str())
     }
 
-    /// Sets in the cluster state what each team may use here now.
+    /// Sets each team's limit and guarantee in the cluster state. Both are zero for a team without a record, and
+    /// for all teams until the records have been read.
     fn apply_limits(&self, cluster: &mut ClusterState) {
         for team in &mut cluster.teams {
             let participant = self.participants.get(&team.name);
@@ -119,7 +122,8 @@
 }
 
 impl Node {
-    /// Runs what is due for quotas: reads, returns, grants, writes and reports.
+    /// Runs one round of the quotas: reads and writes records, applies the limits, preempts what exceeds them
+    /// and reports to other cells.
     pub(super) fn run_quota_cycle(&mut self) {
         let Some(cells) = &self.config.cells else {
             return;
@@ -153,13 +157,13 @@
         self.send_cell_reports();
     }
 
-    /// The quotas that cells share, if this node leads and cells share any.
+    /// The quotas that cells share; `None` if this node is not the leader or cells share no quotas.
     fn leader_quotas_mut(&mut self) -> Option<&mut CellQuotas> {
         self.leader_state.as_mut()?.cell_quotas.as_mut()
     }
 }
 
-/// Stops what a team runs above what its coordinator has told it to come down to.
+/// Preempts tasks of teams whose use exceeds their target after their limit was lowered.
 fn preempt_excess(quotas: &CellQuotas, cluster: &mut ClusterState, now: Millis) {
     for index in 0..cluster.teams.len() as u32 {
         let team = &cluster.teams[TeamIndex(index).as_usize()];
@@ -182,23 +186,23 @@
             tracing::info!(
                 team = name,
                 tasks = victims.len(),
-                "its limit was lowered: tasks give way"
+                "preempting tasks above the team's lowered limit"
             );
         }
-        for (machine, at) in victims {
-            let job = cluster.job(cluster.machine(machine).attempts[at].job);
+        for (machine, attempt_index) in victims {
+            let job = cluster.job(cluster.machine(machine).attempts[attempt_index].job);
             let grace_s = if job.checkpoint_s > 0.0 {
                 job.save_s
             } else {
                 0.0
             };
-            cluster.request_stop(machine, at, grace_s);
+            cluster.request_stop(machine, attempt_index, grace_s);
         }
     }
 }
 
 impl LeaderState {
-    /// Whether tasks may be placed as far as quotas go: what this cell holds is known.
+    /// Whether the quotas allow tasks to be placed: cells share none, or this cell's records have been read.
     pub(super) fn has_loaded_quotas(&self) -> bool {
         self.cell_quotas
             .as_ref()
--- a/src/coordination/quota/records.rs
+++ b/src/coordination/quota/records.rs
@@ -1,5 +1,5 @@
-//! The records of quotas in the state service: read once by a new leader, and written on the version that
-//! each replaces.
+//! The records of quotas in the state service. A new leader reads them all once; a write is conditional on
+//! the version of the record that it replaces.
 
 use serde::de::DeserializeOwned;
 
@@ -26,8 +26,9 @@
 const PAGE_ROWS: u32 = 500;
 const READ_TIMEOUT_MS: Millis = 3000;
 const READ_RETRY_MS: Millis = 250;
-/// What a transaction may hold besides its values, and a value's key and conditions.
+/// The most bytes in a transaction, counting the values and [`RECORD_OVERHEAD_BYTES`] for each.
 const MAX_TXN_BYTES: usize = 60 * 1024;
+/// An allowance for a record's key and conditions.
 const RECORD_OVERHEAD_BYTES: usize = 512;
 
 /// A record that is being written.
@@ -37,18 +38,18 @@
     Participant(String, ParticipantRecord),
 }
 
-/// How far the reading of the records is.
+/// The progress of reading the records.
 #[derive(Debug, Default)]
 pub(super) struct QuotaRead {
     pub(super) is_needed: bool,
     in_flight: bool,
     after_key: Option<String>,
-    /// After a failure: not again before.
+    /// After a failure, the time of the next attempt.
     retry_at: Millis,
 }
 
 impl QuotaRead {
-    /// All records are to be read, from the first on.
+    /// All records have to be read, starting with the first.
     pub(super) fn needed() -> Self {
         QuotaRead {
             is_needed: true,
@@ -68,7 +69,7 @@
 }
 
 impl CellQuotas {
-    /// Takes in a record that was read.
+    /// Takes in a record read from the state service. One that can't be parsed is logged and skipped.
     pub(super) fn apply_row(&mut self, row: Row, now: Millis) {
         let key = row.key.as_str();
         if key == storage::QUOTA_CELLS_KEY {
@@ -101,11 +102,11 @@
         }
     }
 
-    /// The record of the members, if more have named the list than is stored.
+    /// The membership record to write, if more cells have confirmed the list than the stored record says.
     pub(super) fn membership_to_write(&self) -> Option<CellMembershipRecord> {
-        let known =
+        let has_new =
             self.has_stored_cells() && !self.agreeing_cells.is_subset(&self.membership.confirmed);
-        known.then(|| CellMembershipRecord {
+        has_new.then(|| CellMembershipRecord {
             cells: self.cells.clone(),
             confirmed: self
                 .membership
@@ -116,7 +117,7 @@
         })
     }
 
-    /// What is to be written next.
+    /// The records that have changed and are to be written.
     pub(super) fn records_to_write(
         &mut self,
         teams: &[Team],
@@ -152,7 +153,7 @@
                 items.push(QuotaRecordWrite::Coordinator((*name).to_owned(), record));
             }
         }
-        // What a team that is no longer named holds comes back.
+        // Reclaim the units of teams that are no longer configured.
         for (name, coordinator) in &mut self.coordinators {
             if !configured.contains_key(name.as_str())
                 && let Some(record) = coordinator.next_record(TeamQuota::default(), now)
@@ -163,16 +164,17 @@
         items
     }
 
-    /// Puts records in the order in which they are written, round and round by their keys: a transaction
-    /// holds a few dozen, and under load the first teams have some to write each time.
+    /// Puts records in the order in which they are written: by key, starting after the last key written. A
+    /// transaction holds only a few dozen records, and under load the first teams have one to write every
+    /// time, so that always starting with them would hold up the others.
     pub(super) fn in_write_order(&self, mut items: Vec<QuotaRecordWrite>) -> Vec<QuotaRecordWrite> {
         items.sort_by_cached_key(QuotaRecordWrite::store_key);
-        let next = items.partition_point(|item| item.store_key() <= self.last_written_key);
-        items.rotate_left(next);
+        let start = items.partition_point(|item| item.store_key() <= self.last_written_key);
+        items.rotate_left(start);
         items
     }
 
-    /// Where a record is kept, the version that it replaces, and its value.
+    /// A record's key, the version that it replaces, and its value.
     pub(super) fn prepared_write(
         &self,
         item: &QuotaRecordWrite,
@@ -195,7 +197,7 @@
         (item.store_key(), version, value)
     }
 
-    /// A record was stored.
+    /// Takes over a record that has been stored with this version of its key.
     pub(super) fn on_record_stored(&mut self, item: QuotaRecordWrite, version: u64, now: Millis) {
         match item {
             QuotaRecordWrite::Membership(record) => {
@@ -220,14 +222,14 @@
     match serde_json::from_value(row.value.clone()) {
         Ok(record) => Some(record),
         Err(error) => {
-            tracing::error!(key = row.key, %error, "a quota's record can't be read");
+            tracing::error!(key = row.key, %error, "a quota record can't be parsed");
             None
         }
     }
 }
 
 impl Node {
-    /// Asks for the next page of records, if they are to be read.
+    /// Requests the next page of records, if they have to be read and no write is in flight.
     pub(super) fn request_quota_records(&mut self) {
         let Some(leader) = &mut self.leader_state else {
             return;
@@ -255,7 +257,7 @@
         );
     }
 
-    /// Takes in a page of records.
+    /// Handles the response to the read of a page of records.
     pub(in crate::coordination) fn on_quota_records_read(
         &mut self,
         lease: u64,
@@ -281,13 +283,13 @@
             quotas.reading = QuotaRead::default();
             quotas.is_loaded = true;
             if !quotas.has_stored_cells() {
-                tracing::error!(stored = ?quotas.membership.cells, named = ?quotas.cells,
-                    "other cells are named than are stored: nothing is granted or returned");
+                tracing::error!(stored = ?quotas.membership.cells, configured = ?quotas.cells,
+                    "the configured cells differ from the stored ones: nothing is granted or returned");
             }
         }
     }
 
-    /// Writes as many records as a transaction holds.
+    /// Writes as many of the records as one transaction can hold.
     pub(super) fn write_quota_records(&mut self, items: Vec<QuotaRecordWrite>) {
         let state = &self.config.settings.state;
         let (max_ops, value_bytes) = (state.max_txn_ops as usize, state.max_value_bytes());
@@ -306,7 +308,7 @@
             if size > value_bytes {
                 if !quotas.oversize_logged {
                     quotas.oversize_logged = true;
-                    tracing::error!(key, size, "a quota's record is too long to be stored");
+                    tracing::error!(key, size, "a quota record is too large to be stored");
                 }
                 continue;
             }
@@ -322,19 +324,19 @@
             return;
         }
         quotas.write_number += 1;
-        let write = quotas.write_number;
+        let current_write = quotas.write_number;
         let tag = StateTag::WriteCellQuotas {
             lease,
-            write_number: write,
+            write_number: current_write,
         };
         self.call_state_service(tag, StateRequest::Txn(txn), Urgency::Prompt, TXN_TIMEOUT_MS);
     }
 
-    /// Handles the answer to a write of records.
+    /// Handles the response to a write of records.
     pub(in crate::coordination) fn on_quota_records_written(
         &mut self,
         lease: u64,
-        write: u64,
+        write_number: u64,
         result: Result<StateReply, StateError>,
     ) {
         let Some(outcome) = self.write_outcome(lease, result) else {
@@ -344,7 +346,7 @@
         let Some(quotas) = self.leader_quotas_mut() else {
             return;
         };
-        if write != quotas.write_number {
+        if write_number != quotas.write_number {
             return;
         }
         let items = std::mem::take(&mut quotas.writes_in_flight);
@@ -354,7 +356,7 @@
                     quotas.on_record_stored(item, version, now);
                 }
             }
-            // It may be applied, now or later: what stands is read before anything else is written.
+            // The write may be applied, now or later: read the stored records before writing anything else.
             WriteOutcome::Unknown => quotas.reading.is_needed = true,
             WriteOutcome::Rejected => {}
         }
--- a/src/coordination/quota/status.rs
+++ b/src/coordination/quota/status.rs
@@ -1,4 +1,4 @@
-//! How quotas stand, for metrics and the log.
+//! The status of quotas, for metrics and the log.
 
 use super::{CellQuotas, demand::quota_to_resources};
 use crate::{
@@ -8,41 +8,42 @@
     time::Millis,
 };
 
-/// A cell that has not answered for that long is logged.
-const SILENT_CELL_WARNING_MS: Millis = 6000;
-/// How often it is logged again.
-const SILENT_CELL_REPEAT_MS: Millis = 60_000;
+/// A cell that has not responded for this long is logged.
+const UNRESPONSIVE_CELL_WARNING_MS: Millis = 6000;
+/// The interval at which it is logged again.
+const UNRESPONSIVE_CELL_REPEAT_MS: Millis = 60_000;
 
-/// How the quota of a team stands in this cell.
+/// The status of a team's quota in this cell.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TeamQuotaStatus {
-    /// The team.
+    /// The team's name.
     pub team: String,
-    /// Units of what it may use here.
+    /// What the team may use here: GPUs if any machine type has GPUs, otherwise CPUs.
     pub allocated_units: f64,
-    /// Units of what it uses here.
+    /// What the team uses here: GPUs if any machine type has GPUs, otherwise CPUs.
     pub used_units: f64,
-    /// The version of its quota that is known here.
+    /// The version of its quota that this cell has stored; 0: none.
     pub quota_version: u64,
 }
 
-/// How quotas stand, as this cell's leader sees it.
+/// The status of quotas as known to this cell's leader.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QuotaStatus {
-    /// This cell.
+    /// This cell's name.
     pub own_cell: String,
     /// Each team in this cell.
     pub teams: Vec<TeamQuotaStatus>,
-    /// For how long the oldest change of a team whose coordinator this is has waited to be in force.
+    /// For how long, in milliseconds, the oldest change of a team that this cell coordinates has not been in
+    /// force in all cells; 0: there is none.
     pub oldest_change_ms: Millis,
-    /// In how many of those teams each cell is behind.
+    /// For each cell, the number of those teams whose latest version it has not reported to enforce.
     pub cells_behind: Vec<(String, usize)>,
-    /// Messages of other cells that were not taken.
+    /// The number of rejected messages from other cells.
     pub rejected_messages: u64,
 }
 
 impl CellQuotas {
-    /// Logs changes that are in force, and cells that are silent.
+    /// Logs changes that are not in force in all cells yet, changes that now are, and cells that do not respond.
     pub(super) fn log_changes(&mut self, now: Millis) {
         for (team, coordinator) in &self.coordinators {
             match coordinator.pending_for(now) {
@@ -52,7 +53,7 @@
                         tracing::info!(
                             team,
                             version,
-                            "a quota's change is not in force everywhere yet"
+                            "a quota change is not in force in all cells yet"
                         );
                     }
                 }
@@ -66,29 +67,30 @@
             }
         }
         for (cell, exchange) in &mut self.peers {
-            let since = exchange.answered_at.or(exchange.sent_at);
-            let silent = since.is_some_and(|at| at + SILENT_CELL_WARNING_MS < now);
-            let warned = exchange
+            let since = exchange.responded_at.or(exchange.sent_at);
+            let is_unresponsive = since.is_some_and(|at| at + UNRESPONSIVE_CELL_WARNING_MS < now);
+            let was_warned = exchange
                 .warned_at
-                .is_some_and(|at| at + SILENT_CELL_REPEAT_MS > now);
-            if silent && !warned {
+                .is_some_and(|at| at + UNRESPONSIVE_CELL_REPEAT_MS > now);
+            if is_unresponsive && !was_warned {
                 exchange.warned_at = Some(now);
-                let behind = self
+                let outdated = self
                     .coordinators
                     .values()
                     .filter(|coordinator| coordinator.outdated_cells().contains(&cell.as_str()));
-                let (changes, for_ms) = (behind.count(), now.saturating_sub(since.unwrap_or(now)));
+                let (pending_changes, unresponsive_ms) =
+                    (outdated.count(), now.saturating_sub(since.unwrap_or(now)));
                 tracing::warn!(
                     cell,
-                    for_ms,
-                    changes,
-                    "a cell does not answer; it keeps what it holds"
+                    unresponsive_ms,
+                    pending_changes,
+                    "no response from a cell; it keeps the quota that it holds"
                 );
             }
         }
     }
 
-    /// How quotas stand.
+    /// The current status of quotas.
     pub fn status(&self, cluster: &ClusterState, now: Millis) -> QuotaStatus {
         let teams = cluster.teams.iter().map(|team| {
             let participant = self.participants.get(&team.name);
@@ -100,28 +102,28 @@
                 quota_version: participant.map_or(0, |participant| participant.stored().version),
             }
         });
-        let waiting = self
+        let pending_ms = self
             .coordinators
             .values()
             .filter_map(|coordinator| coordinator.pending_for(now));
-        let behind = self.cells.iter().map(|cell| {
+        let cells_behind = self.cells.iter().map(|cell| {
             let coordinators = self.coordinators.values();
-            let count = coordinators
+            let outdated = coordinators
                 .filter(|coordinator| coordinator.outdated_cells().contains(&cell.as_str()));
-            (cell.clone(), count.count())
+            (cell.clone(), outdated.count())
         });
         QuotaStatus {
             own_cell: self.own_cell.clone(),
             teams: teams.collect(),
-            oldest_change_ms: waiting.max().unwrap_or(0),
-            cells_behind: behind.collect(),
+            oldest_change_ms: pending_ms.max().unwrap_or(0),
+            cells_behind: cells_behind.collect(),
             rejected_messages: self.rejected_messages,
         }
     }
 }
 
 impl Node {
-    /// How quotas stand; `None`: this node does not lead, or cells share none.
+    /// The status of quotas; `None` if this node is not the leader or cells share no quotas.
     pub(in crate::coordination) fn quota_status(&self) -> Option<QuotaStatus> {
         let leader = self.leader_state.as_ref()?;
         let (quotas, cluster) = (leader.cell_quotas.as_ref()?, leader.cluster.as_ref()?);
--- a/src/coordination/quota/teams.rs
+++ b/src/coordination/quota/teams.rs
@@ -1,23 +1,24 @@
-//! Teams that change while the service runs.
+//! Changes of the teams while the service runs.
 
 use std::collections::BTreeSet;
 
 use crate::{
-    cluster::{ClusterState, Resources, Team as BookedTeam},
+    cluster::{ClusterState, Resources, Team as ClusterTeam},
     config::Team,
     coordination::Node,
 };
 
 impl Node {
-    /// The settings name other teams, limits or guarantees. All of it is taken, or nothing.
+    /// Applies new teams, limits and guarantees from the settings: all of them, or none if a removed team still
+    /// has work.
     pub(in crate::coordination) fn reconfigure_teams(&mut self, teams: Vec<Team>) {
         if self.config.cells.is_none() {
             return;
         }
-        let named: BTreeSet<&str> = teams.iter().map(|team| team.name.as_str()).collect();
-        let busy = self.busy_removed_teams(&named);
-        if !busy.is_empty() {
-            tracing::error!(teams = ?busy, "removed teams still have work: the settings before stay in force");
+        let configured: BTreeSet<&str> = teams.iter().map(|team| team.name.as_str()).collect();
+        let with_work = self.removed_teams_with_work(&configured);
+        if !with_work.is_empty() {
+            tracing::error!(teams = ?with_work, "removed teams still have work: keeping the previous settings");
             return;
         }
         let cluster = self
@@ -27,38 +28,40 @@
         if let Some(cluster) = cluster {
             add_new_teams(cluster, &teams);
         }
-        tracing::info!(teams = teams.len(), "teams were read again");
+        tracing::info!(teams = teams.len(), "reloaded the teams");
         self.config.settings.teams = teams;
     }
 
-    /// Teams that are no longer named and have unfinished jobs, or tasks that may be running.
-    fn busy_removed_teams(&self, named: &BTreeSet<&str>) -> Vec<String> {
-        let live = self
+    /// Teams that are no longer configured but have unfinished jobs, or tasks that may be running.
+    fn removed_teams_with_work(&self, configured: &BTreeSet<&str>) -> Vec<String> {
+        let with_jobs = self
             .registry
             .live_jobs()
             .map(|(_, job)| job.spec.team.as_str());
-        let mut busy: BTreeSet<&str> = live.filter(|team| !named.contains(team)).collect();
+        let mut removed: BTreeSet<&str> = with_jobs
+            .filter(|team| !configured.contains(team))
+            .collect();
         let cluster = self
             .leader_state
             .as_ref()
             .and_then(|leader| leader.cluster.as_ref());
         let teams = cluster.into_iter().flat_map(|cluster| &cluster.teams);
-        let booked =
+        let with_reservations =
             teams.filter(|team| team.reserved.cpus > 0.0005 || team.reserved.gpus > 0.0005);
-        let booked = booked.map(|team| team.name.as_str());
-        busy.extend(booked.filter(|team| !named.contains(team)));
-        busy.into_iter().map(str::to_owned).collect()
+        let with_reservations = with_reservations.map(|team| team.name.as_str());
+        removed.extend(with_reservations.filter(|team| !configured.contains(team)));
+        removed.into_iter().map(str::to_owned).collect()
     }
 }
 
-/// Enters new teams; each may use nothing until its home has granted something.
+/// Adds new teams to the cluster state. A new team may use nothing until its coordinator grants units.
 fn add_new_teams(cluster: &mut ClusterState, teams: &[Team]) {
     for team in teams {
         if cluster.team_interner.get(&team.name).is_some() {
             continue;
         }
         cluster.team_interner.intern(&team.name);
-        cluster.teams.push(BookedTeam {
+        cluster.teams.push(ClusterTeam {
             name: team.name.clone(),
             guarantee: Resources::default(),
             limit: Resources::default(),
--- a/src/coordination/quota/tests.rs
+++ b/src/coordination/quota/tests.rs
@@ -5,12 +5,12 @@
     quota::{Account, CoordinatorRecord, Grant, ParticipantRecord},
 };
 
-/// Teams whose homes are the first and the second of the cells a, b and c.
-fn team_coordinated_by(home: &str) -> String {
+/// The name of a team that `coordinator` coordinates among the cells a, b and c.
+fn team_coordinated_by(coordinator: &str) -> String {
     let cells = ["a", "b", "c"].map(String::from);
     let names = (0..).map(|number| format!("team-{number}"));
-    let mut names = names.filter(|name| coordinator_of(name, &cells) == Some(home));
-    names.next().expect("some team has its home there")
+    let mut names = names.filter(|name| coordinator_of(name, &cells) == Some(coordinator));
+    names.next().expect("the cell coordinates some team")
 }
 
 fn cell_quotas() -> CellQuotas {
@@ -33,8 +33,8 @@
     .unwrap()
 }
 
-/// Writes all that is to be written, as version 1, 2 and so on; how many records.
-fn write(
+/// Stores all changed records under this version of their keys and returns how many there were.
+fn store_changed_records(
     quotas: &mut CellQuotas,
     settings: &Settings,
     cluster: &ClusterState,
@@ -64,7 +64,7 @@
     let mut quotas = cell_quotas();
     let list = ["a", "b", "c"];
     for (version, cell) in [(1, "b"), (2, "c")] {
-        write(&mut quotas, &settings, &cluster, version);
+        store_changed_records(&mut quotas, &settings, &cluster, version);
         assert!(!quotas.coordinators.contains_key(&team), "before {cell}");
         assert!(
             quotas
@@ -72,12 +72,12 @@
                 .is_some()
         );
     }
-    write(&mut quotas, &settings, &cluster, 3);
+    store_changed_records(&mut quotas, &settings, &cluster, 3);
     assert!(
         quotas.membership.is_complete(),
-        "stored before anything is granted"
+        "the confirmed list is stored before anything is granted"
     );
-    write(&mut quotas, &settings, &cluster, 4);
+    store_changed_records(&mut quotas, &settings, &cluster, 4);
     assert_eq!(quotas.coordinators[&team].stored().version, 1);
 }
 
@@ -111,7 +111,10 @@
         quotas.answer_cell_report(&cell_report("b", &["a", "b", "c"]), 0),
         None
     );
-    assert_eq!(write(&mut quotas, &settings, &cluster, 1), 0);
+    assert_eq!(
+        store_changed_records(&mut quotas, &settings, &cluster, 1),
+        0
+    );
 }
 
 #[test]
@@ -138,12 +141,12 @@
         target: units(5000),
         ..Grant::default()
     };
-    let answer = CellGrants {
+    let response = CellGrants {
         from: "c".into(),
         cells: ["a", "b", "c"].map(String::from).to_vec(),
         grants: vec![(team.clone(), grant)],
     };
-    quotas.apply_grants("c", answer, 0);
+    quotas.apply_grants("c", response, 0);
     assert_eq!(quotas.rejected_messages, 1);
     assert_eq!(quotas.participants[&team].new_work_ceiling(), units(700));
     assert_eq!(
@@ -187,25 +190,26 @@
     assert_eq!(cluster.teams[0].limit.cpus, 8.0);
 }
 
-/// A drill of 330 teams had changes that came to be in force after 18 s: each write began with the first teams, which
-/// had something to write each time.
+/// With 330 teams, some changes took 18 s to be in force: each transaction started with the first teams, which had
+/// something to write every time.
 #[test]
 fn every_quota_record_is_written_despite_transaction_limit() {
     const TEAMS: usize = 100;
-    const AT_ONCE: usize = 8;
+    const RECORDS_PER_TXN: usize = 8;
     let mut quotas = cell_quotas();
     let mut written = BTreeSet::new();
-    for _ in 0..(2 * TEAMS).div_ceil(AT_ONCE) {
+    for _ in 0..(2 * TEAMS).div_ceil(RECORDS_PER_TXN) {
         let names = (0..TEAMS).map(|team| format!("team-{team:03}"));
         let items = names.flat_map(|team| {
-            let hold = QuotaRecordWrite::Participant(team.clone(), ParticipantRecord::default());
+            let participant_write =
+                QuotaRecordWrite::Participant(team.clone(), ParticipantRecord::default());
             [
                 QuotaRecordWrite::Coordinator(team, CoordinatorRecord::default()),
-                hold,
+                participant_write,
             ]
         });
         let items = quotas.in_write_order(items.collect());
-        for item in items.iter().take(AT_ONCE) {
+        for item in items.iter().take(RECORDS_PER_TXN) {
             quotas.last_written_key = item.store_key();
             written.insert(item.store_key());
         }
