--- a/src/coordination/quota/exchange.rs
+++ b/src/coordination/quota/exchange.rs
@@ -28,7 +28,7 @@
     /// other cell counts as having confirmed the list; otherwise its message is logged as rejected.
     pub(super) fn confirm_cell_list(&mut self, cell: &str, cells: &[String]) -> bool {
         let is_same_list =
-            cells == self.cells && self.peers.contains_key(cell) && self.has_stored_cells();
+            cells == self.cells && self.peers.contains_key(cell) && self.matches_stored_cells();
         if is_same_list {
             self.agreeing_cells.insert(cell.to_owned());
         } else {
--- a/src/coordination/quota/mod.rs
+++ b/src/coordination/quota/mod.rs
@@ -43,7 +43,7 @@
     reading: QuotaRead,
     membership: CellMembershipRecord,
     membership_key_version: u64,
-    /// Cells that have confirmed this list, whether that is stored yet or not.
+    /// Cells that have confirmed `cells`, whether that is stored yet or not.
     agreeing_cells: BTreeSet<String>,
     coordinators: BTreeMap<String, Coordinator>,
     participants: BTreeMap<String, Participant>,
@@ -91,7 +91,7 @@
     }
 
     /// Whether the configured cells are the same as the stored ones, or none are stored yet.
-    pub(super) fn has_stored_cells(&self) -> bool {
+    pub(super) fn matches_stored_cells(&self) -> bool {
         self.membership.cells.is_empty() || self.membership.cells == self.cells
     }
 
--- a/src/coordination/quota/records.rs
+++ b/src/coordination/quota/records.rs
@@ -104,8 +104,8 @@
 
     /// The membership record to write, if more cells have confirmed the list than the stored record says.
     pub(super) fn membership_to_write(&self) -> Option<CellMembershipRecord> {
-        let has_new =
-            self.has_stored_cells() && !self.agreeing_cells.is_subset(&self.membership.confirmed);
+        let has_new = self.matches_stored_cells()
+            && !self.agreeing_cells.is_subset(&self.membership.confirmed);
         has_new.then(|| CellMembershipRecord {
             cells: self.cells.clone(),
             confirmed: self
@@ -137,7 +137,7 @@
                 record.map(|record| QuotaRecordWrite::Participant(team.name.clone(), record)),
             );
         }
-        if !self.has_stored_cells() || !self.membership.is_complete() {
+        if !self.matches_stored_cells() || !self.membership.is_complete() {
             return items;
         }
         let configured = configured_quotas(teams);
@@ -282,7 +282,7 @@
         if !page.more {
             quotas.reading = QuotaRead::default();
             quotas.is_loaded = true;
-            if !quotas.has_stored_cells() {
+            if !quotas.matches_stored_cells() {
                 tracing::error!(stored = ?quotas.membership.cells, configured = ?quotas.cells,
                     "the configured cells differ from the stored ones: nothing is granted or returned");
             }
--- a/src/quota/coordinator/tests.rs
+++ b/src/quota/coordinator/tests.rs
@@ -42,7 +42,7 @@
     assert_eq!(
         coordinator.grant("b").unwrap().granted,
         Quota::ZERO,
-        "no report from it"
+        "b has not reported"
     );
 }
 
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn lowered_limit_is_in_force_once_all_cells_enforce_it_and_returned_units() {
+fn lowered_limit_is_in_force_once_all_cells_enforce_it_and_have_returned_units() {
     let mut coordinator = coordinator();
     let record = coordinator.next_record(configured(30), 10).unwrap();
     coordinator.on_stored(record, 2, 10);
--- a/src/quota/participant/tests.rs
+++ b/src/quota/participant/tests.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn returned_units_are_unusable_at_once_and_reported_once_stored() {
+fn returned_units_are_unusable_immediately_and_reported_once_stored() {
     let mut participant = funded_participant();
     participant
         .on_grant("coordinator", grant(2, 100, 30))
@@ -139,8 +139,9 @@
     assert_eq!(participant.report(&demand).wanted, quota(80));
 }
 
-/// The use on which a coordinator bases its target is out of date when the grant arrives. Tasks started in between were
-/// preempted, and as long as further tasks kept starting, the cell did not count as enforcing the version.
+/// The use on which a coordinator bases its target is out of date when the grant arrives. A cell that preempted down to
+/// that target would stop tasks started in between, and while further tasks kept starting it would not count as
+/// enforcing the version.
 #[test]
 fn rebalancing_to_another_cell_preempts_nothing() {
     let mut participant = funded_participant();
