--- a/tests/histories/cluster.rs
+++ b/tests/histories/cluster.rs
@@ -1,4 +1,5 @@
-//! The simulated cluster: its construction, its event queue and the life of its processes.
+//! The simulated cluster: construction, the event queue, and starting and stopping of node
+//! processes.
 
 use super::*;
 
@@ -88,14 +89,15 @@
             faults_enabled: true,
             leader: None,
         };
-        // In half of the histories the limits fall. Nodes that don't know of that yet write longer pages
-        // and entries, and lead in turn with those that do.
+        // In half of the histories the limits of the state service are lowered. Nodes that are not
+        // yet configured for the lower limits write larger snapshots and log records, and
+        // leadership moves between them and nodes that are.
         if seed % 2 == 1 {
             world.store.limits = USUAL_LIMITS;
             world.limit_notice_at = [20_000, 45_000, 70_000];
             world.limit_drop.0 = 80_000;
         }
-        // And now and then nobody was told of it.
+        // In a quarter of the histories no node is configured for the lower limits.
         if seed % 4 == 3 {
             world.limit_notice_at = [u64::MAX; NODE_COUNT];
             world.limits_unannounced = true;
@@ -157,7 +159,7 @@
         );
     }
 
-    /// The node that an event is to happen on.
+    /// Returns the node that handles the event, if a node does.
     pub(crate) fn node_of_event(what: &SimulationEvent) -> Option<usize> {
         match what {
             SimulationEvent::Tick(index, _)
@@ -195,8 +197,8 @@
         self.incarnations[index] += 1;
     }
 
-    /// What a process had under way to the state service and the workers as it ended is carried out late: its
-    /// successor under the same label is at work by then.
+    /// Delays the requests that a crashed process has in flight to the state service and to
+    /// workers: they are carried out when its successor under the same label is already running.
     pub(crate) fn delay_messages_of_crashed_node(&mut self, index: usize) {
         let life = self.incarnations[index];
         let of_it = |what: &SimulationEvent| match what {
@@ -219,7 +221,8 @@
         }
     }
 
-    /// A process ends and is back after a pause, mostly within a second.
+    /// Ends a process and schedules its restart after `pause` milliseconds, mostly less than a
+    /// second.
     pub(crate) fn stop_process(&mut self, index: usize, pause: u64) {
         self.crash(index);
         self.quick_restarts += usize::from(pause < 1000);
@@ -234,14 +237,16 @@
         }
     }
 
-    /// One process, or all of them, end several times in quick succession, also before they are ready.
+    /// Schedules one to four stops of each of the given processes in quick succession, some of them
+    /// before the process is ready.
     pub(crate) fn schedule_process_stops(&mut self, who: &[usize]) {
         for &index in who {
             let mut time = self.now;
             for _ in 0..self.rng.random_range(1..5) {
                 let pause = self.random_restart_delay();
                 self.schedule(time, SimulationEvent::StopProcess(index, pause));
-                // Ready takes some 100 ms here, a takeover some 300.
+                // In this simulation a process is ready after about 100 ms and a takeover takes
+                // about 300 ms.
                 time += pause + self.rng.random_range(5..2500);
             }
         }
@@ -259,7 +264,8 @@
             return;
         };
         let effects = node.step([command], now);
-        // The worst moment: all is decided, nothing is sent.
+        // Freezes the node after it has changed its state and before it sends any effect, the most
+        // harmful moment.
         if self.faults_enabled && self.rng.random_bool(0.0002) {
             self.freeze(index);
             self.effects_held_until = self.frozen_until[index];
@@ -270,7 +276,8 @@
         self.effects_held_until = 0;
     }
 
-    /// A node stands still: for less than the leader's lease, about as long, longer than a worker's.
+    /// Freezes a node for a time that is shorter than the leader's lease, about as long, or longer
+    /// than a worker's lease.
     pub(crate) fn freeze(&mut self, index: usize) {
         let lease = self.timings.lease_ttl_ms;
         let lengths = [
@@ -289,7 +296,7 @@
         self.leader_freezes += usize::from(self.leader == Some(index));
     }
 
-    /// The version of the leader's key, and the term.
+    /// Returns the version of the leader's key, if it exists, and the term.
     pub(crate) fn leadership(&self) -> (Option<u64>, u64) {
         let leader = self.store.row("shared/leader").map(|row| row.version);
         let term = self.store.row("shared/term");
--- a/tests/histories/combined_faults.rs
+++ b/tests/histories/combined_faults.rs
@@ -1,9 +1,11 @@
-//! Meetings of troubles, each brought about on purpose: what `docs/design.md`, "Meetings of two troubles", lists. Each
-//! test asserts that the meeting came about; the rules are checked by the world at every start and answer.
+//! Combinations of two faults, each injected on purpose: those listed in `docs/design.md`,
+//! "Meetings of two troubles". Each test asserts that the combination occurred; the simulated
+//! cluster checks the invariants at every start and response.
 
 use super::*;
 
-/// What the workers' times and the state service's limits are taken from: the first deployments', slow, fast.
+/// Seeds that select the worker timings and state service limits: of the first deployments, slow,
+/// and fast.
 const HISTORY_SEEDS: [u64; 4] = [0, 8, 10, 16];
 
 fn for_team_red(spec: Submission) -> Submission {
@@ -13,7 +15,7 @@
     }
 }
 
-/// A short task or more, of a team without a limit.
+/// Returns a job of short tasks, of a team without a limit.
 fn short_job(world: &mut SimulatedCluster, number: u64, tasks: u32, seconds: f64) -> Submission {
     Submission {
         estimate_s: seconds,
@@ -23,7 +25,7 @@
     }
 }
 
-/// Eight machines and a leader.
+/// Returns a cluster with eight machines and a leader.
 fn cluster_with_leader(seed: u64) -> SimulatedCluster {
     logging();
     let mut world = small_fleet(seed);
@@ -35,14 +37,15 @@
     world.leader.expect("a node leads")
 }
 
-/// The leader ends and is back after a pause.
+/// Ends the leader's process, restarts it after `pause` milliseconds, and returns its index.
 fn end_leader(world: &mut SimulatedCluster, pause: u64) -> usize {
     let old = leader_index(world);
     world.stop_process(old, pause);
     old
 }
 
-/// All jobs that nobody called off end within a while, their users asking now and then.
+/// Runs until all array jobs are done or cancelled, with their users polling. Panics after `within`
+/// milliseconds.
 fn run_until_jobs_end(world: &mut SimulatedCluster, within: u64) {
     let until = world.now + within;
     while world.now < until {
@@ -73,23 +76,23 @@
         .filter(|(_, (_, told))| !matches!(told.last, Some(JobStatus::Done | JobStatus::Cancelled)))
         .map(|(id, (_, told))| (*id, told.last, told.answered_at))
         .collect();
-    panic!("still open: {open:?}, at {}", world.now);
+    panic!("jobs without an end: {open:?}, at {} ms", world.now);
 }
 
-/// How many jobs ended as `status` by what their users were told.
+/// Returns how many jobs have `status` by the last response to their users.
 fn jobs_reported_as(world: &SimulatedCluster, status: JobStatus) -> usize {
     let all = world.jobs.values();
     all.filter(|(_, told)| told.last == Some(status)).count()
 }
 
-/// All that runs of a job, and where.
+/// Returns the running tasks of a job, with attempt and worker.
 fn running_tasks_of_job(world: &SimulatedCluster, number: u64) -> BTreeMap<TaskId, (u64, usize)> {
     let mut running = world.running();
     running.retain(|task, _| task.job == JobId(number));
     running
 }
 
-/// Machines of a zone.
+/// Returns the workers of a zone.
 fn workers_in_zone<'a>(
     world: &'a mut SimulatedCluster,
     zone: &'a str,
@@ -97,9 +100,10 @@
     world.workers.iter_mut().filter(move |w| w.zone == zone)
 }
 
-/// Users ask at all nodes within milliseconds, and submit again, right after each answer that tells something new:
-/// accepted, ended, cancelled; some call their jobs off at once. No answer is older than one already given (`told`), also
-/// where the state service takes its time, loses answers or carries transactions out late, and where the leader ends.
+/// Guards against stale reads. Users poll and submit again at all nodes within milliseconds after
+/// each response with a new state (accepted, ended, cancelled); some cancel their jobs right after.
+/// No response may be older than an earlier one (rule `told`), also while the state service is
+/// slow, loses responses or applies transactions late, and while the leader ends.
 #[test]
 fn reads_at_all_nodes_are_linearizable() {
     for (number, seed) in HISTORY_SEEDS.into_iter().chain([1, 5]).enumerate() {
@@ -115,7 +119,7 @@
             }
             for job in 1..=30u64 {
                 let mut spec = short_job(&mut world, job, 1 + job as u32 % 3, 1.5);
-                // A record under several keys, and one that awaits another.
+                // A record under several keys, and a job that depends on another.
                 if job % 10 == 3 {
                     spec.types = Some(
                         (0..60)
@@ -143,25 +147,27 @@
             );
             assert!(
                 done >= 5 && cancelled >= 5,
-                "{done} done, {cancelled} cancelled"
+                "only {done} jobs done, {cancelled} cancelled"
             );
-            // Three nodes, two questions at nine moments after each of two news of thirty jobs.
+            // Two requests at each of three nodes, at nine moments after each of two state changes
+            // of thirty jobs.
             assert!(
                 world.answered_consistency_checks > 1000,
-                "seed {seed}, {trouble}: {} looks",
+                "seed {seed}, fault {trouble}: only {} consistency checks",
                 world.answered_consistency_checks
             );
         }
     }
 }
 
-/// Of one kind of write after the other each is carried out at once and its answer lost, while users of all nodes look
-/// closely at what it wrote; in the middle the leader ends. Nothing is told, started or given away on the belief that
-/// it failed, and all jobs end.
+/// Guards against writes that are taken for failed because their response was lost. For one kind of
+/// transaction after the other, each is applied and its response lost, while users check at all
+/// nodes what it wrote, and the leader ends halfway. No response, start or release of resources may
+/// rest on the assumption that the write failed, and all jobs must end.
 #[expect(clippy::too_many_lines, reason = "still to be split")]
 #[test]
 fn writes_with_lost_replies_are_neither_undone_nor_repeated() {
-    // Each kind of transaction that a node sends.
+    // All kinds of transactions that a node sends.
     let kinds = [
         "PutJob",
         "CancelJob",
@@ -178,14 +184,15 @@
     ];
     for (number, kind) in kinds.into_iter().enumerate() {
         let large = ["WriteSnapshots", "DeleteSnapshots"].contains(&kind);
-        // Small values make the log long enough for pages.
+        // A small value limit makes the log long enough for snapshots.
         let seed = if large { 8 } else { [0, 1, 8][number % 3] };
         let mut world = small_fleet(seed);
         logging();
         world.lost_reply_kind = Some(kind);
         world.run_until(12_000);
         if large {
-            // More tasks than are told again, and more entries than the ring is to hold.
+            // More tasks than the leader writes to the log again, and more records than the log
+            // ring should hold.
             let spec = Submission {
                 cpus: 0.01,
                 ram_gb: 0.01,
@@ -194,24 +201,24 @@
             world.submit(spec);
         }
         world.run_until(13_000);
-        // The large one's user does not look, and so does not call it off.
+        // The user of the large job does not check it, and so does not cancel it.
         world.consistency_checks_until = FOREVER_MS;
         for job in 1..=40u64 {
             let mut spec = short_job(&mut world, job, 1 + job as u32 % 2, 2.0);
             if job % 10 == 5 {
-                // What follows from a cancellation is stored by the leader.
+                // The leader stores the cancellation of dependent jobs.
                 spec.dependencies = vec![JobId(job - 1)];
             }
             world.submit(spec);
             if job == 10 {
-                // Starts without an answer are settled behind a fence.
+                // Starts without a response are reconciled with a higher fencing token.
                 world.start_delay_ms = 4000;
             }
             if job == 14 {
                 world.start_delay_ms = 0;
             }
             if job == 20 && kind == "PutRenewerKey" {
-                // Nobody renews while no node can tell that it may.
+                // No node renews leases while none can verify that it may.
                 world.lost_reply_kind = None;
             }
             if job == 30 && large {
@@ -234,7 +241,7 @@
             .filter(|key| key.starts_with("books/"));
         assert!(
             lost > 0,
-            "{kind} did not lose an answer: {:?}, {} notes, {} starts",
+            "no {kind} lost its response: {:?}, {} leader records, {} starts",
             world.lost_replies_by_kind,
             rows.count(),
             world.starts
@@ -245,14 +252,18 @@
         }
         run_until_jobs_end(&mut world, 120_000);
         let looks = world.answered_consistency_checks;
-        assert!(looks > 500, "{kind}: {looks} looks");
-        // Nothing of what was called off is left, and nothing was started once more that had ended.
+        assert!(looks > 500, "{kind}: only {looks} consistency checks");
+        // No task of a cancelled job is left, and no completed task was started again.
         world.run_until(world.now + 2 * world.timings.lease_ttl_ms + 20_000);
-        assert!(world.running().is_empty(), "{kind}: {:?}", world.running());
+        assert!(
+            world.running().is_empty(),
+            "{kind}: tasks still run: {:?}",
+            world.running()
+        );
     }
 }
 
-/// How a zone's machines get out of reach.
+/// How the machines of a zone become unreachable.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum RemovalKind {
     Cut,
@@ -272,9 +283,11 @@
     }
 }
 
-/// A team is at its limit, and one job of its is called off while some of the machines that run it are cut off, hang, hear
-/// nothing or reach nobody, for less than a lease and for longer; the leader ends in that spell. What they take of the
-/// limit is nobody's until they are surely gone (each start is checked), then it is used.
+/// Guards against early reuse of a quota. A team is at its limit, and one of its jobs is cancelled
+/// while some of the machines that run it are partitioned, hang, receive nothing or reach no node,
+/// for less than a lease and for longer; the leader ends meanwhile. Their share of the limit must
+/// not be used until the tasks have certainly stopped (each start is checked), and must be used
+/// afterwards.
 #[expect(clippy::too_many_lines, reason = "still to be split")]
 #[test]
 fn cancelled_tasks_on_unreachable_machines_hold_quota_until_lease_expiry() {
@@ -327,7 +340,7 @@
                         world.jobs[&JobId(1)].1.cancelled_at.is_some(),
                         "{away:?}, seed {seed}"
                     );
-                    // As many again: they want all of the limit.
+                    // As many tasks again: they need the whole limit.
                     let spec = for_team_red(world.long_array(2, all));
                     world.submit(spec);
                     world.run_until(world.now + 300);
@@ -338,7 +351,7 @@
                     let running = running_tasks_of_job(&world, 2).len();
                     assert_eq!(
                         running, all as usize,
-                        "{away:?} {long} {ends_first}, seed {seed}"
+                        "{away:?}, beyond lease: {long}, leader ends first: {ends_first}, seed {seed}"
                     );
                     assert!(
                         running_tasks_of_job(&world, 1).is_empty(),
@@ -350,9 +363,10 @@
     }
 }
 
-/// Jobs are called off, at all nodes, from a moment before the leader ends, is refused by the state service or gives its lead
-/// up, until its successor has its books. Their tasks are gone in time, though direct stops are lost with the old leader, and
-/// well before their leases could have run out.
+/// Guards against cancellations that are lost in a failover. Jobs are cancelled at all nodes, from
+/// just before the leader ends, is refused by the state service or resigns, until its successor has
+/// recovered the cluster state. Their tasks must stop in time, though direct stops are lost with
+/// the old leader, and well before their leases could expire.
 #[test]
 fn cancellations_during_failover_stop_tasks_in_time() {
     for seed in HISTORY_SEEDS {
@@ -382,7 +396,7 @@
                     match how {
                         0 => world.stop_process(old, 300),
                         1 => world.state_service_refuses_until[old] = at + cancel + 10_000,
-                        // Out of its workers' reach it resigns.
+                        // A leader that its workers cannot reach resigns.
                         _ => world.worker_cut_until[old] = at + cancel + 10_000,
                     }
                 }
@@ -402,7 +416,8 @@
             if how < 2 {
                 assert_ne!(world.leader, Some(old), "seed {seed}, {how}");
             }
-            // A takeover takes some 5 s, a cut leader's workers find another node within three tries.
+            // A takeover takes about 5 s; the workers of a partitioned leader find another node
+            // within three attempts.
             let soon = 2 * report + 20_000;
             assert!(
                 world.max_run_after_cancel_ms < soon.min(cancel),
@@ -413,9 +428,11 @@
     }
 }
 
-/// Machines are rented, up in half a second and have work at once, writes come late, and the leader ends: at once, and up to some
-/// seconds later. The successor does not know the machines from notes or the list; what they may run is not
-/// started again, and all of it runs in the end.
+/// Guards against second starts on machines that only the old leader knew. Machines are
+/// provisioned, boot in half a second and get work immediately, writes are applied late, and the
+/// leader ends: immediately, and up to several seconds later. The successor finds the machines
+/// neither in the log nor in the cloud's list. The tasks that they may run must not be started
+/// again, and all tasks must run in the end.
 #[test]
 fn successor_recovers_new_machines_despite_delayed_writes() {
     let mut unknown = 0;
@@ -434,7 +451,10 @@
             while world.workers.len() == before && world.now < asked + 20_000 {
                 world.run_until(world.now + 25);
             }
-            assert!(world.workers.len() > before, "seed {seed}: none was rented");
+            assert!(
+                world.workers.len() > before,
+                "seed {seed}: no machine was provisioned"
+            );
             world.run_until(world.now + 25 + step * step * 60);
             end_leader(&mut world, 100);
             let listed = |w: &Worker| w.booted_at + 6000 <= world.now;
@@ -450,13 +470,15 @@
     }
     assert!(
         unknown > 100,
-        "{unknown} machines that only the leader that ended knew"
+        "only {unknown} machines were unknown to the successor"
     );
 }
 
-/// Reports of the old leader's time, also of earlier sessions and attempts and of machines that are deleted since, reach
-/// every node as a new leader begins, while it makes its books, and after it has acted. What runs runs on, nothing is started
-/// beside it, and a machine that is gone gets no work for longer than a lease.
+/// Guards against trust in old heartbeats. Heartbeats from the time of the old leader, some of
+/// earlier incarnations and attempts and of machines deleted since, reach every node as a new
+/// leader starts, while it recovers the cluster state, and after it has sent orders. Running tasks
+/// must keep running without a second start, and a deleted machine must not hold work for longer
+/// than a lease.
 #[test]
 fn stale_heartbeats_do_not_affect_a_new_leader() {
     for seed in HISTORY_SEEDS {
@@ -468,7 +490,8 @@
                 ..
             } = world.timings;
             world.retain_reports_until = FOREVER_MS;
-            // One job runs on, one is called off, one ends; a machine loses its session, another is deleted.
+            // One job keeps running, one is cancelled, one ends; one machine loses its incarnation,
+            // another is deleted.
             let spec = world.long_array(1, 10);
             world.submit(spec);
             let spec = for_team_red(world.long_array(2, 4));
@@ -484,7 +507,7 @@
             world.run_until(16_000 + 3 * lease + 4 * report);
             assert!(
                 world.workers[0].incarnation > 1,
-                "seed {seed}: an earlier session"
+                "seed {seed}: no worker has an earlier incarnation"
             );
             let before = running_tasks_of_job(&world, 1);
             assert_eq!(before.len(), 10, "seed {seed}");
@@ -492,7 +515,7 @@
             let kept: BTreeSet<usize> = world.retained_reports.iter().map(|(at, _)| *at).collect();
             assert!(
                 kept.contains(&0) && kept.contains(&1),
-                "seed {seed}: {kept:?}"
+                "seed {seed}: heartbeats retained of machines {kept:?} only"
             );
             end_leader(&mut world, if again { 50 } else { 5000 });
             let ended = world.now;
@@ -503,17 +526,24 @@
                 let spec = world.jobs[&JobId(4)].0.clone();
                 world.send_request(JobId(4), ApiRequest::Submit(Box::new(spec)));
             }
-            assert!(world.replayed_reports > 0, "seed {seed}: no report was old");
+            assert!(
+                world.replayed_reports > 0,
+                "seed {seed}: no old heartbeat was replayed"
+            );
             world.run_until(ended + 5 * lease + 4 * report);
             let after = running_tasks_of_job(&world, 1);
-            assert_eq!(after, before, "seed {seed}: what ran runs on");
+            assert_eq!(
+                after, before,
+                "seed {seed}: running tasks did not keep running"
+            );
             assert_eq!(running_tasks_of_job(&world, 4).len(), 6, "seed {seed}");
         }
     }
 }
 
-/// Jobs of one task come four a second for four minutes, and a quarter of them is called off, some as they end. Every
-/// one ends as its user was told, nobody waits while there is room, and it costs the state service few writes a job.
+/// Single-task jobs are submitted at four per second for four minutes, and a quarter of them is
+/// cancelled, some as they end. Each must end as reported to its user, none may wait while capacity
+/// is free, and each may cost the state service only few writes.
 #[test]
 fn sustained_single_task_jobs_with_cancellations_end_within_write_budget() {
     let mut world = cluster_with_leader(0);
@@ -529,7 +559,7 @@
         world.submit(spec);
         world.run_until(start + job * 250);
         if job % 4 == 0 && job > 8 {
-            // Right after it was accepted, as it runs, and about when it ends.
+            // Right after its acceptance, as it runs, and about when it ends.
             let whom = JobId(job - [0, 1, 4, 8][(job / 4 % 4) as usize]);
             world.send_request(whom, ApiRequest::Cancel(whom));
         }
@@ -552,19 +582,19 @@
     );
     assert!(
         done >= 700 && cancelled >= 150,
-        "{done} done, {cancelled} cancelled"
+        "only {done} jobs done, {cancelled} cancelled"
     );
-    assert_eq!(late, 0, "waited beside room");
+    assert_eq!(late, 0, "jobs waited more than 20 s beside free capacity");
     let writes = (world.writes - writes) as f64 / 960.0;
-    assert!(writes < 4.0, "{writes} writes a job");
+    assert!(writes < 4.0, "{writes} writes per job");
     world.run_until(world.now + 8 * report + 60_000);
     let listed: usize = world.workers.iter().map(|worker| worker.tasks.len()).sum();
-    assert_eq!(listed, 0, "all is forgotten");
+    assert_eq!(listed, 0, "workers still list tasks");
 }
 
-/// Half of the machines reach no controller, while direct commands reach them. Their leases run out, their work is placed
-/// elsewhere then and not before (each start is checked), nothing is placed there meanwhile again and again, and they are
-/// used again once they report.
+/// Half of the machines reach no controller, while direct commands reach them. When their leases
+/// expire their tasks must be placed elsewhere, not before (each start is checked). Nothing may be
+/// placed on them repeatedly meanwhile, and they must be used again once they send heartbeats.
 #[test]
 fn machines_without_heartbeats_get_no_work_despite_reachable_commands() {
     for seed in HISTORY_SEEDS {
@@ -587,20 +617,25 @@
         world.run_until(until);
         assert!(world.undelivered_reports > 10, "seed {seed}");
         let running = world.running();
-        // The cloud has two more machines.
-        assert!(running.len() >= 4, "seed {seed}: {}", running.len());
+        // The cloud provides two more machines.
+        assert!(
+            running.len() >= 4,
+            "seed {seed}: only {} tasks run",
+            running.len()
+        );
         let more = world.starts - starts;
         assert!(
             more <= 8,
-            "seed {seed}: {more} starts on machines that reach nobody"
+            "seed {seed}: {more} starts while machines reach no controller"
         );
         world.run_until(until + 2 * lease + 8 * report + 60_000);
         assert_eq!(world.running().len(), 8, "seed {seed}");
     }
 }
 
-/// Jobs that are bound to a zone, an array among them, and one whose tasks must be together, lose that zone's machines. What they
-/// ran starts in that zone again, and nowhere else.
+/// Guards against restarts in another zone. Jobs bound to a zone, one of them an array, and a job
+/// whose tasks must be in one zone lose the machines of that zone. Their tasks must start in that
+/// zone again, and in no other.
 #[test]
 fn zone_bound_jobs_restart_in_their_zone_after_machine_loss() {
     for seed in HISTORY_SEEDS {
@@ -635,7 +670,7 @@
                 worker.deleted_at = now;
                 worker.tasks.clear();
             }
-            assert!(lost >= 9, "seed {seed}: {lost} lost");
+            assert!(lost >= 9, "seed {seed}: only {lost} tasks lost");
             if end {
                 world.run_until(15_500);
                 end_leader(&mut world, 100);
@@ -645,15 +680,16 @@
             for (task, (_, at)) in world.running() {
                 assert!(
                     task.job == JobId(2) || world.workers[at].zone == "a",
-                    "seed {seed}: {task}"
+                    "seed {seed}: {task} runs in the wrong zone"
                 );
             }
         }
     }
 }
 
-/// The lead changes ten times in two minutes, also while the state service is down for all. What runs runs on, terms never
-/// fall, and users are answered after each.
+/// The leader changes ten times in two minutes, also while the state service is down for all nodes.
+/// Running tasks must keep running, terms must never decrease, and users must get responses after
+/// each change.
 #[test]
 fn running_tasks_survive_ten_failovers() {
     for seed in HISTORY_SEEDS {
@@ -688,19 +724,21 @@
                 world.send_request(JobId(1), ApiRequest::Poll(JobId(1)));
                 world.run_until(at + 12_000);
             }
-            assert!(terms.is_sorted(), "seed {seed}: {terms:?}");
+            assert!(terms.is_sorted(), "seed {seed}: terms {terms:?}");
             let changes = terms.windows(2).filter(|pair| pair[0] < pair[1]).count();
-            // One that falls into an outage may show only at the next look.
+            // A change during an outage may become visible only at the next check.
             let least = if dark { 6 } else { 9 };
-            assert!(changes >= least, "seed {seed}: {terms:?}");
+            assert!(changes >= least, "seed {seed}: terms {terms:?}");
             assert_eq!(world.running(), before, "seed {seed}, {dark}");
             assert!(world.jobs[&JobId(1)].1.answered_at > 130_000, "seed {seed}");
         }
     }
 }
 
-/// Cancellations, questions and repeated submissions at all nodes meet the end of a job's last task: as it ends, as its worker reports
-/// that, as the end is stored and told. Either the end or the cancellation stands, for everybody.
+/// Guards against a job that is both done and cancelled. Cancellations, polls and repeated
+/// submissions at all nodes coincide with the end of the job's last task: as it ends, as its worker
+/// reports that, as the end is stored and returned to users. Either the end or the cancellation
+/// must hold, for all users.
 #[test]
 fn cancellation_racing_with_completion_has_one_outcome() {
     let (mut done, mut cancelled) = (0, 0);
@@ -719,12 +757,13 @@
     }
     assert!(
         done > 20 && cancelled > 20,
-        "{done} done, {cancelled} cancelled"
+        "only {done} jobs done, {cancelled} cancelled"
     );
 }
 
-/// Machines hang, for less than their lease, while jobs that run there are called off; the state service is then down for longer than
-/// a cancellation may take, or the leader ends. What goes on when the machine does is stopped in time.
+/// Machines hang, for less than their lease and for longer, while jobs that run there are
+/// cancelled. Then the state service is down for longer than the cancellation bound, or the leader
+/// ends. Tasks that continue when the machine resumes must be stopped in time.
 #[test]
 fn cancelled_tasks_stop_after_a_hung_machine_resumes() {
     for seed in HISTORY_SEEDS {
@@ -745,7 +784,7 @@
             let old = leader_index(&world);
             let used: BTreeSet<usize> = world.running().values().map(|(_, at)| *at).collect();
             for &at in &used {
-                // Within a lease, at its very end, and beyond.
+                // Within a lease, just before its end, and beyond it.
                 let length = [lease / 3, lease - 300, lease + 5000][at % 3];
                 world.workers[at].hung_until = 15_000 + length;
             }
@@ -769,7 +808,7 @@
             let waiting = world.running().iter().filter(|each| waiting(*each)).count();
             assert!(
                 waiting >= 10,
-                "seed {seed}, {what}: {waiting} on machines that hang"
+                "seed {seed}, scenario {what}: only {waiting} cancelled tasks on hung machines"
             );
             match what {
                 0 => world.stop_process(old, 200),
@@ -780,23 +819,23 @@
             let confirmed = jobs_reported_as(&world, JobStatus::Cancelled);
             assert!(
                 confirmed >= 15,
-                "seed {seed}, {what}: {confirmed} confirmed"
+                "seed {seed}, scenario {what}: only {confirmed} cancellations confirmed"
             );
             let left = world.running();
             let told = |task: &TaskId| world.jobs[&task.job].1.cancelled_at.is_some();
-            assert!(!left.keys().any(told), "seed {seed}, {what}");
+            assert!(!left.keys().any(told), "seed {seed}, {what}: not stopped");
         }
     }
 }
 
-/// Whether a start is on its way to a worker.
+/// Returns whether a start is in flight to a worker.
 fn has_starts_in_flight(world: &SimulatedCluster) -> bool {
     let start = |what: &SimulationEvent| matches!(what, SimulationEvent::DeliverOrders(.., packet) if !packet.0.starts.is_empty());
     world.events.values().any(start)
 }
 
-/// Starts and stops, and the answers to reports, wait for seconds in machines that stand still, and are carried out as they go on: after
-/// the job was called off, after another leader began.
+/// Starts and stops, and responses to heartbeats, wait for seconds at hung machines and are
+/// executed when these resume: after the job was cancelled, and after another leader took over.
 #[test]
 fn delayed_orders_of_a_hung_machine_keep_invariants() {
     for seed in HISTORY_SEEDS {
@@ -813,7 +852,7 @@
                 let spec = for_team_red(world.long_array(2 * round + 1, all));
                 world.start_delay_ms = 400;
                 world.submit(spec);
-                // Placed and stored, the starts are on their way.
+                // The starts are placed, stored, and in flight.
                 while !has_starts_in_flight(&world) && world.now < at + 3000 {
                     world.run_until(world.now + 25);
                 }
@@ -845,18 +884,18 @@
                 world.send_request(id, ApiRequest::Cancel(id));
                 world.run_until(world.now + 2 * report + 5000);
             }
-            // One a round at the least.
+            // At least one per round.
             assert!(
                 world.messages_held_by_hung_workers >= 6,
-                "seed {seed}: {} messages waited",
+                "seed {seed}: only {} messages waited for hung machines",
                 world.messages_held_by_hung_workers
             );
         }
     }
 }
 
-/// Jobs of two and three tasks whose ends lie far apart, with changes of leader and the ring going round in between. A task
-/// that has ended is not run again, and none is lost.
+/// Jobs of two and three tasks whose ends lie far apart, with failovers and wrap-arounds of the log
+/// ring in between. A completed task must not run again, and none may be lost.
 #[test]
 fn tasks_ending_far_apart_run_exactly_once() {
     for seed in HISTORY_SEEDS {
@@ -870,7 +909,7 @@
         world.run_until(14_000);
         let all = world.running().len();
         assert_eq!(all, 15, "seed {seed}");
-        // Their first tasks end early, at different times.
+        // Some of their tasks end early, at different times.
         let mut number = 100;
         for change in 0..4u64 {
             let now = world.now;
@@ -897,7 +936,7 @@
             .iter()
             .filter(|task| jobs.contains(&task.job))
             .count();
-        assert!(ended >= 6, "seed {seed}: {ended} ended early");
+        assert!(ended >= 6, "seed {seed}: only {ended} tasks ended early");
         let now = world.now;
         for worker in &mut world.workers {
             for on in worker
@@ -914,12 +953,16 @@
             .iter()
             .filter(|(_, starts)| **starts > 1)
             .collect();
-        assert!(again.is_empty(), "seed {seed}: started again: {again:?}");
+        assert!(
+            again.is_empty(),
+            "seed {seed}: tasks started again: {again:?}"
+        );
     }
 }
 
-/// A zone with workers and a node in it is cut off for longer than a lease, as jobs that run there are called off outside.
-/// The node inside keeps workers alive for as long as it may: what was called off is gone in time all the same.
+/// A zone with workers and a node in it is partitioned for longer than a lease, while jobs that run
+/// there are cancelled outside. The node inside renews the workers' leases as long as it may; the
+/// cancelled tasks must stop in time nevertheless.
 #[test]
 fn cancellation_takes_effect_inside_a_partitioned_zone() {
     for seed in HISTORY_SEEDS {
@@ -957,7 +1000,7 @@
             world.run_until(15_000 + lease);
             assert!(
                 leads || inside(&world) > 0,
-                "seed {seed}: the node inside kept nothing alive"
+                "seed {seed}: the node in the zone renewed no leases"
             );
             world.run_until(until + 2 * lease);
             assert_eq!(
@@ -970,8 +1013,9 @@
     }
 }
 
-/// All controllers are away for longer than a lease, as jobs run and some had just been called off, and one comes back alone, also a
-/// moment before the others. Nothing runs twice, what was called off never starts, and all else runs again.
+/// All controllers are down for longer than a lease, while jobs run and one was just cancelled. One
+/// controller returns alone, or shortly before the others. No task may run twice or start after its
+/// cancellation, and all others must run again.
 #[test]
 fn outage_of_all_controllers_beyond_lease_keeps_invariants() {
     for seed in HISTORY_SEEDS {
@@ -995,7 +1039,10 @@
                 world.stop_process(node, away + node as u64 * gap);
             }
             world.run_until(15_000 + away);
-            assert!(world.running().is_empty(), "seed {seed}: leases ran out");
+            assert!(
+                world.running().is_empty(),
+                "seed {seed}: tasks run after their leases expired"
+            );
             world.run_until(15_000 + away + 3 * gap + lease + 4 * report + 30_000);
             assert_eq!(
                 running_tasks_of_job(&world, 1).len(),
@@ -1012,9 +1059,10 @@
     }
 }
 
-/// Four jobs a second come while the state service is down for longer than users try. Those who still try when it is back
-/// are let in within seconds: none of them is told to wait for a turn that was worked out by what a node without
-/// news may take. With turns of up to 30 s, users sat out the ten seconds between two outages and gave up.
+/// Four jobs per second are submitted while the state service is down for longer than users retry.
+/// Users who still retry when it is back must be accepted within seconds: none may get a retry time
+/// that follows from the admission limit of a node without recent data. With retry times of up to
+/// 30 s, users waited through the ten seconds between two outages and gave up.
 #[test]
 fn submissions_during_state_service_outage_are_admitted_after_recovery() {
     for seed in HISTORY_SEEDS {
@@ -1058,19 +1106,20 @@
         let accepted = trying.iter().filter(|id| world.jobs[id].1.accepted).count();
         assert!(
             trying.len() > 180,
-            "seed {seed}: {} users tried",
+            "seed {seed}: only {} users were still retrying",
             trying.len()
         );
         assert!(
             accepted * 10 >= trying.len() * 9,
-            "seed {seed}: {accepted} of {}",
+            "seed {seed}: only {accepted} of {} jobs accepted",
             trying.len()
         );
     }
 }
 
-/// Jobs that can never run, of a kind drawn by chance: unknown team, type or zone, too large for any machine in one way or
-/// another, a service beyond its team's limit, one that awaits what nobody submitted.
+/// Returns a job that can never run, of a random kind: unknown team, type or zone, too large for
+/// any machine in some resource, a service beyond its team's limit, or a dependency that was never
+/// submitted.
 fn unschedulable_job(world: &mut SimulatedCluster, number: u64) -> Submission {
     let spec = world.long_array(number, 2);
     match world.rng.random_range(0..9) {
@@ -1108,9 +1157,11 @@
     }
 }
 
-/// Odd requests at a leading, a following and a refused node, also while answers are lost and writes come late: jobs that can never
-/// run, submissions of known jobs again with the same and with another body, cancellations of what is done or cancelled, and
-/// whatever is asked of jobs that nobody submitted. Each is answered as the protocol says, and none leaves a trace.
+/// Malformed and unusual requests at a leader, a follower and a refused node, also while responses
+/// are lost and writes are applied late: jobs that can never run, known jobs submitted again with
+/// the same and with another body, cancellations of done and cancelled jobs, and requests about
+/// jobs that were never submitted. Each must get the response that the protocol requires, and none
+/// may leave a record.
 #[expect(clippy::too_many_lines, reason = "still to be split")]
 #[test]
 fn malformed_requests_get_protocol_responses_under_faults() {
@@ -1186,7 +1237,7 @@
                         .unwrap_or(0);
                     assert!(
                         answered >= 30,
-                        "seed {seed}, {trouble}: {status} at {node}: {answered}"
+                        "seed {seed}, fault {trouble}: only {answered} responses with {status} from node {node}"
                     );
                 }
             }
@@ -1195,7 +1246,7 @@
                     .pending_requests
                     .values()
                     .any(|asked| matches!(asked, PendingRequest::Malformed(_))),
-                "all are answered"
+                "malformed requests without a response"
             );
             let traces = world
                 .store
@@ -1207,8 +1258,9 @@
     }
 }
 
-/// A machine that is gone is brought to life for a new leader by an old report, just as work comes that fits nowhere else. A
-/// leader that took the report's word had the work wait there for a whole lease.
+/// Guards against placement on a deleted machine. An old heartbeat makes a deleted machine appear
+/// alive to a new leader, just as a task arrives that fits on no other machine. A leader that
+/// trusted the heartbeat had the task wait there for a whole lease.
 #[test]
 fn machine_known_only_from_stale_heartbeat_gets_no_work() {
     for seed in HISTORY_SEEDS {
@@ -1222,13 +1274,16 @@
         world.submit(spec);
         world.run_until(14_000);
         let used: BTreeSet<usize> = world.running().values().map(|(_, at)| *at).collect();
-        let idle = (0..8).find(|at| !used.contains(at)).expect("one is idle");
-        // It reports until it goes, and the one who led has no time to tell anybody.
+        let idle = (0..8)
+            .find(|at| !used.contains(at))
+            .expect("an idle machine");
+        // The machine sends heartbeats until it is deleted, and the leader ends before it can
+        // record the deletion.
         world.retain_reports_until = FOREVER_MS;
         world.run_until(14_000 + 2 * world.timings.report_interval_ms);
         world.retained_reports.retain(|(at, _)| *at == idle);
         assert!(!world.retained_reports.is_empty(), "seed {seed}");
-        let report = world.retained_reports.pop().expect("the last one");
+        let report = world.retained_reports.pop().expect("a retained heartbeat");
         world.retained_reports = vec![report];
         world.retain_reports_until = 0;
         let now = world.now;
@@ -1249,8 +1304,14 @@
         while running_tasks_of_job(&world, 2).is_empty() && world.now < now + 4 * lease {
             world.run_until(world.now + 100);
         }
-        assert!(world.replayed_reports > 0, "seed {seed}: no old report");
+        assert!(
+            world.replayed_reports > 0,
+            "seed {seed}: no old heartbeat was replayed"
+        );
         let waited = world.now - now;
-        assert!(waited < 4000 + lease / 2, "seed {seed}: {waited} ms");
+        assert!(
+            waited < 4000 + lease / 2,
+            "seed {seed}: the task waited {waited} ms"
+        );
     }
 }
--- a/tests/histories/effects.rs
+++ b/tests/histories/effects.rs
@@ -1,4 +1,4 @@
-//! What nodes send: effects become events, or requests to the models of the services.
+//! Effects of nodes, turned into events or into requests to the models of the services.
 
 use super::*;
 
@@ -23,7 +23,10 @@
                 if matches!(tag, coordination::Tag::WriteAdmissionQuotas { .. }) {
                     let last = self.quotas_written_at.replace(self.now);
                     let apart = last.is_none_or(|at| at + 5000 <= self.now);
-                    assert!(apart, "two tables within the time that one takes to settle");
+                    assert!(
+                        apart,
+                        "admission quotas were written twice within 5 s, before the first table has taken effect"
+                    );
                 }
                 if let StateRequest::Txn(txn) = &request {
                     self.writes += txn.writes.len();
@@ -37,10 +40,11 @@
                     };
                     assert!(
                         !txn.writes.iter().any(of_a_leader) || txn.conditions.iter().any(held),
-                        "a leader's write that a successor's could follow: {txn:?}"
+                        "a leader's write without a condition on the leader's key: {txn:?}"
                     );
-                    // One that is applied late, within the same term too, must not follow a newer one. The further
-                    // keys of a record stand and fall with it.
+                    // A write that is applied late, also within the same term, must not overwrite a
+                    // newer one. The further keys of a record are written together with its first
+                    // key.
                     let replaces = |write: &Write| {
                         let (Write::Put { key, .. } | Write::Delete { key }) = write;
                         key.starts_with("shared/part/")
@@ -48,7 +52,7 @@
                     };
                     assert!(
                         txn.writes.iter().all(replaces),
-                        "a write that could follow a newer one: {txn:?}"
+                        "a write that could overwrite a newer one: {txn:?}"
                     );
                 }
                 self.next_event += 1;
@@ -73,7 +77,7 @@
                     let written = matches!(request, StateRequest::Txn(_));
                     if written && self.delayed_writes_until > self.now && self.rng.random_bool(0.15)
                     {
-                        // Nobody waits for an answer that long.
+                        // By then the sender has timed out.
                         time += self.rng.random_range(2000..12_000);
                         self.delayed_writes_applied += 1;
                     } else if self.slow_state_service_until > self.now {
@@ -188,7 +192,7 @@
                                 Command::LeaderAnnounced(progress.clone()),
                             );
                         }
-                        // Its word comes back the same way.
+                        // The member's status is returned over the same link.
                         if let (Some(news), Some(back)) = (
                             self.member_statuses[other].clone(),
                             self.message_arrival(cut),
@@ -207,7 +211,7 @@
             }
             Effect::PublishMemberStatus(news) => self.member_statuses[index] = Some(*news),
             Effect::RequestRevocation { ref label, .. } => {
-                let other: usize = label[1..].parse().expect("a node's number");
+                let other: usize = label[1..].parse().expect("a node label with a number");
                 let cut = self.mesh_cut_until[index].max(self.mesh_cut_until[other]);
                 if let Some(time) = self.message_arrival(cut) {
                     if let Some(time) = self.duplicate_arrival() {
@@ -249,7 +253,7 @@
                 label,
                 request: ask,
             } => {
-                let other: usize = label[1..].parse().expect("a node's number");
+                let other: usize = label[1..].parse().expect("a node label with a number");
                 self.schedule_command(
                     index,
                     life,
@@ -272,7 +276,7 @@
                 }
             }
             Effect::SendCellReport { .. } | Effect::RespondCellReport(..) => {
-                panic!("one deployment by itself has nobody to share quotas with")
+                panic!("a single cell shares no quotas")
             }
             Effect::SetLeadership(leads) => {
                 if leads {
@@ -329,7 +333,8 @@
                 CloudReply::Deleted
             }
             CloudRequest::List { .. } => {
-                // As it was up to twice the usual lag ago; what was there at the start is older.
+                // The list is up to twice as old as the usual lag; machines that exist from the
+                // start are older than that.
                 let lag = [6000, 6000, 9000, 12_000][self.rng.random_range(0..4)];
                 let then = self.now.saturating_sub(lag);
                 let there = |w: &&Worker| w.booted_at <= then && (!w.gone || w.deleted_at > then);
--- a/tests/histories/events.rs
+++ b/tests/histories/events.rs
@@ -1,11 +1,11 @@
-//! What arrives: at nodes, workers, users and the state service.
+//! Handling of events: messages that arrive at nodes, workers, users and the state service.
 
 use super::*;
 
 impl SimulatedCluster {
     #[expect(clippy::too_many_lines, reason = "still to be split")]
     pub(crate) fn handle_event(&mut self, what: SimulationEvent) {
-        // What came meanwhile and what has timed out come all at once, in any order.
+        // A node that resumes gets all messages and timeouts of the meantime at once, in any order.
         if let Some(index) = Self::node_of_event(&what)
             && self.frozen_until[index] > self.now
         {
@@ -31,7 +31,7 @@
             }
             SimulationEvent::DeliverCommand(index, tag, command) => {
                 let (life, ticket) = (tag & 0xfffff, tag >> 20);
-                // What a copy is answered is not the answer that its sender waits for.
+                // A response to a duplicate is not the response that the sender waits for.
                 if life != DUPLICATE_TICKET && (ticket == 0 || self.answered.insert(ticket)) {
                     self.step(index, life, *command);
                 }
@@ -39,7 +39,8 @@
             SimulationEvent::StateRequestArrives(index, life, sent_and_ticket, packet) => {
                 let (sent_at, ticket) = (sent_and_ticket >> 32, sent_and_ticket & 0xffff_ffff);
                 let (tag, request) = *packet;
-                // What was sent within the old limits, and comes late, is refused.
+                // A late request that was sent within the old limits and exceeds the new ones is
+                // dropped.
                 let late = sent_at + self.booted_at[index] + 2000 < self.now;
                 if (self.incarnations[index] != life || late)
                     && let StateRequest::Txn(txn) = &request
@@ -82,7 +83,8 @@
                     };
                     return self.deliver_reply(index, life, ticket, command);
                 }
-                // ClockReading and then it is too much for the store, or its log does not go back so far.
+                // Now and then the store is overloaded, or its change log does not reach back far
+                // enough.
                 let refused = self.faults_enabled && self.rng.random_bool(0.01);
                 let too_old = matches!(request, StateRequest::Changes { .. });
                 if refused {
@@ -103,8 +105,11 @@
                 let reply = self.store.execute(&request, self.now);
                 let after = self.leadership();
                 if after.0.is_some() && after.0 != before.0 {
-                    assert_eq!(before.0, None, "a takeover beside a leader");
-                    assert!(after.1 > before.1, "a takeover under an old term");
+                    assert_eq!(
+                        before.0, None,
+                        "a takeover while another leader holds the lease"
+                    );
+                    assert!(after.1 > before.1, "a takeover without a higher term");
                 }
                 match reply {
                     Some(reply) => {
@@ -131,7 +136,7 @@
             | SimulationEvent::DeliverResponse(at, ..)
                 if self.workers[at].hung_until > self.now =>
             {
-                // All that has come meanwhile is there when it goes on.
+                // The worker processes what arrives meanwhile when it resumes.
                 self.messages_held_by_hung_workers += 1;
                 let time = self.workers[at].hung_until + self.rng.random_range(0..20);
                 self.schedule(time, what);
@@ -201,17 +206,18 @@
                 worker.report_in_flight = None;
                 match answer.status {
                     200 => {
-                        let orders: Orders = protocol::decode(&answer.body).expect("orders");
+                        let orders: Orders = protocol::decode(&answer.body).expect("valid orders");
                         let worker = &mut self.workers[at];
                         if orders.token >= worker.token {
                             worker.token = orders.token;
-                            // A report's number is the time at which it was sent.
+                            // A heartbeat's number is the time at which it was sent.
                             worker.lease_renewed_at = worker.lease_renewed_at.max(number);
                             self.execute_orders(at, &orders.orders);
                         }
                     }
                     421 => {
-                        let redirect: Redirect = protocol::decode(&answer.body).expect("a leader");
+                        let redirect: Redirect =
+                            protocol::decode(&answer.body).expect("a valid redirect");
                         let to = redirect.leader.and_then(|label| label[1..].parse().ok());
                         let worker = &mut self.workers[at];
                         worker.node = to.unwrap_or((index as usize + 1) % NODE_COUNT);
--- a/tests/histories/failover.rs
+++ b/tests/histories/failover.rs
@@ -1,9 +1,10 @@
-//! Histories with one fault each.
+//! Histories with a single fault each.
 
 use super::*;
 
-/// Polls by the thousand share a sync, and a swarm of single-task jobs the leader's entries: one write
-/// each to accept a job and to end it, and not two more for its log and pages.
+/// Guards against requests to the state service for each poll and each small job. 1000 polls share
+/// read barriers, and single-task jobs share log records: a job costs one write to accept it and
+/// one to end it, without two more for its log record and snapshot.
 #[test]
 fn polls_and_single_task_jobs_stay_within_state_write_budget() {
     let mut world = SimulatedCluster::new(0);
@@ -24,11 +25,11 @@
     assert!(world.jobs.values().all(|(_, told)| told.accepted));
     assert!(
         world.completed.len() >= 200,
-        "{} done",
+        "only {} jobs done",
         world.completed.len()
     );
     let writes = (world.writes - before) as f64 / 200.0;
-    assert!(writes < 4.0, "{writes} writes a job");
+    assert!(writes < 4.0, "{writes} writes per job");
     let idle = world.requests;
     world.run_until(51_000);
     let idle = world.requests - idle;
@@ -38,16 +39,17 @@
     }
     world.run_until(52_000);
     let asked = world.requests - asked;
-    // One more where a table is marked in just that second.
+    // One more request if an admission quota table is marked as in force within this second.
     assert!(
         asked <= idle + 3 * NODE_COUNT + 1,
-        "{asked} requests, {idle} without"
+        "{asked} requests with polls, {idle} without"
     );
 }
 
-/// The leader of 571 machines with 2000 tasks ends. Its successor reads the notes, asks all machines
-/// and places again before any worker's lease runs out, and what ran runs on. Also where the store
-/// takes four small values at a time.
+/// Guards against a takeover that takes longer than a lease. The leader of 571 machines with 2000
+/// running tasks crashes. Its successor must read the log, query all machines and place new tasks
+/// before any worker's lease expires, and running tasks must keep running. Seed 1 has a store that
+/// takes four small values per transaction.
 #[test]
 fn failover_with_571_machines_completes_before_leases_expire() {
     for seed in [0, 1] {
@@ -79,15 +81,20 @@
         world.run_until(30_000 + world.timings.lease_ttl_ms);
         let after = world.running();
         for (task, on) in &before {
-            assert_eq!(after.get(task), Some(on), "{task}, seed {seed}");
+            assert_eq!(
+                after.get(task),
+                Some(on),
+                "{task} does not keep running, seed {seed}"
+            );
         }
         assert_eq!(after.len(), 2200, "seed {seed}");
         assert!(world.workers.iter().all(|worker| worker.incarnation == 1));
     }
 }
 
-/// The ring of the log comes round several times while an array and a part of a large job run on: what
-/// only its oldest entries told is told again, or has pages, and a successor finds all of it.
+/// Guards against loss of state when the log ring wraps around. An array and a part of a large job
+/// keep running while the ring wraps several times. State that only the oldest records held must be
+/// logged again or be in a snapshot, so that a successor recovers all of it.
 #[test]
 fn successor_recovers_tasks_recorded_before_log_wraparound() {
     for seed in [0, 4] {
@@ -131,13 +138,17 @@
         let after = world.running();
         for (task, on) in &before {
             let done = world.completed.contains(task);
-            assert!(done || after.get(task) == Some(on), "{task}, seed {seed}");
+            assert!(
+                done || after.get(task) == Some(on),
+                "{task} does not keep running, seed {seed}"
+            );
         }
     }
 }
 
-/// The limits fall without anybody having been told, and a burst follows: entries that are refused for
-/// their size are written in smaller pieces, and all of it starts.
+/// The limits of the state service are lowered without notice, and a burst of starts follows. Log
+/// records that are refused for their size must be written in smaller pieces, and all tasks must
+/// start.
 #[test]
 fn oversized_log_records_are_split_after_unannounced_limit_drop() {
     let mut world = SimulatedCluster::new(0);
@@ -159,9 +170,10 @@
     assert_eq!(world.running().len(), 300);
 }
 
-/// Starts get no answer, and their job is cancelled before they could be repeated. What they take of their
-/// team's limit is free for others once the workers have seen a higher term, and when the starts arrive at
-/// last they are refused. With a term that never rose the next job waited for ever, and no rule was broken.
+/// Guards against resources that stay reserved forever. Starts get no response, and their job is
+/// cancelled before they are repeated. Their share of the team's limit must become free once the
+/// workers have seen a higher term, and the starts must be refused when they finally arrive. When
+/// the term was not raised, the next job waited forever without violating an invariant.
 #[test]
 fn unanswered_starts_are_reconciled_by_a_higher_fencing_token() {
     for seed in [0, 8, 10, 16] {
@@ -190,13 +202,14 @@
         world.submit(spec);
         world.run_until(20_000 + 4 * report);
         assert_eq!(world.running().len(), all as usize, "seed {seed}");
-        // Whatever starts is checked: these would, for a cancelled job.
+        // Every start is checked: the late ones would be starts for a cancelled job.
         world.run_until(9000 + cancel + 30_000);
     }
 }
 
-/// A zone is cut off with a node in it that renews its workers for as long as it may. The leader sees that
-/// node's key go long before the last of those leases has run out, and places nothing anew until then.
+/// Guards against a second start while a lease renewer still renews. A zone is partitioned with a
+/// node in it, which renews its workers' leases as long as it may. The leader sees that node's key
+/// expire long before the last of those leases, and must not place the tasks again until then.
 #[test]
 fn leases_by_a_vanished_lease_renewer_expire_before_rescheduling() {
     for seed in [0, 8, 10, 16] {
@@ -207,7 +220,7 @@
             world.add_worker(zone, false);
         }
         world.run_until(8000);
-        // One on each machine.
+        // One task on each machine.
         let mut spec = world.long_array(1, 8);
         spec.cpus = 16.0;
         world.submit(spec);
@@ -222,30 +235,35 @@
         } = world.timings;
         let end = 120_000 + 2 * cancel;
         world.cut_zone((leader + 1) % NODE_COUNT, "a", end);
-        // Starts are checked one by one on the way: none while the attempt before may run.
+        // Each start is checked: none may happen while the previous attempt may run.
         world.run_until(20_000 + cancel + 2 * report + 80_000);
         let after = world.running();
         let outside = |at: &usize| world.workers[*at].zone == "b";
         assert!(after.values().all(|(_, at)| outside(at)), "seed {seed}");
         let stayed = before.values().filter(|(_, at)| outside(at)).count();
-        assert!(after.len() > stayed, "seed {seed}: {stayed} as before");
+        assert!(
+            after.len() > stayed,
+            "seed {seed}: no task was placed again, {stayed} kept running"
+        );
     }
 }
 
-/// A process wrote its deputy's key just before it ended, and the write was applied after its successor's: on a
-/// lease that nobody renews. With it the key went, while the successor went on renewing by its own lease, and
-/// the leader, which saw no such deputy any more, started the same tasks elsewhere.
+/// Guards against a late write that deletes a live renewer's key. A process wrote its lease renewer
+/// key just before it ended, and the write was applied after that of its successor, with a lease
+/// that is no longer renewed. When the lease expired the key was deleted, while the successor kept
+/// renewing with its own lease; the leader saw no such renewer and started the same tasks
+/// elsewhere.
 #[test]
 fn stale_lease_renewer_key_does_not_cause_double_start() {
     for seed in [0, 8, 24] {
-        // Which node leads follows from the seed: a first try tells.
+        // The leader depends on the seed only: a first run finds it.
         let mut first = small_fleet(seed);
         first.run_until(2000);
         let deputy = (first.leader.expect("a node leads") + 1) % NODE_COUNT;
         let mut world = small_fleet(seed);
         world.delayed_renewer_key = (deputy, 3500);
         world.run_until(2000);
-        // Its successor is there, and holds the key, before that write arrives.
+        // The successor runs and holds the key before the late write arrives.
         world.stop_process(deputy, 50);
         world.run_until(3000);
         let key = format!("shared/deputy/n{deputy}");
@@ -257,8 +275,8 @@
         world.run_until(13_000);
         let before = world.running();
         assert_eq!(before.len(), 6, "seed {seed}");
-        // The workers of a zone reach that node only: there, and where the leader may place it anew, each
-        // start is checked.
+        // The workers of a zone reach that node only. Each start is checked, there and where the
+        // leader may place the task again.
         let WorkerTimings {
             lease_ttl_ms: lease,
             report_interval_ms: report,
@@ -268,13 +286,18 @@
         world.run_until(13_000 + 4 * lease + 2 * report + 60_000);
         let after = world.running();
         for (task, on) in &before {
-            assert_eq!(after.get(task), Some(on), "{task}, seed {seed}");
+            assert_eq!(
+                after.get(task),
+                Some(on),
+                "{task} does not keep running, seed {seed}"
+            );
         }
     }
 }
 
-/// Each start that was sent to a worker comes once more, after its job was cancelled and its tasks were stopped:
-/// a worker that had been told to forget them would start them again, long after they had to be gone.
+/// Guards against duplicated starts. Each start sent to a worker is duplicated after its job was
+/// cancelled and its tasks were stopped. A worker that had been ordered to forget the tasks would
+/// start them again, long after the cancellation bound.
 #[test]
 fn duplicate_start_after_cancellation_is_ignored() {
     for seed in [0, 8, 10, 16] {
@@ -293,18 +316,21 @@
         world.send_request(JobId(1), ApiRequest::Cancel(JobId(1)));
         world.run_until(13_000 + report * 2);
         assert!(world.running().is_empty(), "seed {seed}");
-        // Whatever starts is checked.
+        // Every start is checked.
         world.run_until(30_000 + 2 * cancel + 60_000);
         let listed: usize = world.workers.iter().map(|worker| worker.tasks.len()).sum();
-        assert_eq!(listed, 0, "seed {seed}: forgotten at last");
+        assert_eq!(listed, 0, "seed {seed}: workers still list tasks");
     }
 }
 
-/// The state service refuses the leader alone, the others confirm cancellations, and then it is down for all, for longer
-/// than a cancellation may take, while the workers report to the old leader, or to whom they find. What users were told is
-/// cancelled is gone in time all the same (checked every 25 ms), wherever in that sequence the outage begins: before
-/// the refused leader's lease ends, when there is no successor, as one takes over, while it reads the notes, and later.
-/// A successor that was reading them renewed workers without a word of what was cancelled, for as long as it might.
+/// Guards against tasks that outlive a confirmed cancellation. The state service refuses the leader
+/// only, the other nodes confirm cancellations, and then the state service is down for all nodes,
+/// for longer than the cancellation bound, while workers report to the old leader or to any node
+/// that they find. Tasks of jobs with a confirmed cancellation must stop in time (checked every 25
+/// ms), wherever the outage begins: before the refused leader's lease ends, when there is no
+/// successor, during the takeover, while the successor reads the log, and later. A successor that
+/// was reading the log renewed workers' leases as long as it might, without stopping cancelled
+/// tasks.
 #[expect(clippy::too_many_lines, reason = "still to be split")]
 #[test]
 fn confirmed_cancellations_survive_failover_and_state_service_outage() {
@@ -337,7 +363,7 @@
             let at = world.now;
             world.state_service_refuses_until[old] = FOREVER_MS;
             if number % 2 == 0 {
-                // The workers find nobody else.
+                // The workers reach no other node.
                 for other in (0..NODE_COUNT).filter(|other| *other != old) {
                     world.worker_cut_until[other] = FOREVER_MS;
                 }
@@ -367,18 +393,24 @@
             confirmed += told.count();
             outlived = outlived.max(world.max_run_after_cancel_ms);
         }
-        // That it comes close shows that workers were renewed for as long as they may be.
-        tracing::info!(seed, outlived, cancel, "cancelled tasks");
+        // A run close to the bound shows that workers' leases were renewed as long as they may be.
+        tracing::info!(
+            seed,
+            outlived,
+            cancel,
+            "longest run after a confirmed cancellation"
+        );
         assert!(
             outlived * 4 > cancel * 3,
-            "seed {seed}: {outlived} ms of {cancel}"
+            "seed {seed}: tasks ran for at most {outlived} ms, the bound is {cancel} ms"
         );
     }
-    assert!(confirmed > 1000, "{confirmed} cancellations confirmed");
+    assert!(confirmed > 1000, "only {confirmed} cancellations confirmed");
 }
 
-/// Half of the machines hear nothing, and their reports arrive. What is placed there is lost, and free again with the
-/// worker's next session; nothing else is placed there while the machine hears nothing, and it is used again after that.
+/// Half of the machines receive nothing, while their heartbeats arrive. Starts sent to them are
+/// lost, and their resources must become free with the worker's next incarnation. Nothing else may
+/// be placed there meanwhile, and the machines must be used again afterwards.
 #[test]
 fn machine_that_drops_commands_gets_no_further_placements() {
     for seed in [0, 8, 10, 16] {
@@ -401,19 +433,26 @@
         let lost: Vec<usize> = world.workers.iter().map(|w| w.lost_starts.len()).collect();
         assert!(
             lost.iter().any(|lost| *lost > 0),
-            "seed {seed}: none was tried"
+            "seed {seed}: no start was sent to the machines"
+        );
+        assert!(
+            lost.iter().all(|lost| *lost <= 1),
+            "seed {seed}: starts lost per machine: {lost:?}"
         );
-        assert!(lost.iter().all(|lost| *lost <= 1), "seed {seed}: {lost:?}");
         let outside = world.running().len();
         world.run_until(until + lease + 4 * report + 20_000);
         let all = world.running().len();
-        assert!(outside >= 4 && all == 8, "seed {seed}: {outside} and {all}");
+        assert!(
+            outside >= 4 && all == 8,
+            "seed {seed}: {outside} tasks ran during the fault and {all} after it"
+        );
     }
 }
 
-/// Whatever is asked of a node that the state service refuses is answered at once: while the others can, by them, and while
-/// nobody can, with what is final or when to come back. That goes for repeated submissions and cancellations, and for
-/// jobs that nobody has submitted.
+/// A node that the state service refuses must respond to every request: while other nodes work,
+/// with their response, and while no node can reach the state service, with the final state or a
+/// time to retry. This holds for repeated submissions and cancellations, and for jobs that were
+/// never submitted.
 #[test]
 fn refused_node_leaves_no_request_unanswered() {
     for seed in [0, 8, 10] {
@@ -449,12 +488,18 @@
             let open = |asked: &PendingRequest| matches!(asked, PendingRequest::User(..));
             assert!(
                 !world.pending_requests.values().any(open),
-                "seed {seed}, at {at}"
+                "seed {seed}, at {at}: a request without a response"
             );
             let answered = |job| world.jobs[&JobId(job)].1.answered_at >= at;
             assert_eq!(answered(1), !down, "seed {seed}, at {at}");
-            assert!(answered(2), "seed {seed}, at {at}: what is final is known");
-            assert!(!answered(3), "seed {seed}, at {at}: nobody submitted it");
+            assert!(
+                answered(2),
+                "seed {seed}, at {at}: no response with the final state"
+            );
+            assert!(
+                !answered(3),
+                "seed {seed}, at {at}: a job that was never submitted is found"
+            );
         }
     }
 }
--- a/tests/histories/faults.rs
+++ b/tests/histories/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that are injected, alone and at random.
+//! Injection of faults, single ones and random ones.
 
 use super::*;
 
@@ -9,7 +9,7 @@
         match self.rng.random_range(0..13 + FAULT_KINDS + 4) {
             kind @ 13.. if kind < 13 + FAULT_KINDS => self.inject_fault(kind - 13, index, until),
             13.. => {
-                // Two that meet.
+                // Two faults at the same time.
                 let first = self.rng.random_range(0..FAULT_KINDS);
                 let second = (first + self.rng.random_range(1..FAULT_KINDS)) % FAULT_KINDS;
                 self.inject_fault(first, index, until);
@@ -19,7 +19,7 @@
             12 => self.schedule_process_stops(&[0, 1, 2]),
             10 => {
                 let zone = ["a", "b"][self.rng.random_range(0..2)];
-                // For longer than the node may renew workers.
+                // May last longer than the node may renew the leases of its workers.
                 let room = 2 * self.timings.cancellation_bound_ms;
                 let until = self.now + self.rng.random_range(5000..room);
                 self.cut_zone(index, zone, until);
@@ -57,7 +57,8 @@
         }
     }
 
-    /// One of the troubles that users have seen meet others.
+    /// Injects one of the [`FAULT_KINDS`] faults that users reported in combination with other
+    /// faults.
     pub(crate) fn inject_fault(&mut self, kind: usize, index: usize, until: u64) {
         self.fault_until = self.fault_until.max(until);
         let leader = self.leader.unwrap_or(index);
@@ -75,7 +76,7 @@
             3 => self.slow_state_service_until = until,
             4 => self.lost_replies_until = until,
             5 => {
-                // An old report for a new leader, which begins soon.
+                // Old heartbeats for a new leader, which starts soon.
                 self.retain_reports_until = until;
                 let pause = self.random_restart_delay();
                 self.schedule(until + 100, SimulationEvent::StopProcess(leader, pause));
@@ -97,7 +98,8 @@
                 self.consistency_checks_until = until;
                 self.cancel_at_completion_until = until;
             }
-            // The leader loses the state service and the members, not its workers or users, or is refused alone.
+            // The leader loses the state service and the other members, but not its workers or
+            // users, or the state service refuses the leader only.
             _ if self.rng.random_bool(0.5) => {
                 self.state_service_cut_until[leader] = until;
                 self.mesh_cut_until[leader] = until;
@@ -109,7 +111,8 @@
         }
     }
 
-    /// The state service refuses the leader alone, and soon everybody, for longer than a cancellation may take.
+    /// Makes the state service refuse the leader only, and soon all nodes, for longer than the
+    /// cancellation bound.
     pub(crate) fn refuse_all_state_requests(&mut self) {
         let cancel = self.timings.cancellation_bound_ms;
         let leader = self.leader.unwrap_or(0);
@@ -120,7 +123,7 @@
         self.fault_until = self.fault_until.max(until);
     }
 
-    /// Whether the state service answers this node with 503.
+    /// Returns whether the state service responds to this node with 503.
     pub(crate) fn is_refused_by_state_service(&self, index: usize) -> bool {
         self.store
             .down_until
@@ -128,7 +131,7 @@
             > self.now
     }
 
-    /// It is down for all; afterwards all leases get their full time again.
+    /// Takes the state service down for all nodes; afterwards all leases get their full time again.
     pub(crate) fn start_state_service_outage(&mut self, until: u64) {
         self.store.expire_leases(self.now);
         let until = until.max(self.store.down_until);
--- a/tests/histories/golden.rs
+++ b/tests/histories/golden.rs
@@ -1,6 +1,8 @@
-//! What the version before the code was reworded stored and sent, kept under `tests/golden`: this version takes it over.
+//! Compatibility with stored data: this version recovers from a store that an earlier version
+//! wrote, kept under `tests/golden`.
 //!
-//! `WRITE_GOLDEN=1` writes the files anew. They are of use only as an earlier version wrote them.
+//! `WRITE_GOLDEN=1` rewrites the files. They serve their purpose only if an earlier version wrote
+//! them.
 
 use std::path::PathBuf;
 
@@ -8,12 +10,13 @@
 
 use super::{wire::Channel, *};
 
-/// A history in which small values make the log long, and how many seconds of it are played.
+/// A seed whose small value limit makes the log long.
 const SEED: u64 = 8;
+/// Length of its history.
 const SECONDS: u64 = 100;
-/// Messages of each kind that are kept.
+/// Number of messages of each kind that are written to the file.
 const KEPT: usize = 4;
-/// How long the nodes have to take the store over, in milliseconds.
+/// Time for the takeover, in milliseconds.
 const TAKEOVER: u64 = 3000;
 
 fn file(name: &str) -> PathBuf {
@@ -26,7 +29,7 @@
     std::env::var_os("WRITE_GOLDEN").is_some()
 }
 
-/// A line a key, with its value, its version and the lease that it hangs on.
+/// Returns one line per key, with its value, its version and the lease that it is attached to.
 fn dump(store: &Store, prefix: &str) -> String {
     let rows = store.keys.iter().filter(|(key, _)| key.starts_with(prefix));
     let lines = rows.map(|(key, (value, version, lease))| {
@@ -35,7 +38,7 @@
     lines.collect::<Vec<String>>().join("\n") + "\n"
 }
 
-/// What is sent, by where it goes and what it asks for.
+/// Returns the kind of a message: its channel and what it requests.
 fn kind(sent: &Sent) -> String {
     let mut words = sent.head.split([' ', '?']);
     let verb = words.next().unwrap_or_default();
@@ -56,7 +59,8 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Some messages of each kind, a line each: the channel, what is sent beside the body, the body.
+/// Returns a few messages of each kind, one per line: the channel, what is sent beside the body,
+/// and the body.
 fn messages(kept: &[Sent]) -> String {
     let mut count: BTreeMap<String, usize> = BTreeMap::new();
     let mut lines = BTreeSet::new();
@@ -71,7 +75,8 @@
     lines.into_iter().collect()
 }
 
-/// Writes the files: a whole store in the middle of a history, snapshots of a large job, messages, and reports.
+/// Writes the files: a whole store in the middle of a history, snapshots of a large job, messages
+/// and heartbeats.
 fn write_files() {
     let mut world = SimulatedCluster::new(SEED);
     world.kept = Some(Vec::new());
@@ -94,7 +99,7 @@
     let sent = messages(world.kept.as_deref().unwrap_or_default());
     let all = [sent, reports, submissions].concat();
     std::fs::write(file("messages.tsv"), all).expect("messages.tsv");
-    // Of a job with more tasks than are told again.
+    // Snapshots: of a job with more tasks than the leader writes to the log again.
     let mut world = small_fleet(SEED);
     world.run_until(12_000);
     let spec = Submission {
@@ -103,7 +108,7 @@
         ..world.long_array(200, 12_000)
     };
     world.submit(spec);
-    // Of a submission that is too long for one value.
+    // Parts of a record: of a submission that is too long for one value.
     let mut types: Vec<String> = (0..150)
         .map(|number| format!("kind-{number:020}"))
         .collect();
@@ -115,7 +120,7 @@
     world.submit(spec);
     let mut pages = String::new();
     for step in 1..400 {
-        // Each of them makes the log longer.
+        // Each job makes the log longer.
         let mut spec = world.long_array(200 + step, 1);
         spec.estimate_s = 2.0;
         spec.cpus = 0.1;
@@ -133,8 +138,9 @@
     std::fs::write(file("takeover.txt"), recovered_state()).expect("takeover.txt");
 }
 
-/// Has nodes take the store over after all processes before them have ended, with no word from any worker: what the
-/// new leader makes of it, as it shows on `/metrics`, and what it tells the others.
+/// Lets nodes recover from the store after all earlier processes have ended, without heartbeats
+/// from workers. Returns the state that the new leader recovers, as `/metrics` shows it, and its
+/// last progress announcement.
 fn recovered_state() -> String {
     let mut world = SimulatedCluster::new(SEED);
     world.faults_enabled = false;
@@ -144,7 +150,7 @@
     let stored = std::fs::read_to_string(file("store.jsonl")).expect("store.jsonl");
     for line in stored.lines() {
         let row: Value = serde_json::from_str(line).expect("a row");
-        // What hung on their leases went with those.
+        // Keys attached to a lease of the earlier processes were deleted with it.
         if row["lease"].is_null() {
             let version = row["version"].as_u64().expect("a version");
             let key = row["key"].as_str().expect("a key").to_owned();
@@ -157,14 +163,16 @@
     world.run_until(TAKEOVER);
     let leader = world.leader.expect("a node leads");
     let metrics = Metrics::default();
-    let node = world.nodes[leader].as_mut().expect("it runs");
+    let node = world.nodes[leader].as_mut().expect("the leader runs");
     metrics.record_status(node.status(), 0);
     let text = metrics.render();
     let mut lines: Vec<&str> = text.lines().collect();
     lines.sort_unstable();
     let told = world.kept.iter().flatten();
     let mut told = told.filter(|sent| sent.channel == Channel::MeshProgress);
-    let told = told.next_back().expect("the leader tells how far jobs are");
+    let told = told
+        .next_back()
+        .expect("the leader announces the progress of jobs");
     format!("{}\n{}\n", lines.join("\n"), hex(&told.body))
 }
 
--- a/tests/histories/history.rs
+++ b/tests/histories/history.rs
@@ -1,15 +1,15 @@
-//! A generated history: what happens in each of its seconds, and what it came to.
+//! A generated history: the requests and faults of each second, and the checks at its end.
 
 use super::*;
 
-/// What happened in a history: relayed requests that were answered, leaders that stood still, and that
-/// resigned, starts of tasks that had to wait for other jobs, records under several keys, writes
-/// refused for their size, users sent away with a turn, ends that were back within a second, late copies, and
-/// the troubles that `World` counts.
+/// Counts of what happened in a history, in this order: relayed requests that succeeded, freezes of
+/// leaders, resignations of leaders, starts of tasks with dependencies, records under several keys,
+/// writes refused for their size, users rejected with a time to retry, processes restarted within a
+/// second, late duplicates of messages, and the faults that [`SimulatedCluster`] counts.
 pub(crate) type FaultCounts = [usize; 17];
 
-/// One second of a history in which things fail: jobs are submitted, asked for and cancelled. `number` is that of
-/// the last job.
+/// Runs one second of a history with faults: jobs are submitted, polled and cancelled. `number` is
+/// the number of the last job.
 pub(crate) fn troubled_second(world: &mut SimulatedCluster, second: u64, number: &mut u64) {
     world.run_until((second + 1) * 1000);
     if second % 4 == 0 {
@@ -24,7 +24,7 @@
             world.submit(spec);
         }
     }
-    // Many while the state service refuses the leader alone, and soon everybody.
+    // Many cancellations while the state service refuses the leader and soon all nodes.
     let cancelled = if world.state_service_outage.is_some() {
         0.1
     } else {
@@ -32,7 +32,8 @@
     };
     let ids: Vec<JobId> = world.jobs.keys().copied().collect();
     for id in ids {
-        // Those of a flood ask now and then, and come back when they were told to.
+        // Users of a flood's jobs send a request now and then, and after a rejection at the time
+        // given.
         if world.flood_jobs.contains(&id) && !world.may_retry(id) {
             continue;
         }
@@ -56,16 +57,16 @@
     }
 }
 
-/// What a history comes to.
+/// The result of a history.
 pub(crate) struct Played {
     pub(crate) seen: FaultCounts,
-    /// Of all that was decided, comparable within one version of the code.
+    /// Digest of all effects of the nodes, comparable within one version of the code.
     pub(crate) trace: u64,
-    /// Of all that was sent, comparable between versions.
+    /// Digest of all messages sent, comparable between versions.
     pub(crate) sent: u64,
 }
 
-/// Plays a history.
+/// Runs the history of a seed and checks the invariants.
 #[expect(clippy::too_many_lines, reason = "still to be split")]
 pub(crate) fn run_history(seed: u64) -> Played {
     let mut world = SimulatedCluster::new(seed);
@@ -73,7 +74,7 @@
     for second in 0..180 {
         troubled_second(&mut world, second, &mut number);
     }
-    // Once nothing fails any more, every array completes, given room.
+    // After the last fault every array job completes, given free capacity.
     world.faults_enabled = false;
     world.frozen_until.fill(0);
     for each in 0..NODE_COUNT {
@@ -81,10 +82,10 @@
             world.boot(each);
         }
     }
-    // A team at its limit works off what has piled up in up to three minutes.
+    // A team at its limit needs up to three minutes to complete its queued jobs.
     for second in 180..420 {
         world.run_until((second + 1) * 1000);
-        // The last trouble, a zone cut off for twice what a cancellation may take, ends at 300 s.
+        // The last fault, a zone partitioned for twice the cancellation bound, ends at 300 s.
         if second >= 330 && second % 10 == 0 {
             world.assert_users_answered();
         }
@@ -95,8 +96,8 @@
                 continue;
             }
             let (spec, told) = &world.jobs[&id];
-            // Services would hold their team's limit for good, also one whose acceptance was lost
-            // on its way to the user.
+            // Services would use up their team's limit forever, also a service whose acceptance was
+            // lost on its way to the user.
             let cancel = spec.kind == JobKind::Service && told.cancelled_at.is_none();
             let ask = match told.accepted {
                 false => ApiRequest::Submit(Box::new(spec.clone())),
@@ -106,7 +107,11 @@
             world.send_request(id, ask);
         }
     }
-    assert!(world.starts > 20, "nothing_ran: {} starts", world.starts);
+    assert!(
+        world.starts > 20,
+        "nothing_ran: only {} tasks started",
+        world.starts
+    );
     for (id, (spec, told)) in &world.jobs {
         let cancelled = world
             .dependencies(*id)
@@ -115,7 +120,7 @@
             assert_eq!(
                 told.last,
                 Some(JobStatus::Done),
-                "{id} of {} never ended: {:?}, {:?}",
+                "job {id} of team {} did not complete; tasks of red: {:?}, of blue: {:?}",
                 spec.team,
                 world.task_locations("red"),
                 world.task_locations("blue"),
@@ -123,11 +128,11 @@
         }
     }
     world.assert_admissions_within_capacity();
-    // The least served team, of what its limit allows.
+    // Of the replicas that its limit allows, each team gets at least half of the time.
     for (asked, up) in world.replica_seconds {
         assert!(
             asked < 100 || up * 2 >= asked,
-            "replicas were up for {up} of {asked} s"
+            "replicas ran for {up} of {asked} requested seconds"
         );
     }
     let split = world.jobs.values().filter(|(spec, _)| spec.types.is_some());
@@ -157,7 +162,8 @@
     }
 }
 
-/// `LOG_LEVEL` shows what the nodes say, to explain a broken rule.
+/// Initializes logging. `LOG_LEVEL` sets the level of the nodes' log lines, to analyse a violated
+/// invariant.
 pub(crate) fn logging() {
     let level = std::env::var("LOG_LEVEL").unwrap_or_else(|_| "off".into());
     let _ = tracing_subscriber::fmt()
--- a/tests/histories/invariants.rs
+++ b/tests/histories/invariants.rs
@@ -1,16 +1,16 @@
-//! What must hold at all times, checked in the background and at the end.
+//! Invariants that are checked in the background and at the end, and periodic actions.
 
 use super::*;
 
 impl SimulatedCluster {
-    /// What happens by itself every 25 ms.
+    /// Runs the periodic actions of all models, and checks, every 25 ms.
     #[expect(clippy::too_many_lines, reason = "still to be split")]
     pub(crate) fn run_background(&mut self) {
         if self.limit_drop.0 <= self.now {
             self.store.limits = self.limit_drop.1;
         }
         for index in 0..NODE_COUNT {
-            // Its turn: killed, it comes back a moment later.
+            // The node restarts with the settings for the lower limits.
             if (self.now - 25..self.now).contains(&self.limit_notice_at[index]) && self.now > 25 {
                 self.crash(index);
                 self.boot(index);
@@ -38,7 +38,7 @@
                 let node = worker.node;
                 let report = self.build_report(at);
                 if self.workers[at].drops_outbound_until > now {
-                    // It can't connect, and tries the next node.
+                    // The worker can't connect and tries the next node.
                     self.undelivered_reports += 1;
                     let worker = &mut self.workers[at];
                     worker.report_in_flight = None;
@@ -57,7 +57,7 @@
                     }
                     if self.duplicated_reports_until > self.now && self.rng.random_bool(0.3) {
                         let later = self.rng.random_range(2000..2 * self.timings.lease_ttl_ms);
-                        // To whoever is asked by then.
+                        // The duplicate goes to any node.
                         let node = self.rng.random_range(0..NODE_COUNT);
                         let copied = Box::new(report.clone());
                         self.duplicated_reports += 1;
@@ -116,7 +116,7 @@
                 }
             }
         }
-        // Cancelled tasks must be gone in time.
+        // Tasks of cancelled jobs must have stopped within the cancellation bound.
         for worker in self.workers.iter().filter(|w| w.hung_until <= self.now) {
             for (task, on) in &worker.tasks {
                 let told = self.jobs[&task.job].1.cancelled_at;
@@ -127,7 +127,7 @@
                         self.max_run_after_cancel_ms.max(self.now - told_at);
                     assert!(
                         self.now <= told_at + self.timings.cancellation_bound_ms,
-                        "ran_cancelled: {task} at {}",
+                        "ran_cancelled: task {task} of a cancelled job still runs after the cancellation bound, at {} ms",
                         self.now
                     );
                 }
@@ -135,9 +135,9 @@
         }
     }
 
-    /// Adds up the replicas that have been asked for long enough, as far as their team's limit allows, and those of
-    /// them that run. A second in which nobody can act counts for nothing: the state service is down, or
-    /// no node has been up for long enough.
+    /// Adds up two figures per team: the replicas that were requested long enough ago, up to the
+    /// team's limit, and those of them that run. Seconds in which no node can act are left out: the
+    /// state service is down, a node started or a partition healed too recently.
     pub(crate) fn count_replicas(&mut self) {
         let patience = self.timings.lease_ttl_ms + 10_000;
         let settled = |node: usize| {
@@ -177,34 +177,35 @@
         }
     }
 
-    /// No accepted job is forgotten: its user, who asks every 5 s, has had an answer lately.
+    /// Checks that the user of each accepted job, who polls every 5 s, got a response within the
+    /// last [`MAX_ANSWER_DELAY_MS`].
     pub(crate) fn assert_users_answered(&self) {
         for (id, (_, told)) in &self.jobs {
             let answered = told.answered_at + MAX_ANSWER_DELAY_MS >= self.now;
             assert!(
                 answered || !told.accepted || self.flood_jobs.contains(id),
-                "forgotten: {id}, last answered at {}",
+                "forgotten: accepted job {id} gets no responses, last response at {} ms",
                 told.answered_at
             );
         }
     }
 
-    /// What was let in never exceeds what the nodes may take together: in any time, as much as comes in then and
-    /// what their buckets hold.
+    /// Checks that accepted submissions never exceed the admission capacity of all nodes together:
+    /// in any interval, the rate times its length plus the size of the token buckets.
     pub(crate) fn assert_admissions_within_capacity(&self) {
-        // Of 50 writes a second followers have 0.4 and the leader 0.6, less what is kept free; the users of a
-        // leader have 0.4 of its part, those of a follower 0.95 of theirs.
+        // Of 50 writes a second the followers get a share of 0.4 and the leader 0.6, less a
+        // reserve. Users of the leader get 0.4 of its share, users of a follower 0.95 of its share.
         let follower = 0.95 * 0.92 * 0.2 * 50.0;
         let leader: f64 = 0.4 * 0.92 * 0.6 * 50.0;
         let whole = 2.0 * follower + leader;
         let depth = 3.0 * (3.0 * leader.max(follower));
         for (at, first) in self.acceptances_at.iter().enumerate() {
             for (count, last) in self.acceptances_at[at..].iter().enumerate() {
-                // A request takes up to two seconds, and restarts fill a bucket anew.
+                // A request takes up to two seconds, and a restart refills a bucket.
                 let passed = (last - first) as f64 / 1000.0 + 2.0;
                 assert!(
                     count as f64 <= whole * passed + depth + 0.5 * passed,
-                    "{count} let in within {passed} s"
+                    "{count} submissions accepted within {passed} s"
                 );
             }
         }
--- a/tests/histories/main.rs
+++ b/tests/histories/main.rs
@@ -1,6 +1,7 @@
-//! Whole deployments under generated histories: three nodes, a model of the state service, of the
-//! cloud and of the workers, and a network that delays, loses, holds back and reorders. The rules of
-//! the protocol are checked at every start and after every answer.
+//! Simulation of whole deployments under generated histories: three nodes, models of the state
+//! service, the cloud and the workers, and a network that delays, loses, holds back and reorders
+//! messages. The invariants of the protocol are checked at every start of a task and after every
+//! response.
 
 mod cluster;
 mod combined_faults;
@@ -46,16 +47,16 @@
 
 const NODE_COUNT: usize = 3;
 const TEAM_CPU_LIMIT: f64 = 24.0;
-/// Troubles that meet others, see `World::trouble`.
+/// Number of faults that are injected together with others, see [`SimulatedCluster::inject_fault`].
 const FAULT_KINDS: usize = 10;
-/// Later than any history ends, in milliseconds.
+/// A time after the end of any history, in milliseconds.
 const FOREVER_MS: u64 = 10_000_000;
-/// Once nothing fails any more, each job's user has had an answer within that.
+/// After the last fault, each job's user gets a response within this time, in milliseconds.
 const MAX_ANSWER_DELAY_MS: u64 = 20_000;
 
-/// How often workers report, how long their leases last, and within what time a cancellation has to be
-/// carried out, in milliseconds. Timeouts in the code that presumed one deployment's made a member count less
-/// than half of its workers in another.
+/// Interval of heartbeats, duration of worker leases, and time within which a cancellation must be
+/// carried out, in milliseconds. Histories vary them: timeouts in the code that assumed the values
+/// of one deployment made a member of another count less than half of its workers.
 #[derive(Clone, Copy, Debug)]
 struct WorkerTimings {
     report_interval_ms: u64,
@@ -73,8 +74,9 @@
     }
 }
 
-/// By seed, next to limits that come round every three: as in the first deployments, as fast and as slow as
-/// can be, and in between.
+/// Returns the timings of a seed: those of the first deployments, the fastest and slowest valid
+/// ones, and some in between. They repeat every seven seeds, the limits every three, so that all
+/// combinations occur.
 fn worker_timings(seed: u64) -> WorkerTimings {
     [
         WorkerTimings::new(2500, 14_000, 34_000),
@@ -87,8 +89,9 @@
     ][seed as usize % 7]
 }
 
-/// What the state service takes at once, by seed: the usual, very little, and in between. With little
-/// what belongs together is written in several transactions, and a crash may come between them.
+/// Returns the size limits of the state service by seed: the usual ones, very small ones, and some
+/// in between. With small limits a record is written in several transactions, and a crash may
+/// happen between them.
 fn limits(seed: u64) -> StoreLimits {
     [
         StoreLimits {
@@ -106,13 +109,14 @@
     ][seed as usize % 3]
 }
 
-/// What it takes before its limits fall.
+/// Size limits of the state service before they are lowered.
 const USUAL_LIMITS: StoreLimits = StoreLimits {
     txn_ops: 24,
     value_kb: 16.0,
 };
 
-/// `limits`: those of today; `next`: those to come, where the node knows of them.
+/// Returns the settings of a node. `limits` are the present limits of the state service, `next` the
+/// future ones if the node is configured for them.
 fn config(
     index: usize,
     rhythm: WorkerTimings,
@@ -164,45 +168,46 @@
     tasks: BTreeMap<TaskId, TaskOnWorker>,
     node: usize,
     report_at: u64,
-    /// The report in flight: its number and when it is given up.
+    /// The heartbeat in flight: its number and when it times out.
     report_in_flight: Option<(u64, u64)>,
     cut_until: u64,
-    /// Its reports arrive until then, and answers and commands to it are lost.
+    /// Until then its heartbeats arrive, and responses and commands to it are lost.
     drops_inbound_until: u64,
-    /// Starts that were sent to it meanwhile.
+    /// Starts that were lost: task and attempt.
     lost_starts: BTreeSet<(TaskId, u64)>,
-    /// It reaches no controller until then, while direct commands reach it.
+    /// Until then it reaches no controller, while direct commands reach it.
     drops_outbound_until: u64,
-    /// It stands still until then, and goes on within its lease with what has come meanwhile.
+    /// Until then it is hung; it resumes within its lease with the messages that have arrived.
     hung_until: u64,
     booted_at: u64,
-    /// When it was deleted.
+    /// Time of its deletion, if `deleted`.
     deleted_at: u64,
     gone: bool,
-    /// Reports late by this much drift.
+    /// True duration of the worker's lease, relative to its nominal duration.
     clock_drift: f64,
     images: BTreeSet<String>,
 }
 
-/// Marks a copy of a message that was under way before: whatever answers it reaches nobody.
+/// Marks a duplicate of a message: any response to it is discarded.
 const DUPLICATE_TICKET: u64 = 0xfffff;
 
-/// The kind of a request to the state service, by its tag's name.
+/// Returns the kind of a request to the state service: its tag's name.
 fn request_kind(tag: &coordination::Tag) -> String {
     let name = format!("{tag:?}");
     name.chars().take_while(|c| c.is_alphanumeric()).collect()
 }
 
 enum SimulationEvent {
-    /// Of a process in its life.
+    /// Periodic step of a node process. Fields: node, incarnation.
     Tick(usize, u64),
-    /// A process is started, unless one runs under that label.
+    /// Starts a process, unless one runs under that label.
     Boot(usize),
-    /// The process with that label ends, if there is one, and is back after so long.
+    /// Ends the process with that label, if one runs, and restarts it after a delay in
+    /// milliseconds.
     StopProcess(usize, u64),
     DeliverCommand(usize, u64, Box<Command>),
     StateRequestArrives(usize, u64, u64, Box<(coordination::Tag, StateRequest)>),
-    /// From a node in its life, with a ticket for the answer, to a worker.
+    /// Fields: node, its incarnation, ticket for the response, worker, commands.
     DeliverOrders(
         usize,
         u64,
@@ -213,11 +218,12 @@
     DeliverReport(usize, usize, Box<Report>, u64),
     DeliverResponse(usize, u64, u64, Box<ApiResponse>),
     Revoke(usize, usize, u64, Box<Effect>),
-    /// A user's request, relayed by a node in its life to another.
+    /// A user's request that a node relays to another. Fields: node, its incarnation, other node,
+    /// number of the request at the first node, request.
     Relay(usize, u64, usize, RequestId, Box<ApiRequest>),
-    /// A job's user looks closely: asks and submits again at all nodes.
+    /// The user of a job polls and submits it again at all nodes.
     CheckConsistency(JobId),
-    /// A job's user calls it off at some node.
+    /// The user of a job cancels it at a random node.
     CancelJob(JobId),
 }
 
@@ -231,30 +237,31 @@
     accepted_at: Option<u64>,
     cancelled_at: Option<u64>,
     asked_to_cancel: bool,
-    /// When a question about it was last answered.
+    /// Time of the last successful response about the job.
     answered_at: u64,
     last: Option<JobStatus>,
 }
 
-/// What its user had been told of a job when asking.
+/// What the user knew of a job when sending a request.
 #[derive(Clone, Copy)]
 struct ViewAtRequest {
     accepted: bool,
     last: Option<JobStatus>,
-    /// That a job which this one needs is cancelled.
+    /// A cancellation of a dependency was confirmed.
     dependency_cancelled: bool,
 }
 
-/// Who asks a deputy: node, life, time of sending, lease, and the deputy's label.
+/// Origin of a request to a lease renewer: node, incarnation, time of sending, lease, and label of
+/// the renewer.
 type RevocationOrigin = (usize, u64, u64, u64, String);
 
 enum PendingRequest {
-    /// The job, whether it is to be cancelled, and what its user knew.
+    /// The job, whether the request cancels it, and what its user knew.
     User(JobId, bool, ViewAtRequest),
     Report(usize, u64, u64),
-    /// Something odd, and what it may be answered.
+    /// A malformed or unusual request, and the statuses that are allowed for it.
     Malformed(&'static [u16]),
-    /// The node that relays, its life, and the number of the request there.
+    /// The node that relays, its incarnation, and the number of the request there.
     Relayed(usize, u64, RequestId),
 }
 
@@ -269,60 +276,67 @@
     incarnations: Vec<u64>,
     booted_at: Vec<u64>,
     state_service_cut_until: Vec<u64>,
-    /// Until when the state service refuses each node alone, with 503 at once; its open watches wait.
+    /// Until when the state service refuses each node alone, with an immediate 503; its open
+    /// watches wait.
     state_service_refuses_until: Vec<u64>,
-    /// How much longer it takes a new leader to read its predecessors' notes.
+    /// Additional delay of a new leader's reads of its predecessors' log.
     recovery_read_delay_ms: u64,
-    /// How much later than usual all its answers come.
+    /// Additional delay of all responses of the state service.
     state_reply_delay_ms: u64,
-    /// Until when a part of the transactions gets no answer and is carried out late, after newer ones.
+    /// Until when some transactions time out and are applied late, after newer ones.
     delayed_writes_until: u64,
-    /// Until when a part of the reports comes once more, up to two leases later.
+    /// Until when some heartbeats are duplicated, up to two leases later.
     duplicated_reports_until: u64,
-    /// Until when a part of the transactions is carried out at once and only the answer is lost.
+    /// Until when some transactions are applied without delay and only the response is lost.
     lost_replies_until: u64,
-    /// All transactions of this kind lose their answers.
+    /// All transactions of this kind lose their responses.
     lost_reply_kind: Option<&'static str>,
-    /// Requests whose answers are lost.
+    /// Requests whose responses are lost.
     lost_reply_tickets: HashSet<u64>,
-    /// Until when copies of reports are kept for the next leader's first moments, and those kept.
+    /// Until when heartbeats are retained for replay to the next leader, and those retained.
     retain_reports_until: u64,
     retained_reports: Vec<(usize, Box<Report>)>,
-    /// Until when users look closely at what they were just told, and call jobs off as they end.
+    /// Until when users check each new state of a job at all nodes, and until when they cancel jobs
+    /// as they end.
     consistency_checks_until: u64,
     cancel_at_completion_until: u64,
-    /// Until when the state service takes its time.
+    /// Until when the state service is slow.
     slow_state_service_until: u64,
-    /// When it goes down for all, and until when.
+    /// When the state service goes down for all nodes, and until when.
     state_service_outage: Option<(u64, u64)>,
-    /// Until when anything of that lasts.
+    /// End of the last of these faults.
     fault_until: u64,
-    /// Transactions that were carried out late, copies of reports, and what deaf machines did not hear.
+    /// Transactions applied late, duplicates of heartbeats, and messages lost on the way to
+    /// machines.
     delayed_writes_applied: usize,
     duplicated_reports: usize,
     dropped_messages: usize,
-    /// Transactions carried out whose answers were lost, by kind, reports kept for a new leader, close looks that were
-    /// answered, reports that reached nobody, and messages that waited for a machine that hung.
+    /// Transactions applied whose responses were lost, by kind; heartbeats replayed to a new
+    /// leader; responses to consistency checks; heartbeats that reached no node; and messages that
+    /// waited for a hung machine.
     lost_replies_by_kind: BTreeMap<String, usize>,
     replayed_reports: usize,
     answered_consistency_checks: usize,
     undelivered_reports: usize,
     messages_held_by_hung_workers: usize,
-    /// Odd requests that were answered, by node and status.
+    /// Responses to malformed requests, by node and status.
     malformed_responses: BTreeMap<(usize, u16), usize>,
-    /// How often each task was started.
+    /// Number of starts of each task.
     starts_by_task: HashMap<TaskId, usize>,
-    /// How long after its user was told that its job is cancelled a task was last on its machine, at the most.
+    /// Maximum time between the confirmation of a cancellation and the last moment at which a task
+    /// of that job was on its machine.
     max_run_after_cancel_ms: u64,
     worker_cut_until: Vec<u64>,
     mesh_cut_until: Vec<u64>,
-    /// A zone with a node in it that is cut off, and until when.
+    /// A partitioned zone: the node in it, the zone, and until when.
     zone_cut: (usize, String, u64),
-    /// How much later than usual starts reach workers: those sent to them, not those in answers to reports.
+    /// Additional delay of starts that are sent to workers directly, not in responses to
+    /// heartbeats.
     start_delay_ms: u64,
-    /// Until when each node stands still, while its clocks run on.
+    /// Until when each node is frozen, while its clocks advance.
     frozen_until: Vec<u64>,
-    /// The node whose effects are being carried out stands still until then: before any of it is sent.
+    /// Until then the node whose effects are being executed is frozen: nothing of them is sent
+    /// before.
     effects_held_until: u64,
     /// Freezes of a node that led.
     leader_freezes: usize,
@@ -342,50 +356,52 @@
     pending_revocations: HashMap<(usize, u64, RequestId), RevocationOrigin>,
     next_request_id: RequestId,
     starts: usize,
-    /// Starts of tasks whose jobs awaited others.
+    /// Starts of tasks whose jobs have dependencies.
     dependent_starts: usize,
-    /// When each node's turn comes to know of the limits to come.
+    /// When each node restarts with settings that announce the lower limits.
     limit_notice_at: [u64; NODE_COUNT],
-    /// When the limits fall to these.
+    /// When the limits are lowered, and the new ones.
     limit_drop: (u64, StoreLimits),
-    /// The settings don't say so: what is too large is refused.
+    /// The settings don't announce the lower limits: larger writes are refused.
     limits_unannounced: bool,
-    /// Writes refused for that.
+    /// Writes refused for their size.
     oversized_writes: usize,
-    /// Relayed requests that a member answered well.
+    /// Relayed requests that succeeded.
     relayed_successes: usize,
-    /// What each node last said of itself.
+    /// Last status that each node published.
     member_statuses: Vec<Option<MemberStatus>>,
-    /// When each job was accepted, and users who were told to come back, and when they may.
+    /// Times of all acceptances, the time at which each rejected user may retry, and the number of
+    /// rejections.
     acceptances_at: Vec<u64>,
     retry_at: HashMap<JobId, u64>,
     rejections: usize,
     seed: u64,
-    /// When a table was last sent to the state service.
+    /// When admission quotas were last sent to the state service.
     quotas_written_at: Option<u64>,
-    /// How much later each start that was sent to a worker comes once more. 0: never.
+    /// Delay after which each start sent to a worker is duplicated. 0: never.
     duplicate_start_delay_ms: u64,
-    /// A node whose deputy's key its first life writes late: when it arrives.
+    /// A node whose first incarnation writes its lease renewer key late, and when the write
+    /// arrives.
     delayed_renewer_key: (usize, u64),
-    /// Ends of processes that were back within a second, and late copies of messages.
+    /// Processes that restarted within a second, and late duplicates of messages.
     quick_restarts: usize,
     duplicated_messages: usize,
-    /// Of each team, replica seconds that were asked for, and those of them in which it was up.
+    /// For each team, the replica seconds requested, and those of them in which the replica ran.
     replica_seconds: [(u64, u64); 2],
     flood_jobs: HashSet<JobId>,
-    /// Over all that the nodes decided, in order, with what they keep to themselves.
+    /// Digest of all effects of the nodes, in order, with their internal fields.
     trace: DefaultHasher,
-    /// Over all that the nodes sent, in order, as it is on the wire.
+    /// Digest of all messages of the nodes, in order, as encoded on the wire.
     sent: Trace,
-    /// Messages as they were sent, while they are kept.
+    /// Messages as they were sent, if they are recorded.
     kept: Option<Vec<Sent>>,
-    /// Chance that a command to a worker is late, though within its sender's patience.
+    /// Probability that a command to a worker is delayed, for less than the timeout of its sender.
     late_order_chance: f64,
     faults_enabled: bool,
     leader: Option<usize>,
 }
 
-/// Eight machines, and nothing that fails but what a test causes.
+/// Returns a cluster with at least eight machines and no faults but those that a test injects.
 fn small_fleet(seed: u64) -> SimulatedCluster {
     let mut world = SimulatedCluster::new(seed);
     world.faults_enabled = false;
--- a/tests/histories/network.rs
+++ b/tests/histories/network.rs
@@ -1,9 +1,9 @@
-//! The network: cut links, and messages that are late, lost or duplicated.
+//! The network: partitions, and messages that are delayed, lost or duplicated.
 
 use super::*;
 
 impl SimulatedCluster {
-    /// Until when a node and a worker can't reach each other.
+    /// Returns the time until which a node and a worker cannot reach each other.
     pub(crate) fn link_cut_until(&self, node: usize, at: usize) -> u64 {
         let (alone, ref zone, until) = self.zone_cut;
         let worker = &self.workers[at];
@@ -15,14 +15,15 @@
         self.worker_cut_until[node].max(worker.cut_until).max(apart)
     }
 
-    /// Cuts a zone off: a node in it, which reaches the zone's workers and nothing else.
+    /// Partitions a zone with one node in it, which reaches only the workers of that zone.
     pub(crate) fn cut_zone(&mut self, node: usize, zone: &str, until: u64) {
         self.state_service_cut_until[node] = until;
         self.mesh_cut_until[node] = until;
         self.zone_cut = (node, zone.into(), until);
     }
 
-    /// When a message sent now arrives. A cut loses it or holds it back; now and then one is late.
+    /// Returns the arrival time of a message sent now, or `None` if it is lost. A partition loses a
+    /// message or holds it back until it heals; without one, a few messages are delayed or lost.
     pub(crate) fn message_arrival(&mut self, cut_until: u64) -> Option<u64> {
         let usual = self.now.max(self.effects_held_until) + self.rng.random_range(1..8);
         if cut_until > self.now {
@@ -37,22 +38,22 @@
         Some(usual)
     }
 
-    /// ClockReading and then a message that was carried out comes once more, late.
+    /// Returns the arrival time of a late duplicate of a message. Few messages are duplicated.
     pub(crate) fn duplicate_arrival(&mut self) -> Option<u64> {
         let copied = self.faults_enabled && self.rng.random_bool(0.004);
         self.duplicated_messages += usize::from(copied);
         copied.then(|| self.now + self.rng.random_range(200..60_000))
     }
 
-    /// Whether what is sent to a machine is lost.
+    /// Returns whether messages to a machine are lost now, and counts the lost ones.
     pub(crate) fn drops_inbound(&mut self, at: usize) -> bool {
         let deaf = self.workers[at].drops_inbound_until > self.now;
         self.dropped_messages += usize::from(deaf);
         deaf
     }
 
-    /// What was kept of reports reaches every node as a new leader begins, while it makes its books, and once more when
-    /// it has acted.
+    /// Delivers the retained heartbeats to every node when a new leader starts: while it recovers
+    /// the cluster state, and again after it has sent orders.
     pub(crate) fn replay_retained_reports(&mut self) {
         for (at, report) in std::mem::take(&mut self.retained_reports) {
             for node in 0..NODE_COUNT {
--- a/tests/histories/random_faults.rs
+++ b/tests/histories/random_faults.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// With `HISTORY_DIGESTS=FILE`: writes what each seed's nodes sent, as a digest, or compares it with the file when it
-/// is there already. A change of the code that is to change no behaviour changes none of them.
+/// With `HISTORY_DIGESTS=FILE`, compares the digest of the messages of each seed with the file, or
+/// writes the file if it does not exist. A code change that preserves behaviour changes no digest.
 fn compare_digests(digests: &BTreeMap<u64, u64>) {
     let Ok(file) = std::env::var("HISTORY_DIGESTS") else {
         return;
@@ -16,10 +16,10 @@
             let differ: Vec<&String> = found.iter().filter(differ).collect();
             assert!(
                 differ.is_empty(),
-                "other digests than in {file}: {differ:?}"
+                "digests differ from those in {file}: {differ:?}"
             );
         }
-        Err(_) => std::fs::write(&file, found.concat()).expect("the file can be written"),
+        Err(_) => std::fs::write(&file, found.concat()).expect("the digest file is writable"),
     }
 }
 
@@ -27,7 +27,8 @@
 #[test]
 fn invariants_hold_under_random_faults() {
     logging();
-    // `HISTORIES=1000` looks further than the usual run; `FIRST=15 HISTORIES=16` plays seed 15 alone.
+    // `HISTORIES=1000` runs more seeds than the default of 64; `FIRST=15 HISTORIES=16` runs seed 15
+    // only.
     let number = |name| std::env::var(name).ok().and_then(|n| n.parse::<u64>().ok());
     let first = number("FIRST").unwrap_or(0);
     let seeds: Vec<u64> = (first..number("HISTORIES").unwrap_or(64)).collect();
@@ -36,7 +37,7 @@
     let mut digests = BTreeMap::new();
     for seeds in seeds.chunks(at_once) {
         std::thread::scope(|scope| {
-            // A panic tells its thread's name, so the seed.
+            // A panic message contains the thread's name and thus the seed.
             let played: Vec<_> = seeds
                 .iter()
                 .map(|seed| {
@@ -57,7 +58,10 @@
             }
         });
     }
-    assert!(broken.is_empty(), "broken with seeds {broken:?}");
+    assert!(
+        broken.is_empty(),
+        "invariants violated with seeds {broken:?}"
+    );
     compare_digests(&digests);
     let [
         relayed,
@@ -78,27 +82,34 @@
         muted,
         held_up,
     ] = seen;
-    assert!(answers_lost > 0, "no transaction lost only its answer");
-    assert!(reports_kept > 0, "no report was kept for a new leader");
-    assert!(looks > 0, "no user looked closely");
-    assert!(muted > 0, "no machine was out of all controllers' reach");
-    assert!(held_up > 0, "nothing waited for a machine that hung");
-    assert!(late_applied > 0, "no transaction was carried out late");
-    assert!(reports_again > 0, "no report came once more");
-    assert!(unheard > 0, "no machine was deaf");
-    assert!(quick_ends > 0, "no process was back within a second");
-    assert!(copies > 0, "no message came once more");
-    assert!(sent_away > 0, "no user was sent away to come back");
-    assert!(too_large > 0, "nothing was refused for its size");
-    assert!(released > 0, "no job that awaited others ran");
-    assert!(split > 0, "no record took several keys");
-    assert!(relayed > 0, "no request reached a member in a node's place");
-    assert!(frozen > 0, "no leader stood still");
-    assert!(resigned > 0, "no leader out of its workers' reach resigned");
+    assert!(
+        answers_lost > 0,
+        "no committed transaction lost its response"
+    );
+    assert!(
+        reports_kept > 0,
+        "no old heartbeat was replayed to a new leader"
+    );
+    assert!(looks > 0, "no consistency check was answered");
+    assert!(muted > 0, "no machine lost its outbound messages");
+    assert!(held_up > 0, "no message waited for a hung machine");
+    assert!(late_applied > 0, "no transaction was applied late");
+    assert!(reports_again > 0, "no heartbeat was duplicated");
+    assert!(unheard > 0, "no machine lost inbound messages");
+    assert!(quick_ends > 0, "no process restarted within a second");
+    assert!(copies > 0, "no message was duplicated");
+    assert!(sent_away > 0, "no user was rejected with a time to retry");
+    assert!(too_large > 0, "no write was refused for its size");
+    assert!(released > 0, "no job with dependencies ran");
+    assert!(split > 0, "no record needed several keys");
+    assert!(relayed > 0, "no request was relayed to another member");
+    assert!(frozen > 0, "no leader froze");
+    assert!(resigned > 0, "no leader that lost its workers resigned");
 }
 
-/// What a node sends follows from its commands and their times alone. Books were once made from a
-/// map in its chance order: the same seed then failed on one machine and passed on another.
+/// Guards against non-determinism: the messages of a node depend only on its commands and their
+/// times. When cluster state was built in the iteration order of a hash map, the same seed failed
+/// on one machine and passed on another.
 #[test]
 fn same_seed_gives_the_same_history() {
     for seed in [3, 15] {
--- a/tests/histories/users.rs
+++ b/tests/histories/users.rs
@@ -1,4 +1,4 @@
-//! Users: their jobs and requests, and what they are told.
+//! Users: their jobs and requests, and the invariants of the responses that they get.
 
 use super::*;
 
@@ -33,14 +33,14 @@
             Some(PendingRequest::Malformed(allowed)) => {
                 assert!(
                     allowed.contains(&answer.status),
-                    "an odd request got {answer:?}"
+                    "unexpected response to a malformed request: {answer:?}"
                 );
                 *self
                     .malformed_responses
                     .entry((index, answer.status))
                     .or_default() += 1;
             }
-            // Its user has left.
+            // The frozen node sends too late: the user no longer waits for the response.
             Some(PendingRequest::User(..)) if self.effects_held_until > 0 => {}
             Some(PendingRequest::User(job, cancel, before)) => {
                 self.record_user_view(job, cancel, before, &answer)
@@ -49,7 +49,7 @@
         }
     }
 
-    /// What users are told: the rules about answers.
+    /// Checks the invariants of a response and records it in the user's view of the job.
     #[expect(clippy::too_many_lines, reason = "still to be split")]
     pub(crate) fn record_user_view(
         &mut self,
@@ -66,18 +66,18 @@
         let (spec, told) = self
             .jobs
             .get_mut(&id)
-            .expect("only known jobs are asked for");
+            .expect("requests name submitted jobs only");
         if answer.status == 404 {
-            assert!(!accepted, "forgotten: {id}");
+            assert!(!accepted, "forgotten: accepted job {id} is unknown");
             return;
         }
         if answer.status >= 300 {
             assert!(
                 !accepted || (answer.status != 400 && answer.status != 422),
-                "forgotten: {id}"
+                "forgotten: accepted job {id} is unknown"
             );
             if let Some(seconds) = answer.retry_after_s {
-                assert!(seconds <= 30, "users wait for 30 s at the most");
+                assert!(seconds <= 30, "a retry time of more than 30 s");
                 self.retry_at.insert(id, now + u64::from(seconds) * 1000);
                 self.rejections += usize::from(answer.status == 429);
             }
@@ -90,13 +90,21 @@
         told.accepted = true;
         told.answered_at = now;
         told.accepted_at.get_or_insert(now);
-        let view: JobView = protocol::decode(&answer.body).expect("a job's state");
+        let view: JobView = protocol::decode(&answer.body).expect("a valid job state");
         let ended = |status| matches!(status, Some(JobStatus::Done | JobStatus::Cancelled));
         if ended(last) {
-            assert_eq!(Some(view.status), last, "went_back: {id}");
+            assert_eq!(
+                Some(view.status),
+                last,
+                "went_back: the final status of {id} changed"
+            );
         }
         if ended(told.last) && ended(Some(view.status)) {
-            assert_eq!(Some(view.status), told.last, "went_back: {id}");
+            assert_eq!(
+                Some(view.status),
+                told.last,
+                "went_back: the final status of {id} changed"
+            );
         }
         if !ended(told.last) {
             told.last = Some(view.status);
@@ -105,19 +113,26 @@
             JobStatus::Done => {
                 for index in 0..spec.tasks {
                     let task = TaskId { job: id, index };
-                    assert!(self.completed.contains(&task), "not_done: {task}");
+                    assert!(
+                        self.completed.contains(&task),
+                        "not_done: {id} is reported as done, but {task} has not completed"
+                    );
                 }
             }
             JobStatus::Cancelled => {
-                assert!(may_be_cancelled, "went_back: {id} was not cancelled");
+                assert!(
+                    may_be_cancelled,
+                    "went_back: {id} is reported as cancelled without a cancellation"
+                );
                 told.cancelled_at.get_or_insert(now);
             }
             _ => {
-                assert!(!cancel, "a cancellation was answered with {view:?}");
-                // Sooner than the rule asks: each node derives it at once.
+                assert!(!cancel, "a cancellation was confirmed with status {view:?}");
+                // Stricter than the rule, which allows some time: each node derives the
+                // cancellation of dependent jobs immediately.
                 assert!(
                     !before.dependency_cancelled,
-                    "orphaned: {id} is {:?}",
+                    "orphaned: a dependency of {id} is cancelled, but {id} is {:?}",
                     view.status
                 );
             }
@@ -125,7 +140,7 @@
         if self.consistency_checks_until > now {
             self.answered_consistency_checks += 1;
             if known != (true, told.last) {
-                // From then on no node may say anything older.
+                // From now on no node may return an older state.
                 for later in [1, 2, 4, 8, 16, 30, 60, 200, 1000] {
                     self.schedule(now + later, SimulationEvent::CheckConsistency(id));
                 }
@@ -133,7 +148,7 @@
         }
     }
 
-    /// A job and all that it needs, directly or through others.
+    /// Returns a job and all its dependencies, direct and transitive.
     pub(crate) fn dependencies(&self, id: JobId) -> impl Iterator<Item = JobId> {
         let mut all = vec![id];
         let mut at = 0;
@@ -155,12 +170,16 @@
 
     pub(crate) fn send_request_to(&mut self, index: usize, id: JobId, ask: ApiRequest) {
         if self.frozen_until[index] > self.now {
-            // It gets no answer in time and asks again.
+            // A request to a frozen node times out; the user retries later.
             return;
         }
         let cancel = matches!(ask, ApiRequest::Cancel(_));
         if cancel {
-            self.jobs.get_mut(&id).expect("known").1.asked_to_cancel = true;
+            self.jobs
+                .get_mut(&id)
+                .expect("a submitted job")
+                .1
+                .asked_to_cancel = true;
         }
         self.next_request_id += 1;
         let life = self.incarnations[index];
@@ -177,7 +196,7 @@
         self.step(index, life, Command::ApiRequest(self.next_request_id, ask));
     }
 
-    /// Something odd is asked, which may be answered with these only.
+    /// Sends a malformed or unusual request, which may get only the statuses in `allowed`.
     pub(crate) fn send_malformed_request(
         &mut self,
         index: usize,
@@ -235,7 +254,8 @@
         }
     }
 
-    /// A job that awaits some of those that were accepted, whatever has become of them.
+    /// Returns a random job that may depend on up to three of the last 12 accepted array jobs,
+    /// whatever their state.
     pub(crate) fn random_dag_stage(&mut self, number: u64) -> Submission {
         let mut spec = self.random_job(number);
         let known = self
@@ -251,7 +271,7 @@
                     spec.dependencies.push(awaited);
                 }
             }
-            // A record that takes several keys.
+            // Makes the record so large that it needs several keys.
             if !spec.dependencies.is_empty() && self.rng.random_bool(0.1) {
                 spec.types = Some(
                     vec!["c16".into(); 30]
@@ -264,12 +284,12 @@
         spec
     }
 
-    /// In one history of four small tasks come by the dozen for a while.
+    /// In one history of four, dozens of small jobs arrive per second from 40 s to 52 s.
     pub(crate) fn is_flooding(&self, second: u64) -> bool {
         self.seed % 4 == 2 && (40..52).contains(&second)
     }
 
-    /// One of a flood: a small task of a team without a guarantee.
+    /// Returns a job of the flood: one small task of a team without a guarantee.
     pub(crate) fn small_task(&mut self, number: u64) -> Submission {
         self.flood_jobs.insert(JobId(number));
         Submission {
@@ -289,7 +309,8 @@
         }
     }
 
-    /// Whether the user of a flood's job asks at this moment.
+    /// Returns whether the user of a flood's job sends a request now: not before the time given
+    /// with a rejection.
     pub(crate) fn may_retry(&mut self, id: JobId) -> bool {
         let now = self.now;
         match self.retry_at.get(&id) {
@@ -305,7 +326,7 @@
         self.send_request(id, ApiRequest::Submit(Box::new(spec)));
     }
 
-    /// An array without a limit to its team, so long that it outlives the test.
+    /// Returns an array job of a team without a limit, with tasks that run for 600 s.
     pub(crate) fn long_array(&mut self, number: u64, tasks: u32) -> Submission {
         Submission {
             team: "blue".into(),
--- a/tests/histories/workers.rs
+++ b/tests/histories/workers.rs
@@ -1,4 +1,5 @@
-//! Workers: their reports, and how they execute orders.
+//! Workers: heartbeats, execution of orders, and the invariants that are checked when a task
+//! starts.
 
 use super::*;
 
@@ -30,7 +31,8 @@
         }
     }
 
-    /// Lets a worker's own time pass: its lease, its images, its tasks.
+    /// Advances a worker to the current time: expires its lease, finishes image downloads and ends
+    /// tasks.
     pub(crate) fn advance_worker(&mut self, at: usize) {
         let now = self.now;
         let worker = &mut self.workers[at];
@@ -63,7 +65,10 @@
                 self.workers[at].images.insert(spec.image.clone());
                 self.on_task_started(at, task, &spec);
                 let done = self.completed.contains(&task);
-                let on = self.workers[at].tasks.get_mut(&task).expect("it is there");
+                let on = self.workers[at]
+                    .tasks
+                    .get_mut(&task)
+                    .expect("the task is on the worker");
                 on.state = TaskState::Running;
                 on.ends_at = if done {
                     now
@@ -76,7 +81,10 @@
                 if self.completed.insert(task) {
                     self.cancel_at_completion(task.job, &spec);
                 }
-                let on = self.workers[at].tasks.get_mut(&task).expect("it is there");
+                let on = self.workers[at]
+                    .tasks
+                    .get_mut(&task)
+                    .expect("the task is on the worker");
                 on.state = TaskState::Ended;
                 on.cause = Some(FailureCause::Done);
             }
@@ -85,7 +93,8 @@
         }
     }
 
-    /// The job's user calls it off at the moment of its end, or while that is told and stored.
+    /// When the last task of a job ends, cancels the job at that moment or up to 2.5 s later, while
+    /// the end is reported and stored.
     pub(crate) fn cancel_at_completion(&mut self, job: JobId, spec: &Submission) {
         let done = |index| self.completed.contains(&TaskId { job, index });
         if self.cancel_at_completion_until <= self.now || !(0..spec.tasks).all(done) {
@@ -99,7 +108,7 @@
         }
     }
 
-    /// A task has its image: the rules about starting.
+    /// Checks the invariants of a start, as a task whose image was downloaded starts to run.
     #[expect(clippy::too_many_lines, reason = "still to be split")]
     pub(crate) fn on_task_started(&mut self, at: usize, task: TaskId, spec: &Submission) {
         self.starts += 1;
@@ -107,12 +116,23 @@
         let on = |state| matches!(state, TaskState::Running | TaskState::Saving);
         for (other, worker) in self.workers.iter().enumerate() {
             let there = worker.tasks.get(&task).is_some_and(|t| on(t.state));
-            assert!(other == at || !there, "ran_twice: {task} at {}", self.now);
+            assert!(
+                other == at || !there,
+                "ran_twice: task {task} starts while it runs on another machine, at {} ms",
+                self.now
+            );
         }
         let (worker, told) = (&self.workers[at], &self.jobs[&task.job].1);
-        assert!(!worker.spot || spec.spot, "wrong_place: {task}");
+        assert!(
+            !worker.spot || spec.spot,
+            "wrong_place: task {task} of a job without spot machines starts on a spot machine"
+        );
         let allowed = spec.zone.as_ref().is_none_or(|zone| *zone == worker.zone);
-        assert!(allowed, "wrong_place: {task} in {}", worker.zone);
+        assert!(
+            allowed,
+            "wrong_place: task {task} starts in zone {}",
+            worker.zone
+        );
         if spec.one_zone {
             for other in self
                 .workers
@@ -122,17 +142,18 @@
                 let apart = |(id, t): (&TaskId, &TaskOnWorker)| id.job == task.job && on(t.state);
                 assert!(
                     !other.tasks.iter().any(apart),
-                    "wrong_place: {task} apart from the others"
+                    "wrong_place: task {task} of a one-zone job starts in another zone than the rest of the job"
                 );
             }
         }
         for awaited in &spec.dependencies {
-            // What counts is the record: a cancellation may win over an end that is not stored.
+            // The stored record decides: a cancellation may precede the write of an end that was
+            // already reported.
             let record = self.store.row(&format!("shared/job/{awaited}"));
-            let record = record.expect("it was accepted").value;
+            let record = record.expect("the dependency was accepted").value;
             assert_eq!(
                 record["status"], "done",
-                "too_early: {task} at {}",
+                "too_early: task {task} starts before its dependency is done, at {} ms",
                 self.now
             );
             self.dependent_starts += 1;
@@ -140,7 +161,7 @@
         if let Some(told_at) = told.cancelled_at {
             assert!(
                 self.now <= told_at + self.timings.cancellation_bound_ms,
-                "ran_cancelled: {task} starts"
+                "ran_cancelled: task {task} of a cancelled job starts after the cancellation bound"
             );
         }
         let running = |team: &str| -> f64 {
@@ -156,7 +177,7 @@
             let used = running("red") + spec.cpus;
             assert!(
                 used <= TEAM_CPU_LIMIT + 1e-6,
-                "quota: red uses {used} with {task} on {}: {:?}",
+                "quota: team red exceeds its limit: {used} CPUs with {task} on {}: {:?}",
                 self.workers[at].name,
                 self.task_locations("red")
             );
@@ -171,19 +192,19 @@
                 .count();
             assert!(
                 same < spec.tasks.div_ceil(2) as usize,
-                "wrong_place: {task} crowds a zone"
+                "wrong_place: task {task}: too many tasks of a spread job in one zone"
             );
         }
     }
 
-    /// Where a team's tasks are: what a broken rule is explained with.
+    /// Lists the placement of a team's tasks, for the messages of failed assertions.
     pub(crate) fn task_locations(&self, team: &str) -> Vec<String> {
         let mut found = Vec::new();
         for worker in &self.workers {
             for (task, on) in &worker.tasks {
                 if self.jobs[&task.job].0.team == team {
                     found.push(format!(
-                        "{task}#{} {:?} on {} (session {}, token {}, cut until {})",
+                        "{task}#{} {:?} on {} (incarnation {}, token {}, unreachable until {})",
                         on.attempt,
                         on.state,
                         worker.name,
@@ -224,7 +245,8 @@
                         continue;
                     }
                     let refused = if worker.tasks.contains_key(&task) {
-                        // The attempt that is here stays; the refusal is not kept in this model.
+                        // The present attempt stays; this model does not report the refusal of the
+                        // new one.
                         continue;
                     } else {
                         (used + spec.cpus > 16.0 + 1e-6).then_some(FailureCause::NoRoom)
@@ -268,7 +290,7 @@
         }
     }
 
-    /// Tasks that run, each with its attempt and the machine.
+    /// Returns the running tasks, each with its attempt and the index of its worker.
     pub(crate) fn running(&self) -> BTreeMap<TaskId, (u64, usize)> {
         let all = self.workers.iter().enumerate();
         let tasks = all.flat_map(|(at, worker)| worker.tasks.iter().map(move |t| (at, t)));
