--- a/tests/histories/cluster.rs
+++ b/tests/histories/cluster.rs
@@ -6,17 +6,17 @@
 impl SimulatedCluster {
     #[expect(clippy::too_many_lines, reason = "still to be split")]
     pub(crate) fn new(seed: u64) -> Self {
-        let mut world = SimulatedCluster {
+        let mut cluster = SimulatedCluster {
             now: 0,
             timings: worker_timings(seed),
             rng: StdRng::seed_from_u64(seed),
             queue: BinaryHeap::new(),
             events: HashMap::new(),
-            next_event: 0,
+            last_event_id: 0,
             nodes: (0..NODE_COUNT).map(|_| None).collect(),
             incarnations: vec![0; NODE_COUNT],
             booted_at: vec![0; NODE_COUNT],
-            state_service_cut_until: vec![0; NODE_COUNT],
+            state_service_unreachable_until: vec![0; NODE_COUNT],
             state_service_refuses_until: vec![0; NODE_COUNT],
             recovery_read_delay_ms: 0,
             state_reply_delay_ms: 0,
@@ -43,9 +43,9 @@
             malformed_responses: BTreeMap::new(),
             starts_by_task: HashMap::new(),
             max_run_after_cancel_ms: 0,
-            worker_cut_until: vec![0; NODE_COUNT],
-            mesh_cut_until: vec![0; NODE_COUNT],
-            zone_cut: (0, String::new(), 0),
+            workers_unreachable_until: vec![0; NODE_COUNT],
+            mesh_unreachable_until: vec![0; NODE_COUNT],
+            zone_partition: (0, String::new(), 0),
             start_delay_ms: 0,
             frozen_until: vec![0; NODE_COUNT],
             effects_held_until: 0,
@@ -55,11 +55,11 @@
             writes: 0,
             store: Store::new(limits(seed)),
             watches: Vec::new(),
-            answered: HashSet::new(),
+            answered_tickets: HashSet::new(),
             workers: Vec::new(),
             provisioned_instances: HashMap::new(),
             jobs: BTreeMap::new(),
-            completed: HashSet::new(),
+            completed_tasks: HashSet::new(),
             pending_requests: HashMap::new(),
             pending_revocations: HashMap::new(),
             next_request_id: 0,
@@ -82,10 +82,10 @@
             duplicated_messages: 0,
             replica_seconds: [(0, 0); 2],
             flood_jobs: HashSet::new(),
-            trace: DefaultHasher::new(),
-            sent: Trace::default(),
-            kept: None,
-            late_order_chance: [0.0, 0.1, 0.4][(seed / 3) as usize % 3],
+            effects_digest: DefaultHasher::new(),
+            sent_trace: Trace::default(),
+            recorded_messages: None,
+            late_command_probability: [0.0, 0.1, 0.4][(seed / 3) as usize % 3],
             faults_enabled: true,
             leader: None,
         };
@@ -93,27 +93,27 @@
         // yet configured for the lower limits write larger snapshots and log records, and
         // leadership moves between them and nodes that are.
         if seed % 2 == 1 {
-            world.store.limits = USUAL_LIMITS;
-            world.limit_notice_at = [20_000, 45_000, 70_000];
-            world.limit_drop.0 = 80_000;
+            cluster.store.limits = USUAL_LIMITS;
+            cluster.limit_notice_at = [20_000, 45_000, 70_000];
+            cluster.limit_drop.0 = 80_000;
         }
         // In a quarter of the histories no node is configured for the lower limits.
         if seed % 4 == 3 {
-            world.limit_notice_at = [u64::MAX; NODE_COUNT];
-            world.limits_unannounced = true;
+            cluster.limit_notice_at = [u64::MAX; NODE_COUNT];
+            cluster.limits_unannounced = true;
         }
         for index in 0..4 {
-            world.add_worker(["a", "b"][index % 2], index == 3);
+            cluster.add_worker(["a", "b"][index % 2], index == 3);
         }
         for index in 0..NODE_COUNT {
-            world.boot(index);
+            cluster.boot(index);
         }
-        world
+        cluster
     }
 
     pub(crate) fn add_worker(&mut self, zone: &str, spot: bool) -> String {
         let name = format!("vm-{:06}", self.workers.len());
-        let drift = 1.0 + self.rng.random_range(-0.0005..0.0005);
+        let duration_factor = 1.0 + self.rng.random_range(-0.0005..0.0005);
         self.workers.push(Worker {
             name: name.clone(),
             zone: zone.into(),
@@ -126,107 +126,109 @@
             node: self.rng.random_range(0..NODE_COUNT),
             report_at: self.now + 500,
             report_in_flight: None,
-            cut_until: 0,
+            unreachable_until: 0,
             drops_inbound_until: 0,
             lost_starts: BTreeSet::new(),
             drops_outbound_until: 0,
             hung_until: 0,
             booted_at: self.now,
             deleted_at: 0,
-            gone: false,
-            clock_drift: drift,
+            deleted: false,
+            lease_duration_factor: duration_factor,
             images: BTreeSet::new(),
         });
         name
     }
 
-    pub(crate) fn schedule(&mut self, time: u64, what: SimulationEvent) {
-        self.next_event += 1;
-        self.queue.push(Reverse((time, self.next_event)));
-        self.events.insert(self.next_event, what);
+    pub(crate) fn schedule(&mut self, time: u64, event: SimulationEvent) {
+        self.last_event_id += 1;
+        self.queue.push(Reverse((time, self.last_event_id)));
+        self.events.insert(self.last_event_id, event);
     }
 
     pub(crate) fn schedule_command(
         &mut self,
-        index: usize,
-        life: u64,
+        node: usize,
+        incarnation: u64,
         time: u64,
         command: Command,
     ) {
         self.schedule(
             time,
-            SimulationEvent::DeliverCommand(index, life, Box::new(command)),
+            SimulationEvent::DeliverCommand(node, incarnation, Box::new(command)),
         );
     }
 
     /// Returns the node that handles the event, if a node does.
-    pub(crate) fn node_of_event(what: &SimulationEvent) -> Option<usize> {
-        match what {
-            SimulationEvent::Tick(index, _)
-            | SimulationEvent::DeliverCommand(index, ..)
-            | SimulationEvent::DeliverReport(_, index, ..)
-            | SimulationEvent::Revoke(_, index, ..)
-            | SimulationEvent::Relay(_, _, index, ..) => Some(*index),
+    pub(crate) fn node_of_event(event: &SimulationEvent) -> Option<usize> {
+        match event {
+            SimulationEvent::Tick(node, _)
+            | SimulationEvent::DeliverCommand(node, ..)
+            | SimulationEvent::DeliverReport(_, node, ..)
+            | SimulationEvent::Revoke(_, node, ..)
+            | SimulationEvent::Relay(_, _, node, ..) => Some(*node),
             _ => None,
         }
     }
 
-    pub(crate) fn boot(&mut self, index: usize) {
-        self.incarnations[index] += 1;
-        self.booted_at[index] = self.now;
-        self.frozen_until[index] = 0;
-        let (_, next) = self.limit_drop;
-        let next = (self.limit_notice_at[index] <= self.now).then_some(next);
-        self.nodes[index] = Some(Node::new(config(
-            index,
+    pub(crate) fn boot(&mut self, node_index: usize) {
+        self.incarnations[node_index] += 1;
+        self.booted_at[node_index] = self.now;
+        self.frozen_until[node_index] = 0;
+        let (_, next_limits) = self.limit_drop;
+        let next_limits = (self.limit_notice_at[node_index] <= self.now).then_some(next_limits);
+        self.nodes[node_index] = Some(Node::new(config(
+            node_index,
             self.timings,
             self.store.limits,
-            next,
+            next_limits,
         )));
         self.schedule(
             self.now,
-            SimulationEvent::Tick(index, self.incarnations[index]),
+            SimulationEvent::Tick(node_index, self.incarnations[node_index]),
         );
     }
 
-    pub(crate) fn crash(&mut self, index: usize) {
-        if self.nodes[index].is_some() && self.faults_enabled && self.rng.random_bool(0.5) {
-            self.delay_messages_of_crashed_node(index);
+    pub(crate) fn crash(&mut self, node: usize) {
+        if self.nodes[node].is_some() && self.faults_enabled && self.rng.random_bool(0.5) {
+            self.delay_messages_of_crashed_node(node);
         }
-        self.nodes[index] = None;
-        self.incarnations[index] += 1;
+        self.nodes[node] = None;
+        self.incarnations[node] += 1;
     }
 
     /// Delays the requests that a crashed process has in flight to the state service and to
     /// workers: they are carried out when its successor under the same label is already running.
-    pub(crate) fn delay_messages_of_crashed_node(&mut self, index: usize) {
-        let life = self.incarnations[index];
-        let of_it = |what: &SimulationEvent| match what {
-            SimulationEvent::StateRequestArrives(from, of, ..)
-            | SimulationEvent::DeliverOrders(from, of, ..) => (*from, *of) == (index, life),
+    pub(crate) fn delay_messages_of_crashed_node(&mut self, node: usize) {
+        let incarnation = self.incarnations[node];
+        let is_from_process = |event: &SimulationEvent| match event {
+            SimulationEvent::StateRequestArrives(sender, sender_incarnation, ..)
+            | SimulationEvent::DeliverOrders(sender, sender_incarnation, ..) => {
+                (*sender, *sender_incarnation) == (node, incarnation)
+            }
             _ => false,
         };
-        let mut late: Vec<u64> = self
+        let mut delayed: Vec<u64> = self
             .events
             .iter()
-            .filter(|(_, what)| of_it(what))
+            .filter(|(_, event)| is_from_process(event))
             .map(|(id, _)| *id)
             .collect();
-        late.sort();
-        for id in late {
+        delayed.sort();
+        for id in delayed {
             let time = self.now + self.rng.random_range(30..20_000);
-            if let Some(what) = self.events.remove(&id) {
-                self.schedule(time, what);
+            if let Some(event) = self.events.remove(&id) {
+                self.schedule(time, event);
             }
         }
     }
 
     /// Ends a process and schedules its restart after `pause` milliseconds, mostly less than a
     /// second.
-    pub(crate) fn stop_process(&mut self, index: usize, pause: u64) {
-        self.crash(index);
+    pub(crate) fn stop_process(&mut self, node: usize, pause: u64) {
+        self.crash(node);
         self.quick_restarts += usize::from(pause < 1000);
-        self.schedule(self.now + pause, SimulationEvent::Boot(index));
+        self.schedule(self.now + pause, SimulationEvent::Boot(node));
     }
 
     pub(crate) fn random_restart_delay(&mut self) -> u64 {
@@ -239,12 +241,12 @@
 
     /// Schedules one to four stops of each of the given processes in quick succession, some of them
     /// before the process is ready.
-    pub(crate) fn schedule_process_stops(&mut self, who: &[usize]) {
-        for &index in who {
+    pub(crate) fn schedule_process_stops(&mut self, node_indices: &[usize]) {
+        for &node in node_indices {
             let mut time = self.now;
             for _ in 0..self.rng.random_range(1..5) {
                 let pause = self.random_restart_delay();
-                self.schedule(time, SimulationEvent::StopProcess(index, pause));
+                self.schedule(time, SimulationEvent::StopProcess(node, pause));
                 // In this simulation a process is ready after about 100 ms and a takeover takes
                 // about 300 ms.
                 time += pause + self.rng.random_range(5..2500);
@@ -252,33 +254,33 @@
         }
     }
 
-    pub(crate) fn step(&mut self, index: usize, life: u64, command: Command) {
-        if self.incarnations[index] != life {
+    pub(crate) fn step(&mut self, node_index: usize, incarnation: u64, command: Command) {
+        if self.incarnations[node_index] != incarnation {
             return;
         }
         let now = ClockReading {
-            monotonic_ms: self.now - self.booted_at[index],
+            monotonic_ms: self.now - self.booted_at[node_index],
             wall_ms: 1_700_000_000_000 + self.now,
         };
-        let Some(node) = &mut self.nodes[index] else {
+        let Some(node) = &mut self.nodes[node_index] else {
             return;
         };
         let effects = node.step([command], now);
         // Freezes the node after it has changed its state and before it sends any effect, the most
         // harmful moment.
         if self.faults_enabled && self.rng.random_bool(0.0002) {
-            self.freeze(index);
-            self.effects_held_until = self.frozen_until[index];
+            self.freeze(node_index);
+            self.effects_held_until = self.frozen_until[node_index];
         }
         for effect in effects {
-            self.execute_effect(index, life, effect);
+            self.execute_effect(node_index, incarnation, effect);
         }
         self.effects_held_until = 0;
     }
 
     /// Freezes a node for a time that is shorter than the leader's lease, about as long, or longer
     /// than a worker's lease.
-    pub(crate) fn freeze(&mut self, index: usize) {
+    pub(crate) fn freeze(&mut self, node: usize) {
         let lease = self.timings.lease_ttl_ms;
         let lengths = [
             500,
@@ -292,8 +294,8 @@
             40_000,
         ];
         let length = lengths[self.rng.random_range(0..lengths.len())];
-        self.frozen_until[index] = self.now + length;
-        self.leader_freezes += usize::from(self.leader == Some(index));
+        self.frozen_until[node] = self.now + length;
+        self.leader_freezes += usize::from(self.leader == Some(node));
     }
 
     /// Returns the version of the leader's key, if it exists, and the term.
@@ -313,8 +315,8 @@
                 }
                 self.queue.pop();
                 self.now = self.now.max(time);
-                if let Some(what) = self.events.remove(&id) {
-                    self.handle_event(what);
+                if let Some(event) = self.events.remove(&id) {
+                    self.handle_event(event);
                 }
             }
             self.now = next;
--- a/tests/histories/effects.rs
+++ b/tests/histories/effects.rs
@@ -4,13 +4,13 @@
 
 impl SimulatedCluster {
     #[expect(clippy::too_many_lines, reason = "still to be split")]
-    pub(crate) fn execute_effect(&mut self, index: usize, life: u64, effect: Effect) {
-        let sent = self.now - self.booted_at[index];
-        format!("{effect:?}").hash(&mut self.trace);
+    pub(crate) fn execute_effect(&mut self, node: usize, incarnation: u64, effect: Effect) {
+        let send_time = self.now - self.booted_at[node];
+        format!("{effect:?}").hash(&mut self.effects_digest);
         let message = Sent::of(&effect);
-        self.sent.add(self.now, index, life, &message);
-        if let Some(kept) = &mut self.kept {
-            kept.push(message);
+        self.sent_trace.add(self.now, node, incarnation, &message);
+        if let Some(messages) = &mut self.recorded_messages {
+            messages.push(message);
         }
         match effect {
             Effect::CallStateService {
@@ -22,53 +22,61 @@
                 self.requests += 1;
                 if matches!(tag, coordination::Tag::WriteAdmissionQuotas { .. }) {
                     let last = self.quotas_written_at.replace(self.now);
-                    let apart = last.is_none_or(|at| at + 5000 <= self.now);
+                    let is_spaced = last.is_none_or(|at| at + 5000 <= self.now);
                     assert!(
-                        apart,
+                        is_spaced,
                         "admission quotas were written twice within 5 s, before the first table has taken effect"
                     );
                 }
                 if let StateRequest::Txn(txn) = &request {
                     self.writes += txn.writes.len();
-                    let of_a_leader = |write: &Write| {
+                    let is_leader_write = |write: &Write| {
                         let (Write::Put { key, .. } | Write::Delete { key }) = write;
-                        let led = ["shared/types", "shared/admission"];
-                        key.starts_with("books/") || led.contains(&&key[..])
+                        let leader_keys = ["shared/types", "shared/admission"];
+                        key.starts_with("books/") || leader_keys.contains(&&key[..])
                     };
-                    let held = |condition: &Condition| {
+                    let requires_leader_key = |condition: &Condition| {
                         condition.key == "shared/leader" && condition.version > 0
                     };
                     assert!(
-                        !txn.writes.iter().any(of_a_leader) || txn.conditions.iter().any(held),
+                        !txn.writes.iter().any(is_leader_write)
+                            || txn.conditions.iter().any(requires_leader_key),
                         "a leader's write without a condition on the leader's key: {txn:?}"
                     );
                     // A write that is applied late, also within the same term, must not overwrite a
                     // newer one. The further keys of a record are written together with its first
                     // key.
-                    let replaces = |write: &Write| {
+                    let is_conditional = |write: &Write| {
                         let (Write::Put { key, .. } | Write::Delete { key }) = write;
                         key.starts_with("shared/part/")
-                            || txn.conditions.iter().any(|known| known.key == *key)
+                            || txn.conditions.iter().any(|condition| condition.key == *key)
                     };
                     assert!(
-                        txn.writes.iter().all(replaces),
+                        txn.writes.iter().all(is_conditional),
                         "a write that could overwrite a newer one: {txn:?}"
                     );
                 }
-                self.next_event += 1;
-                let ticket = self.next_event;
-                let give_up = Command::StateResponse {
+                self.last_event_id += 1;
+                let ticket = self.last_event_id;
+                let timeout = Command::StateResponse {
                     tag: tag.clone(),
-                    sent_at: sent,
+                    sent_at: send_time,
                     result: Err(StateError::NoAnswer),
                 };
                 self.schedule(
                     self.now + timeout_ms,
-                    SimulationEvent::DeliverCommand(index, life | ticket << 20, Box::new(give_up)),
+                    SimulationEvent::DeliverCommand(
+                        node,
+                        incarnation | ticket << 20,
+                        Box::new(timeout),
+                    ),
                 );
-                if let Some(mut time) = self.message_arrival(self.state_service_cut_until[index]) {
-                    let first = life == 1 && matches!(tag, coordination::Tag::PutRenewerKey { .. });
-                    if first && index == self.delayed_renewer_key.0 {
+                if let Some(mut time) =
+                    self.message_arrival(self.state_service_unreachable_until[node])
+                {
+                    let is_first_write =
+                        incarnation == 1 && matches!(tag, coordination::Tag::PutRenewerKey { .. });
+                    if is_first_write && node == self.delayed_renewer_key.0 {
                         time = self.delayed_renewer_key.1;
                     }
                     if matches!(tag, coordination::Tag::ReadLeaderLog { .. }) {
@@ -83,29 +91,35 @@
                     } else if self.slow_state_service_until > self.now {
                         time += self.rng.random_range(20..1200);
                     }
-                    let often = self.lost_replies_until > self.now && self.rng.random_bool(0.3);
+                    let random_loss =
+                        self.lost_replies_until > self.now && self.rng.random_bool(0.3);
                     if written
-                        && (often
+                        && (random_loss
                             || self
                                 .lost_reply_kind
                                 .is_some_and(|kind| kind == request_kind(&tag)))
                     {
                         self.lost_reply_tickets.insert(ticket);
                     }
-                    let sent_and_ticket = sent << 32 | ticket;
+                    let sent_and_ticket = send_time << 32 | ticket;
                     let packet = Box::new((tag, request));
                     if let Some(time) = self.duplicate_arrival() {
-                        let copy = SimulationEvent::StateRequestArrives(
-                            index,
+                        let duplicate = SimulationEvent::StateRequestArrives(
+                            node,
                             DUPLICATE_TICKET,
                             sent_and_ticket,
                             packet.clone(),
                         );
-                        self.schedule(time, copy);
+                        self.schedule(time, duplicate);
                     }
                     self.schedule(
                         time,
-                        SimulationEvent::StateRequestArrives(index, life, sent_and_ticket, packet),
+                        SimulationEvent::StateRequestArrives(
+                            node,
+                            incarnation,
+                            sent_and_ticket,
+                            packet,
+                        ),
                     );
                 }
             }
@@ -113,8 +127,8 @@
                 let result = Ok(self.handle_cloud_request(&request));
                 let delay = self.rng.random_range(20..200);
                 self.schedule_command(
-                    index,
-                    life,
+                    node,
+                    incarnation,
                     self.now + delay,
                     Command::CloudResponse { tag, result },
                 );
@@ -125,153 +139,184 @@
                 timeout_ms,
                 ..
             } => {
-                let Some(at) = self.workers.iter().position(|w| w.name == tag.machine) else {
+                let Some(worker_index) = self.workers.iter().position(|w| w.name == tag.machine)
+                else {
                     return self.schedule_command(
-                        index,
-                        life,
+                        node,
+                        incarnation,
                         self.now + timeout_ms,
                         Command::WorkerResponse { tag, result: None },
                     );
                 };
-                self.next_event += 1;
-                let ticket = self.next_event;
-                let give_up = Command::WorkerResponse {
+                self.last_event_id += 1;
+                let ticket = self.last_event_id;
+                let timeout = Command::WorkerResponse {
                     tag: tag.clone(),
                     result: None,
                 };
                 self.schedule(
                     self.now + timeout_ms,
-                    SimulationEvent::DeliverCommand(index, life | ticket << 20, Box::new(give_up)),
+                    SimulationEvent::DeliverCommand(
+                        node,
+                        incarnation | ticket << 20,
+                        Box::new(timeout),
+                    ),
                 );
-                let cut = self.link_cut_until(index, at);
-                let late = self.faults_enabled && self.rng.random_bool(self.late_order_chance);
-                let slower = if !tag.starts.is_empty() && self.start_delay_ms > 0 {
+                let link_down_until = self.link_down_until(node, worker_index);
+                let is_late =
+                    self.faults_enabled && self.rng.random_bool(self.late_command_probability);
+                let extra_delay = if !tag.starts.is_empty() && self.start_delay_ms > 0 {
                     self.start_delay_ms
-                } else if late {
+                } else if is_late {
                     self.rng.random_range(100..2900)
                 } else {
                     0
                 };
-                if let Some(time) = self.message_arrival(cut).map(|time| time + slower) {
+                if let Some(time) = self
+                    .message_arrival(link_down_until)
+                    .map(|time| time + extra_delay)
+                {
                     let packet = Box::new((tag, orders));
-                    let again = self.duplicate_start_delay_ms > 0 && !packet.0.starts.is_empty();
-                    let again = again.then_some(time + self.duplicate_start_delay_ms);
-                    if let Some(time) = again.or_else(|| self.duplicate_arrival()) {
-                        let copy = SimulationEvent::DeliverOrders(
-                            index,
+                    let duplicate_at =
+                        self.duplicate_start_delay_ms > 0 && !packet.0.starts.is_empty();
+                    let duplicate_at = duplicate_at.then_some(time + self.duplicate_start_delay_ms);
+                    if let Some(time) = duplicate_at.or_else(|| self.duplicate_arrival()) {
+                        let duplicate = SimulationEvent::DeliverOrders(
+                            node,
                             DUPLICATE_TICKET,
                             ticket,
-                            at,
+                            worker_index,
                             packet.clone(),
                         );
-                        self.schedule(time, copy);
+                        self.schedule(time, duplicate);
                     }
                     self.schedule(
                         time,
-                        SimulationEvent::DeliverOrders(index, life, ticket, at, packet),
+                        SimulationEvent::DeliverOrders(
+                            node,
+                            incarnation,
+                            ticket,
+                            worker_index,
+                            packet,
+                        ),
                     );
                 }
             }
-            Effect::Respond(id, answer) => self.on_response(index, life, id, answer),
+            Effect::Respond(id, response) => self.on_response(node, incarnation, id, response),
             Effect::AnnounceProgress(progress) => {
-                for other in (0..NODE_COUNT).filter(|other| *other != index) {
-                    let cut = self.mesh_cut_until[index].max(self.mesh_cut_until[other]);
-                    if let Some(time) = self.message_arrival(cut) {
-                        let life = self.incarnations[other];
+                for other in (0..NODE_COUNT).filter(|other| *other != node) {
+                    let link_down_until =
+                        self.mesh_unreachable_until[node].max(self.mesh_unreachable_until[other]);
+                    if let Some(time) = self.message_arrival(link_down_until) {
+                        let incarnation = self.incarnations[other];
                         self.schedule_command(
                             other,
-                            life,
+                            incarnation,
                             time,
                             Command::LeaderAnnounced(progress.clone()),
                         );
                         if let Some(time) = self.duplicate_arrival() {
                             self.schedule_command(
                                 other,
-                                life,
+                                incarnation,
                                 time,
                                 Command::LeaderAnnounced(progress.clone()),
                             );
                         }
                         // The member's status is returned over the same link.
-                        if let (Some(news), Some(back)) = (
+                        if let (Some(status), Some(reply_at)) = (
                             self.member_statuses[other].clone(),
-                            self.message_arrival(cut),
+                            self.message_arrival(link_down_until),
                         ) {
-                            let asker = self.incarnations[index];
-                            let back = back.max(time);
+                            let sender_incarnation = self.incarnations[node];
+                            let reply_at = reply_at.max(time);
                             self.schedule_command(
-                                index,
-                                asker,
-                                back,
-                                Command::MemberStatus(Box::new(news)),
+                                node,
+                                sender_incarnation,
+                                reply_at,
+                                Command::MemberStatus(Box::new(status)),
                             );
                         }
                     }
                 }
             }
-            Effect::PublishMemberStatus(news) => self.member_statuses[index] = Some(*news),
+            Effect::PublishMemberStatus(status) => self.member_statuses[node] = Some(*status),
             Effect::RequestRevocation { ref label, .. } => {
                 let other: usize = label[1..].parse().expect("a node label with a number");
-                let cut = self.mesh_cut_until[index].max(self.mesh_cut_until[other]);
-                if let Some(time) = self.message_arrival(cut) {
+                let link_down_until =
+                    self.mesh_unreachable_until[node].max(self.mesh_unreachable_until[other]);
+                if let Some(time) = self.message_arrival(link_down_until) {
                     if let Some(time) = self.duplicate_arrival() {
-                        let copied = Box::new(effect.clone());
+                        let duplicate = Box::new(effect.clone());
                         self.schedule(
                             time,
                             SimulationEvent::Revoke(
-                                index,
+                                node,
                                 other,
-                                DUPLICATE_TICKET << 32 | sent,
-                                copied,
+                                DUPLICATE_TICKET << 32 | send_time,
+                                duplicate,
                             ),
                         );
                     }
                     self.schedule(
                         time,
-                        SimulationEvent::Revoke(index, other, life << 32 | sent, Box::new(effect)),
+                        SimulationEvent::Revoke(
+                            node,
+                            other,
+                            incarnation << 32 | send_time,
+                            Box::new(effect),
+                        ),
                     );
                 }
             }
-            Effect::RespondRevocation(id, word) => {
-                if let Some((asker, asker_life, sent_at, lease, label)) =
-                    self.pending_revocations.remove(&(index, life, id))
+            Effect::RespondRevocation(id, reply) => {
+                if let Some((requester, requester_incarnation, sent_at, lease, label)) =
+                    self.pending_revocations.remove(&(node, incarnation, id))
                 {
-                    let cut = self.mesh_cut_until[index].max(self.mesh_cut_until[asker]);
-                    if let Some(time) = self.message_arrival(cut) {
+                    let link_down_until = self.mesh_unreachable_until[node]
+                        .max(self.mesh_unreachable_until[requester]);
+                    if let Some(time) = self.message_arrival(link_down_until) {
                         let command = Command::LeasesRevoked {
                             lease,
                             label,
                             sent_at,
-                            reply: Some(word),
+                            reply: Some(reply),
                         };
-                        self.schedule_command(asker, asker_life, time, command);
+                        self.schedule_command(requester, requester_incarnation, time, command);
                     }
                 }
             }
             Effect::RelayRequest {
                 id,
                 label,
-                request: ask,
+                request: relayed_request,
             } => {
                 let other: usize = label[1..].parse().expect("a node label with a number");
                 self.schedule_command(
-                    index,
-                    life,
+                    node,
+                    incarnation,
                     self.now + 2000,
                     Command::RelayAnswered(id, None),
                 );
-                let cut = self.mesh_cut_until[index].max(self.mesh_cut_until[other]);
-                if let Some(time) = self.message_arrival(cut) {
+                let link_down_until =
+                    self.mesh_unreachable_until[node].max(self.mesh_unreachable_until[other]);
+                if let Some(time) = self.message_arrival(link_down_until) {
                     if let Some(time) = self.duplicate_arrival() {
-                        let copied = Box::new(ask.clone());
+                        let duplicate = Box::new(relayed_request.clone());
                         self.schedule(
                             time,
-                            SimulationEvent::Relay(index, DUPLICATE_TICKET, other, id, copied),
+                            SimulationEvent::Relay(node, DUPLICATE_TICKET, other, id, duplicate),
                         );
                     }
                     self.schedule(
                         time,
-                        SimulationEvent::Relay(index, life, other, id, Box::new(ask)),
+                        SimulationEvent::Relay(
+                            node,
+                            incarnation,
+                            other,
+                            id,
+                            Box::new(relayed_request),
+                        ),
                     );
                 }
             }
@@ -280,10 +325,10 @@
             }
             Effect::SetLeadership(leads) => {
                 if leads {
-                    self.leader = Some(index);
+                    self.leader = Some(node);
                     self.replay_retained_reports();
-                } else if self.worker_cut_until[index] > self.now
-                    && self.state_service_cut_until[index] <= self.now
+                } else if self.workers_unreachable_until[node] > self.now
+                    && self.state_service_unreachable_until[node] <= self.now
                 {
                     self.resignations += 1;
                 }
@@ -310,7 +355,7 @@
                 if let Some(names) = self.provisioned_instances.get(&rent.name) {
                     return CloudReply::Rented(names.clone());
                 }
-                let up = self.workers.iter().filter(|w| !w.gone).count();
+                let up = self.workers.iter().filter(|w| !w.deleted).count();
                 let count = (10usize.saturating_sub(up)).min(rent.count as usize);
                 if count == 0 {
                     return CloudReply::NoCapacity;
@@ -324,8 +369,8 @@
             }
             CloudRequest::Delete(names) => {
                 for worker in &mut self.workers {
-                    if names.contains(&worker.name) && !worker.gone {
-                        worker.gone = true;
+                    if names.contains(&worker.name) && !worker.deleted {
+                        worker.deleted = true;
                         worker.deleted_at = self.now;
                         worker.tasks.clear();
                     }
@@ -337,7 +382,8 @@
                 // start are older than that.
                 let lag = [6000, 6000, 9000, 12_000][self.rng.random_range(0..4)];
                 let then = self.now.saturating_sub(lag);
-                let there = |w: &&Worker| w.booted_at <= then && (!w.gone || w.deleted_at > then);
+                let there =
+                    |w: &&Worker| w.booted_at <= then && (!w.deleted || w.deleted_at > then);
                 let listed = |w: &Worker| ListedMachine {
                     id: w.name.clone(),
                     addr: Some("10.0.0.1:1".into()),
--- a/tests/histories/events.rs
+++ b/tests/histories/events.rs
@@ -4,64 +4,72 @@
 
 impl SimulatedCluster {
     #[expect(clippy::too_many_lines, reason = "still to be split")]
-    pub(crate) fn handle_event(&mut self, what: SimulationEvent) {
+    pub(crate) fn handle_event(&mut self, event: SimulationEvent) {
         // A node that resumes gets all messages and timeouts of the meantime at once, in any order.
-        if let Some(index) = Self::node_of_event(&what)
-            && self.frozen_until[index] > self.now
+        if let Some(node) = Self::node_of_event(&event)
+            && self.frozen_until[node] > self.now
         {
-            let time = self.frozen_until[index] + self.rng.random_range(0..30);
-            return self.schedule(time, what);
+            let time = self.frozen_until[node] + self.rng.random_range(0..30);
+            return self.schedule(time, event);
         }
-        match what {
-            SimulationEvent::Boot(index) => {
-                if self.nodes[index].is_none() {
-                    self.boot(index);
+        match event {
+            SimulationEvent::Boot(node) => {
+                if self.nodes[node].is_none() {
+                    self.boot(node);
                 }
             }
-            SimulationEvent::StopProcess(index, pause) => {
-                if self.faults_enabled && self.nodes[index].is_some() {
-                    self.stop_process(index, pause);
+            SimulationEvent::StopProcess(node, pause) => {
+                if self.faults_enabled && self.nodes[node].is_some() {
+                    self.stop_process(node, pause);
                 }
             }
-            SimulationEvent::Tick(index, life) => {
-                if self.nodes[index].is_some() && self.incarnations[index] == life {
-                    self.step(index, life, Command::Tick);
-                    self.schedule(self.now + 50, SimulationEvent::Tick(index, life));
+            SimulationEvent::Tick(node, incarnation) => {
+                if self.nodes[node].is_some() && self.incarnations[node] == incarnation {
+                    self.step(node, incarnation, Command::Tick);
+                    self.schedule(self.now + 50, SimulationEvent::Tick(node, incarnation));
                 }
             }
-            SimulationEvent::DeliverCommand(index, tag, command) => {
-                let (life, ticket) = (tag & 0xfffff, tag >> 20);
+            SimulationEvent::DeliverCommand(node, tag, command) => {
+                let (incarnation, ticket) = (tag & 0xfffff, tag >> 20);
                 // A response to a duplicate is not the response that the sender waits for.
-                if life != DUPLICATE_TICKET && (ticket == 0 || self.answered.insert(ticket)) {
-                    self.step(index, life, *command);
+                if incarnation != DUPLICATE_TICKET
+                    && (ticket == 0 || self.answered_tickets.insert(ticket))
+                {
+                    self.step(node, incarnation, *command);
                 }
             }
-            SimulationEvent::StateRequestArrives(index, life, sent_and_ticket, packet) => {
+            SimulationEvent::StateRequestArrives(node, incarnation, sent_and_ticket, packet) => {
                 let (sent_at, ticket) = (sent_and_ticket >> 32, sent_and_ticket & 0xffff_ffff);
                 let (tag, request) = *packet;
                 // A late request that was sent within the old limits and exceeds the new ones is
                 // dropped.
-                let late = sent_at + self.booted_at[index] + 2000 < self.now;
-                if (self.incarnations[index] != life || late)
+                let is_late = sent_at + self.booted_at[node] + 2000 < self.now;
+                if (self.incarnations[node] != incarnation || is_late)
                     && let StateRequest::Txn(txn) = &request
                     && !self.store.limits.accepts(txn)
                 {
                     return;
                 }
-                if self.is_refused_by_state_service(index) {
+                if self.is_refused_by_state_service(node) {
                     if matches!(request, StateRequest::Changes { hold_ms, .. } if hold_ms > 0) {
                         let until = self
                             .store
                             .down_until
-                            .max(self.state_service_refuses_until[index]);
-                        self.watches
-                            .push((index, life, tag, request, sent_and_ticket, until));
+                            .max(self.state_service_refuses_until[node]);
+                        self.watches.push((
+                            node,
+                            incarnation,
+                            tag,
+                            request,
+                            sent_and_ticket,
+                            until,
+                        ));
                         return;
                     }
                     let result = Err(StateError::Refused(503));
                     return self.deliver_reply(
-                        index,
-                        life,
+                        node,
+                        incarnation,
                         ticket,
                         Command::StateResponse {
                             tag,
@@ -81,14 +89,14 @@
                         sent_at,
                         result,
                     };
-                    return self.deliver_reply(index, life, ticket, command);
+                    return self.deliver_reply(node, incarnation, ticket, command);
                 }
                 // Now and then the store is overloaded, or its change log does not reach back far
                 // enough.
                 let refused = self.faults_enabled && self.rng.random_bool(0.01);
-                let too_old = matches!(request, StateRequest::Changes { .. });
+                let is_changes_request = matches!(request, StateRequest::Changes { .. });
                 if refused {
-                    let result = if too_old {
+                    let result = if is_changes_request {
                         Ok(StateReply::TooOld)
                     } else {
                         Err(StateError::Refused(429))
@@ -98,7 +106,7 @@
                         sent_at,
                         result,
                     };
-                    return self.deliver_reply(index, life, ticket, command);
+                    return self.deliver_reply(node, incarnation, ticket, command);
                 }
                 self.store.expire_leases(self.now);
                 let before = self.leadership();
@@ -115,8 +123,8 @@
                     Some(reply) => {
                         let result = Ok(reply);
                         self.deliver_reply(
-                            index,
-                            life,
+                            node,
+                            incarnation,
                             ticket,
                             Command::StateResponse {
                                 tag,
@@ -127,104 +135,111 @@
                     }
                     None => {
                         let until = self.now + 10_000;
-                        self.watches
-                            .push((index, life, tag, request, sent_and_ticket, until));
+                        self.watches.push((
+                            node,
+                            incarnation,
+                            tag,
+                            request,
+                            sent_and_ticket,
+                            until,
+                        ));
                     }
                 }
             }
-            SimulationEvent::DeliverOrders(_, _, _, at, _)
-            | SimulationEvent::DeliverResponse(at, ..)
-                if self.workers[at].hung_until > self.now =>
+            SimulationEvent::DeliverOrders(_, _, _, worker_index, _)
+            | SimulationEvent::DeliverResponse(worker_index, ..)
+                if self.workers[worker_index].hung_until > self.now =>
             {
                 // The worker processes what arrives meanwhile when it resumes.
                 self.messages_held_by_hung_workers += 1;
-                let time = self.workers[at].hung_until + self.rng.random_range(0..20);
-                self.schedule(time, what);
+                let time = self.workers[worker_index].hung_until + self.rng.random_range(0..20);
+                self.schedule(time, event);
             }
-            SimulationEvent::DeliverOrders(index, life, ticket, at, packet) => {
+            SimulationEvent::DeliverOrders(node, incarnation, ticket, worker_index, packet) => {
                 let (tag, orders) = *packet;
-                self.advance_worker(at);
-                if self.workers[at].gone {
+                self.advance_worker(worker_index);
+                if self.workers[worker_index].deleted {
                     return;
                 }
-                if self.drops_inbound(at) {
-                    self.workers[at].lost_starts.extend(&tag.starts);
+                if self.drops_inbound(worker_index) {
+                    self.workers[worker_index].lost_starts.extend(&tag.starts);
                     return;
                 }
                 let mut executed = true;
                 if let Some(orders) = orders {
-                    let worker = &mut self.workers[at];
+                    let worker = &mut self.workers[worker_index];
                     executed =
                         orders.token >= worker.token && orders.incarnation == worker.incarnation;
                     if executed {
                         worker.token = orders.token;
-                        self.execute_orders(at, &orders.orders);
+                        self.execute_orders(worker_index, &orders.orders);
                     }
                 }
-                let report = self.build_report(at);
+                let report = self.build_report(worker_index);
                 let result = Some(if executed {
                     WorkerReply::Executed(report)
                 } else {
                     WorkerReply::Rejected(report)
                 });
-                let cut = self.link_cut_until(index, at);
-                if let Some(time) = self.message_arrival(cut) {
+                let link_down_until = self.link_down_until(node, worker_index);
+                if let Some(time) = self.message_arrival(link_down_until) {
                     let command = Box::new(Command::WorkerResponse { tag, result });
                     self.schedule(
                         time,
-                        SimulationEvent::DeliverCommand(index, life | ticket << 20, command),
+                        SimulationEvent::DeliverCommand(node, incarnation | ticket << 20, command),
                     );
                 }
             }
-            SimulationEvent::DeliverReport(at, index, report, number) => {
+            SimulationEvent::DeliverReport(worker_index, node, report, number) => {
                 self.next_request_id += 1;
-                let life = self.incarnations[index];
-                if self.nodes[index].is_none() {
+                let incarnation = self.incarnations[node];
+                if self.nodes[node].is_none() {
                     return;
                 }
-                let asked = PendingRequest::Report(at, report.incarnation, number);
+                let pending = PendingRequest::Report(worker_index, report.incarnation, number);
                 self.pending_requests
-                    .insert((index, life, self.next_request_id), asked);
+                    .insert((node, incarnation, self.next_request_id), pending);
                 let command =
                     Command::ApiRequest(self.next_request_id, ApiRequest::Heartbeat(report));
-                self.step(index, life, command);
+                self.step(node, incarnation, command);
             }
-            SimulationEvent::DeliverResponse(at, tag, index, answer) => {
-                let (session, number) = (tag >> 40, tag & 0xff_ffff_ffff);
-                self.advance_worker(at);
-                let worker = &mut self.workers[at];
-                let Some((flying, until)) = worker.report_in_flight else {
+            SimulationEvent::DeliverResponse(worker_index, tag, node, response) => {
+                let (incarnation, number) = (tag >> 40, tag & 0xff_ffff_ffff);
+                self.advance_worker(worker_index);
+                let worker = &mut self.workers[worker_index];
+                let Some((in_flight, until)) = worker.report_in_flight else {
                     return;
                 };
                 if until < self.now
-                    || flying != number
-                    || worker.incarnation != session
-                    || worker.gone
+                    || in_flight != number
+                    || worker.incarnation != incarnation
+                    || worker.deleted
                 {
                     return;
                 }
                 worker.report_in_flight = None;
-                match answer.status {
+                match response.status {
                     200 => {
-                        let orders: Orders = protocol::decode(&answer.body).expect("valid orders");
-                        let worker = &mut self.workers[at];
+                        let orders: Orders =
+                            protocol::decode(&response.body).expect("valid orders");
+                        let worker = &mut self.workers[worker_index];
                         if orders.token >= worker.token {
                             worker.token = orders.token;
                             // A heartbeat's number is the time at which it was sent.
                             worker.lease_renewed_at = worker.lease_renewed_at.max(number);
-                            self.execute_orders(at, &orders.orders);
+                            self.execute_orders(worker_index, &orders.orders);
                         }
                     }
                     421 => {
                         let redirect: Redirect =
-                            protocol::decode(&answer.body).expect("a valid redirect");
-                        let to = redirect.leader.and_then(|label| label[1..].parse().ok());
-                        let worker = &mut self.workers[at];
-                        worker.node = to.unwrap_or((index as usize + 1) % NODE_COUNT);
+                            protocol::decode(&response.body).expect("a valid redirect");
+                        let leader = redirect.leader.and_then(|label| label[1..].parse().ok());
+                        let worker = &mut self.workers[worker_index];
+                        worker.node = leader.unwrap_or((node as usize + 1) % NODE_COUNT);
                         worker.report_at = self.now + 100;
                     }
                     _ => {
-                        worker.node = (index as usize + 1) % NODE_COUNT;
+                        worker.node = (node as usize + 1) % NODE_COUNT;
                         worker.report_at = self.now + 1000;
                     }
                 }
@@ -240,17 +255,18 @@
                 }
             }
             SimulationEvent::CancelJob(id) => self.send_request(id, ApiRequest::Cancel(id)),
-            SimulationEvent::Relay(asker, life, other, id, ask) => {
+            SimulationEvent::Relay(requester, incarnation, other, id, request) => {
                 self.next_request_id += 1;
-                let other_life = self.incarnations[other];
-                let whom = PendingRequest::Relayed(asker, life, id);
+                let other_incarnation = self.incarnations[other];
+                let origin = PendingRequest::Relayed(requester, incarnation, id);
                 self.pending_requests
-                    .insert((other, other_life, self.next_request_id), whom);
-                let command = Command::ApiRequest(self.next_request_id, ApiRequest::Relayed(ask));
-                self.step(other, other_life, command);
+                    .insert((other, other_incarnation, self.next_request_id), origin);
+                let command =
+                    Command::ApiRequest(self.next_request_id, ApiRequest::Relayed(request));
+                self.step(other, other_incarnation, command);
             }
-            SimulationEvent::Revoke(asker, other, tag, effect) => {
-                let (life, sent_at) = (tag >> 32, tag & 0xffff_ffff);
+            SimulationEvent::Revoke(requester, other, tag, effect) => {
+                let (incarnation, sent_at) = (tag >> 32, tag & 0xffff_ffff);
                 let Effect::RequestRevocation {
                     lease,
                     label,
@@ -260,12 +276,12 @@
                     return;
                 };
                 self.next_request_id += 1;
-                let other_life = self.incarnations[other];
-                let whom = (asker, life, sent_at, lease, label);
+                let other_incarnation = self.incarnations[other];
+                let origin = (requester, incarnation, sent_at, lease, label);
                 self.pending_revocations
-                    .insert((other, other_life, self.next_request_id), whom);
+                    .insert((other, other_incarnation, self.next_request_id), origin);
                 let command = Command::RevokeLeases(self.next_request_id, revocation);
-                self.step(other, other_life, command);
+                self.step(other, other_incarnation, command);
             }
         }
     }
--- a/tests/histories/history.rs
+++ b/tests/histories/history.rs
@@ -10,161 +10,168 @@
 
 /// Runs one second of a history with faults: jobs are submitted, polled and cancelled. `number` is
 /// the number of the last job.
-pub(crate) fn troubled_second(world: &mut SimulatedCluster, second: u64, number: &mut u64) {
-    world.run_until((second + 1) * 1000);
+pub(crate) fn run_second_with_faults(
+    cluster: &mut SimulatedCluster,
+    second: u64,
+    number: &mut u64,
+) {
+    cluster.run_until((second + 1) * 1000);
     if second % 4 == 0 {
         *number += 1;
-        let spec = world.random_dag_stage(*number);
-        world.submit(spec);
+        let spec = cluster.random_dependent_job(*number);
+        cluster.submit(spec);
     }
-    if world.is_flooding(second) {
-        for _ in 0..world.rng.random_range(20..60) {
+    if cluster.is_flooding(second) {
+        for _ in 0..cluster.rng.random_range(20..60) {
             *number += 1;
-            let spec = world.small_task(*number);
-            world.submit(spec);
+            let spec = cluster.flood_job(*number);
+            cluster.submit(spec);
         }
     }
     // Many cancellations while the state service refuses the leader and soon all nodes.
-    let cancelled = if world.state_service_outage.is_some() {
+    let cancel_probability = if cluster.state_service_outage.is_some() {
         0.1
     } else {
         0.008
     };
-    let ids: Vec<JobId> = world.jobs.keys().copied().collect();
+    let ids: Vec<JobId> = cluster.jobs.keys().copied().collect();
     for id in ids {
         // Users of a flood's jobs send a request now and then, and after a rejection at the time
         // given.
-        if world.flood_jobs.contains(&id) && !world.may_retry(id) {
+        if cluster.flood_jobs.contains(&id) && !cluster.may_retry(id) {
             continue;
         }
-        if world.rng.random_bool(0.2) {
-            world.send_request(id, ApiRequest::Poll(id));
+        if cluster.rng.random_bool(0.2) {
+            cluster.send_request(id, ApiRequest::Poll(id));
         }
-        let (spec, told) = &world.jobs[&id];
-        let retry = (!told.accepted).then(|| Box::new(spec.clone()));
+        let (spec, user_view) = &cluster.jobs[&id];
+        let retry = (!user_view.accepted).then(|| Box::new(spec.clone()));
         if let Some(spec) = retry {
-            world.send_request(id, ApiRequest::Submit(spec));
-        } else if world.rng.random_bool(cancelled) {
-            world.send_request(id, ApiRequest::Cancel(id));
+            cluster.send_request(id, ApiRequest::Submit(spec));
+        } else if cluster.rng.random_bool(cancel_probability) {
+            cluster.send_request(id, ApiRequest::Cancel(id));
         }
     }
-    world.count_replicas();
-    if world.seed % 5 == 1 && second == 40 {
-        world.refuse_all_state_requests();
+    cluster.count_replicas();
+    if cluster.seed % 5 == 1 && second == 40 {
+        cluster.refuse_all_state_requests();
     }
-    if second > 10 && world.rng.random_bool(0.12) {
-        world.inject_random_fault();
+    if second > 10 && cluster.rng.random_bool(0.12) {
+        cluster.inject_random_fault();
     }
 }
 
 /// The result of a history.
-pub(crate) struct Played {
-    pub(crate) seen: FaultCounts,
+pub(crate) struct HistoryResult {
+    pub(crate) fault_counts: FaultCounts,
     /// Digest of all effects of the nodes, comparable within one version of the code.
-    pub(crate) trace: u64,
+    pub(crate) effects_digest: u64,
     /// Digest of all messages sent, comparable between versions.
-    pub(crate) sent: u64,
+    pub(crate) sent_digest: u64,
 }
 
 /// Runs the history of a seed and checks the invariants.
 #[expect(clippy::too_many_lines, reason = "still to be split")]
-pub(crate) fn run_history(seed: u64) -> Played {
-    let mut world = SimulatedCluster::new(seed);
+pub(crate) fn run_history(seed: u64) -> HistoryResult {
+    let mut cluster = SimulatedCluster::new(seed);
     let mut number = 0;
     for second in 0..180 {
-        troubled_second(&mut world, second, &mut number);
+        run_second_with_faults(&mut cluster, second, &mut number);
     }
     // After the last fault every array job completes, given free capacity.
-    world.faults_enabled = false;
-    world.frozen_until.fill(0);
-    for each in 0..NODE_COUNT {
-        if world.nodes[each].is_none() {
-            world.boot(each);
+    cluster.faults_enabled = false;
+    cluster.frozen_until.fill(0);
+    for node in 0..NODE_COUNT {
+        if cluster.nodes[node].is_none() {
+            cluster.boot(node);
         }
     }
     // A team at its limit needs up to three minutes to complete its queued jobs.
     for second in 180..420 {
-        world.run_until((second + 1) * 1000);
+        cluster.run_until((second + 1) * 1000);
         // The last fault, a zone partitioned for twice the cancellation bound, ends at 300 s.
         if second >= 330 && second % 10 == 0 {
-            world.assert_users_answered();
+            cluster.assert_users_got_responses();
         }
-        let ids: Vec<JobId> = world.jobs.keys().copied().collect();
+        let ids: Vec<JobId> = cluster.jobs.keys().copied().collect();
         for id in ids {
-            let flood = second < 400 && world.flood_jobs.contains(&id);
-            if second % 5 != 0 || flood && !world.may_retry(id) {
+            let is_flood = second < 400 && cluster.flood_jobs.contains(&id);
+            if second % 5 != 0 || is_flood && !cluster.may_retry(id) {
                 continue;
             }
-            let (spec, told) = &world.jobs[&id];
+            let (spec, user_view) = &cluster.jobs[&id];
             // Services would use up their team's limit forever, also a service whose acceptance was
             // lost on its way to the user.
-            let cancel = spec.kind == JobKind::Service && told.cancelled_at.is_none();
-            let ask = match told.accepted {
+            let cancel = spec.kind == JobKind::Service && user_view.cancelled_at.is_none();
+            let request = match user_view.accepted {
                 false => ApiRequest::Submit(Box::new(spec.clone())),
                 true if cancel => ApiRequest::Cancel(id),
                 true => ApiRequest::Poll(id),
             };
-            world.send_request(id, ask);
+            cluster.send_request(id, request);
         }
     }
     assert!(
-        world.starts > 20,
+        cluster.starts > 20,
         "nothing_ran: only {} tasks started",
-        world.starts
+        cluster.starts
     );
-    for (id, (spec, told)) in &world.jobs {
-        let cancelled = world
+    for (id, (spec, user_view)) in &cluster.jobs {
+        let cancelled = cluster
             .dependencies(*id)
-            .any(|id| world.jobs[&id].1.asked_to_cancel);
+            .any(|id| cluster.jobs[&id].1.cancel_requested);
         if spec.kind == JobKind::Array && !cancelled {
             assert_eq!(
-                told.last,
+                user_view.last_status,
                 Some(JobStatus::Done),
                 "job {id} of team {} did not complete; tasks of red: {:?}, of blue: {:?}",
                 spec.team,
-                world.task_locations("red"),
-                world.task_locations("blue"),
+                cluster.task_locations("red"),
+                cluster.task_locations("blue"),
             );
         }
     }
-    world.assert_admissions_within_capacity();
+    cluster.assert_admissions_within_capacity();
     // Of the replicas that its limit allows, each team gets at least half of the time.
-    for (asked, up) in world.replica_seconds {
+    for (requested, running) in cluster.replica_seconds {
         assert!(
-            asked < 100 || up * 2 >= asked,
-            "replicas ran for {up} of {asked} requested seconds"
+            requested < 100 || running * 2 >= requested,
+            "replicas ran for {running} of {requested} requested seconds"
         );
     }
-    let split = world.jobs.values().filter(|(spec, _)| spec.types.is_some());
-    let seen = [
-        world.relayed_successes,
-        world.leader_freezes,
-        world.resignations,
-        world.dependent_starts,
-        split.count(),
-        world.oversized_writes,
-        world.rejections,
-        world.quick_restarts,
-        world.duplicated_messages,
-        world.delayed_writes_applied,
-        world.duplicated_reports,
-        world.dropped_messages,
-        world.lost_replies_by_kind.values().sum(),
-        world.replayed_reports,
-        world.answered_consistency_checks,
-        world.undelivered_reports,
-        world.messages_held_by_hung_workers,
+    let split_records = cluster
+        .jobs
+        .values()
+        .filter(|(spec, _)| spec.types.is_some());
+    let fault_counts = [
+        cluster.relayed_successes,
+        cluster.leader_freezes,
+        cluster.resignations,
+        cluster.dependent_starts,
+        split_records.count(),
+        cluster.oversized_writes,
+        cluster.rejections,
+        cluster.quick_restarts,
+        cluster.duplicated_messages,
+        cluster.delayed_writes_applied,
+        cluster.duplicated_reports,
+        cluster.dropped_messages,
+        cluster.lost_replies_by_kind.values().sum(),
+        cluster.replayed_reports,
+        cluster.answered_consistency_checks,
+        cluster.undelivered_reports,
+        cluster.messages_held_by_hung_workers,
     ];
-    Played {
-        seen,
-        trace: world.trace.finish(),
-        sent: world.sent.digest(),
+    HistoryResult {
+        fault_counts,
+        effects_digest: cluster.effects_digest.finish(),
+        sent_digest: cluster.sent_trace.digest(),
     }
 }
 
 /// Initializes logging. `LOG_LEVEL` sets the level of the nodes' log lines, to analyse a violated
 /// invariant.
-pub(crate) fn logging() {
+pub(crate) fn init_logging() {
     let level = std::env::var("LOG_LEVEL").unwrap_or_else(|_| "off".into());
     let _ = tracing_subscriber::fmt()
         .with_env_filter(tracing_subscriber::EnvFilter::new(level))
--- a/tests/histories/invariants.rs
+++ b/tests/histories/invariants.rs
@@ -9,18 +9,18 @@
         if self.limit_drop.0 <= self.now {
             self.store.limits = self.limit_drop.1;
         }
-        for index in 0..NODE_COUNT {
+        for node in 0..NODE_COUNT {
             // The node restarts with the settings for the lower limits.
-            if (self.now - 25..self.now).contains(&self.limit_notice_at[index]) && self.now > 25 {
-                self.crash(index);
-                self.boot(index);
+            if (self.now - 25..self.now).contains(&self.limit_notice_at[node]) && self.now > 25 {
+                self.crash(node);
+                self.boot(node);
             }
         }
-        for at in 0..self.workers.len() {
-            self.advance_worker(at);
+        for worker_index in 0..self.workers.len() {
+            self.advance_worker(worker_index);
             let now = self.now;
-            let worker = &mut self.workers[at];
-            if worker.gone || now < 1000 || worker.hung_until > now {
+            let worker = &mut self.workers[worker_index];
+            if worker.deleted || now < 1000 || worker.hung_until > now {
                 continue;
             }
             if worker
@@ -36,39 +36,43 @@
                 let report = self.timings.report_interval_ms;
                 worker.report_at = now + self.rng.random_range(report * 3 / 4..=report * 5 / 4);
                 let node = worker.node;
-                let report = self.build_report(at);
-                if self.workers[at].drops_outbound_until > now {
+                let report = self.build_report(worker_index);
+                if self.workers[worker_index].drops_outbound_until > now {
                     // The worker can't connect and tries the next node.
                     self.undelivered_reports += 1;
-                    let worker = &mut self.workers[at];
+                    let worker = &mut self.workers[worker_index];
                     worker.report_in_flight = None;
                     worker.node = (node + 1) % NODE_COUNT;
                     worker.report_at = now + 1000;
                     continue;
                 }
                 if self.retain_reports_until > now && self.retained_reports.len() < 200 {
-                    self.retained_reports.push((at, Box::new(report.clone())));
+                    self.retained_reports
+                        .push((worker_index, Box::new(report.clone())));
                 }
-                let cut = self.link_cut_until(node, at);
-                if let Some(time) = self.message_arrival(cut) {
+                let down_until = self.link_down_until(node, worker_index);
+                if let Some(time) = self.message_arrival(down_until) {
                     if let Some(time) = self.duplicate_arrival() {
-                        let copied = Box::new(report.clone());
-                        self.schedule(time, SimulationEvent::DeliverReport(at, node, copied, 0));
+                        let duplicate = Box::new(report.clone());
+                        self.schedule(
+                            time,
+                            SimulationEvent::DeliverReport(worker_index, node, duplicate, 0),
+                        );
                     }
                     if self.duplicated_reports_until > self.now && self.rng.random_bool(0.3) {
-                        let later = self.rng.random_range(2000..2 * self.timings.lease_ttl_ms);
+                        let delay = self.rng.random_range(2000..2 * self.timings.lease_ttl_ms);
                         // The duplicate goes to any node.
                         let node = self.rng.random_range(0..NODE_COUNT);
-                        let copied = Box::new(report.clone());
+                        let duplicate = Box::new(report.clone());
                         self.duplicated_reports += 1;
                         self.schedule(
-                            now + later,
-                            SimulationEvent::DeliverReport(at, node, copied, 0),
+                            now + delay,
+                            SimulationEvent::DeliverReport(worker_index, node, duplicate, 0),
                         );
                     }
                     self.schedule(
                         time,
-                        SimulationEvent::DeliverReport(at, node, Box::new(report), now),
+                        SimulationEvent::DeliverReport(worker_index, node, Box::new(report), now),
                     );
                 }
             }
@@ -81,12 +85,12 @@
         }
         self.store.expire_leases(self.now);
         if self.store.down_until <= self.now {
-            for (index, life, tag, request, sent_and_ticket, until) in
+            for (node, incarnation, tag, request, sent_and_ticket, until) in
                 std::mem::take(&mut self.watches)
             {
-                if self.state_service_refuses_until[index] > self.now {
+                if self.state_service_refuses_until[node] > self.now {
                     self.watches
-                        .push((index, life, tag, request, sent_and_ticket, until));
+                        .push((node, incarnation, tag, request, sent_and_ticket, until));
                     continue;
                 }
                 let (sent_at, ticket) = (sent_and_ticket >> 32, sent_and_ticket & 0xffff_ffff);
@@ -100,8 +104,8 @@
                     Some(reply) => {
                         let result = Ok(reply);
                         self.deliver_reply(
-                            index,
-                            life,
+                            node,
+                            incarnation,
                             ticket,
                             Command::StateResponse {
                                 tag,
@@ -110,23 +114,24 @@
                             },
                         );
                     }
-                    None => self
-                        .watches
-                        .push((index, life, tag, request, sent_and_ticket, until)),
+                    None => {
+                        self.watches
+                            .push((node, incarnation, tag, request, sent_and_ticket, until))
+                    }
                 }
             }
         }
         // Tasks of cancelled jobs must have stopped within the cancellation bound.
         for worker in self.workers.iter().filter(|w| w.hung_until <= self.now) {
-            for (task, on) in &worker.tasks {
-                let told = self.jobs[&task.job].1.cancelled_at;
-                if matches!(on.state, TaskState::Running | TaskState::Saving)
-                    && let Some(told_at) = told
+            for (task, entry) in &worker.tasks {
+                let confirmed_at = self.jobs[&task.job].1.cancelled_at;
+                if matches!(entry.state, TaskState::Running | TaskState::Saving)
+                    && let Some(confirmed_at) = confirmed_at
                 {
                     self.max_run_after_cancel_ms =
-                        self.max_run_after_cancel_ms.max(self.now - told_at);
+                        self.max_run_after_cancel_ms.max(self.now - confirmed_at);
                     assert!(
-                        self.now <= told_at + self.timings.cancellation_bound_ms,
+                        self.now <= confirmed_at + self.timings.cancellation_bound_ms,
                         "ran_cancelled: task {task} of a cancelled job still runs after the cancellation bound, at {} ms",
                         self.now
                     );
@@ -139,53 +144,55 @@
     /// team's limit, and those of them that run. Seconds in which no node can act are left out: the
     /// state service is down, a node started or a partition healed too recently.
     pub(crate) fn count_replicas(&mut self) {
-        let patience = self.timings.lease_ttl_ms + 10_000;
-        let settled = |node: usize| {
+        let grace_ms = self.timings.lease_ttl_ms + 10_000;
+        let is_stable = |node: usize| {
             self.nodes[node].is_some()
                 && self.booted_at[node] + 5000 <= self.now
-                && self.state_service_cut_until[node] + 5000 <= self.now
-                && self.state_service_refuses_until[node] + patience <= self.now
-                && self.worker_cut_until[node] + patience <= self.now
+                && self.state_service_unreachable_until[node] + 5000 <= self.now
+                && self.state_service_refuses_until[node] + grace_ms <= self.now
+                && self.workers_unreachable_until[node] + grace_ms <= self.now
                 && self.frozen_until[node] + 5000 <= self.now
         };
-        if self.store.down_until.max(self.fault_until) + patience > self.now
-            || !(0..NODE_COUNT).all(settled)
-            || self.zone_cut.2 + patience > self.now
+        if self.store.down_until.max(self.fault_until) + grace_ms > self.now
+            || !(0..NODE_COUNT).all(is_stable)
+            || self.zone_partition.2 + grace_ms > self.now
         {
             return;
         }
         let running = self.running();
-        for (at, (team, most)) in [("red", (TEAM_CPU_LIMIT / 4.0) as u64), ("blue", 30)]
+        for (team_index, (team, limit)) in [("red", (TEAM_CPU_LIMIT / 4.0) as u64), ("blue", 30)]
             .into_iter()
             .enumerate()
         {
-            let (mut asked, mut up) = (0, 0);
-            for (id, (spec, told)) in &self.jobs {
-                let old = told.accepted_at.is_some_and(|at| at + patience <= self.now);
+            let (mut requested, mut up) = (0, 0);
+            for (id, (spec, user_view)) in &self.jobs {
+                let is_due = user_view
+                    .accepted_at
+                    .is_some_and(|at| at + grace_ms <= self.now);
                 if spec.kind != JobKind::Service
                     || spec.team != team
-                    || !old
-                    || told.asked_to_cancel
+                    || !is_due
+                    || user_view.cancel_requested
                 {
                     continue;
                 }
-                asked += u64::from(spec.tasks);
+                requested += u64::from(spec.tasks);
                 up += running.keys().filter(|task| task.job == *id).count() as u64;
             }
-            self.replica_seconds[at].0 += asked.min(most);
-            self.replica_seconds[at].1 += up.min(most);
+            self.replica_seconds[team_index].0 += requested.min(limit);
+            self.replica_seconds[team_index].1 += up.min(limit);
         }
     }
 
     /// Checks that the user of each accepted job, who polls every 5 s, got a response within the
-    /// last [`MAX_ANSWER_DELAY_MS`].
-    pub(crate) fn assert_users_answered(&self) {
-        for (id, (_, told)) in &self.jobs {
-            let answered = told.answered_at + MAX_ANSWER_DELAY_MS >= self.now;
+    /// last [`MAX_RESPONSE_DELAY_MS`].
+    pub(crate) fn assert_users_got_responses(&self) {
+        for (id, (_, user_view)) in &self.jobs {
+            let has_response = user_view.last_response_at + MAX_RESPONSE_DELAY_MS >= self.now;
             assert!(
-                answered || !told.accepted || self.flood_jobs.contains(id),
+                has_response || !user_view.accepted || self.flood_jobs.contains(id),
                 "forgotten: accepted job {id} gets no responses, last response at {} ms",
-                told.answered_at
+                user_view.last_response_at
             );
         }
     }
@@ -195,17 +202,17 @@
     pub(crate) fn assert_admissions_within_capacity(&self) {
         // Of 50 writes a second the followers get a share of 0.4 and the leader 0.6, less a
         // reserve. Users of the leader get 0.4 of its share, users of a follower 0.95 of its share.
-        let follower = 0.95 * 0.92 * 0.2 * 50.0;
-        let leader: f64 = 0.4 * 0.92 * 0.6 * 50.0;
-        let whole = 2.0 * follower + leader;
-        let depth = 3.0 * (3.0 * leader.max(follower));
-        for (at, first) in self.acceptances_at.iter().enumerate() {
-            for (count, last) in self.acceptances_at[at..].iter().enumerate() {
+        let follower_rate = 0.95 * 0.92 * 0.2 * 50.0;
+        let leader_rate: f64 = 0.4 * 0.92 * 0.6 * 50.0;
+        let total_rate = 2.0 * follower_rate + leader_rate;
+        let bucket_size = 3.0 * (3.0 * leader_rate.max(follower_rate));
+        for (start, first) in self.acceptances_at.iter().enumerate() {
+            for (count, last) in self.acceptances_at[start..].iter().enumerate() {
                 // A request takes up to two seconds, and a restart refills a bucket.
-                let passed = (last - first) as f64 / 1000.0 + 2.0;
+                let elapsed_s = (last - first) as f64 / 1000.0 + 2.0;
                 assert!(
-                    count as f64 <= whole * passed + depth + 0.5 * passed,
-                    "{count} submissions accepted within {passed} s"
+                    count as f64 <= total_rate * elapsed_s + bucket_size + 0.5 * elapsed_s,
+                    "{count} submissions accepted within {elapsed_s} s"
                 );
             }
         }
--- a/tests/histories/main.rs
+++ b/tests/histories/main.rs
@@ -40,19 +40,20 @@
     },
 };
 use dalelb_emulators::state_store::{Store, StoreLimits};
-use history::{logging, run_history, troubled_second};
+use history::{init_logging, run_history, run_second_with_faults};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use serde_json::{Value, json};
 use wire::{Sent, Trace};
 
 const NODE_COUNT: usize = 3;
+/// Limit of team red, in CPUs.
 const TEAM_CPU_LIMIT: f64 = 24.0;
 /// Number of faults that are injected together with others, see [`SimulatedCluster::inject_fault`].
 const FAULT_KINDS: usize = 10;
 /// A time after the end of any history, in milliseconds.
 const FOREVER_MS: u64 = 10_000_000;
 /// After the last fault, each job's user gets a response within this time, in milliseconds.
-const MAX_ANSWER_DELAY_MS: u64 = 20_000;
+const MAX_RESPONSE_DELAY_MS: u64 = 20_000;
 
 /// Interval of heartbeats, duration of worker leases, and time within which a cancellation must be
 /// carried out, in milliseconds. Histories vary them: timeouts in the code that assumed the values
@@ -118,37 +119,39 @@
 /// Returns the settings of a node. `limits` are the present limits of the state service, `next` the
 /// future ones if the node is configured for them.
 fn config(
-    index: usize,
-    rhythm: WorkerTimings,
+    node: usize,
+    timings: WorkerTimings,
     limits: StoreLimits,
-    next: Option<StoreLimits>,
+    next_limits: Option<StoreLimits>,
 ) -> Config {
-    let next = next.map(|next| json!({"value_kb": next.value_kb, "txn_ops": next.txn_ops}));
+    let next_limits =
+        next_limits.map(|next| json!({"value_kb": next.value_kb, "txn_ops": next.txn_ops}));
     let members: Vec<Value> = (0..NODE_COUNT)
-        .filter(|other| *other != index)
+        .filter(|other| *other != node)
         .map(|other| {
             json!({"label": format!("n{other}"), "domain": "a",
                    "address": format!("127.0.0.1:{}", 9100 + other)})
         })
         .collect();
     serde_json::from_value(json!({
-        "label": format!("n{index}"), "domain": "a", "listen": "127.0.0.1:9000",
-        "mesh_addr": format!("127.0.0.1:{}", 9100 + index), "members": members,
+        "label": format!("n{node}"), "domain": "a", "listen": "127.0.0.1:9000",
+        "mesh_addr": format!("127.0.0.1:{}", 9100 + node), "members": members,
         "services": {"cloud": "127.0.0.1:1", "state": "127.0.0.1:2"},
         "settings": {
             "zones": ["a", "b"],
             "teams": [{"name": "red", "cpus": 8.0, "cpus_max": TEAM_CPU_LIMIT}, {"name": "blue"}],
-            "workers": {"report_s": rhythm.report_interval_ms as f64 / 1000.0,
-                        "lease_s": rhythm.lease_ttl_ms as f64 / 1000.0,
-                        "cancel_s": rhythm.cancellation_bound_ms as f64 / 1000.0},
+            "workers": {"report_s": timings.report_interval_ms as f64 / 1000.0,
+                        "lease_s": timings.lease_ttl_ms as f64 / 1000.0,
+                        "cancel_s": timings.cancellation_bound_ms as f64 / 1000.0},
             "state": {"rps": 100.0, "write_rps": 50.0, "value_kb": limits.value_kb,
-                      "txn_ops": limits.txn_ops, "next": next},
+                      "txn_ops": limits.txn_ops, "next": next_limits},
             "cloud": {"rps": 3.0, "list_lag_s": 6.0}
         }
     }))
     .expect("a valid configuration")
 }
 
+/// An attempt of a task on a worker.
 #[derive(Clone)]
 struct TaskOnWorker {
     attempt: u64,
@@ -157,6 +160,7 @@
     ends_at: u64,
 }
 
+/// A simulated worker. Times are in milliseconds since the start of the simulation.
 struct Worker {
     name: String,
     zone: String,
@@ -170,7 +174,7 @@
     report_at: u64,
     /// The heartbeat in flight: its number and when it times out.
     report_in_flight: Option<(u64, u64)>,
-    cut_until: u64,
+    unreachable_until: u64,
     /// Until then its heartbeats arrive, and responses and commands to it are lost.
     drops_inbound_until: u64,
     /// Starts that were lost: task and attempt.
@@ -182,9 +186,9 @@
     booted_at: u64,
     /// Time of its deletion, if `deleted`.
     deleted_at: u64,
-    gone: bool,
+    deleted: bool,
     /// True duration of the worker's lease, relative to its nominal duration.
-    clock_drift: f64,
+    lease_duration_factor: f64,
     images: BTreeSet<String>,
 }
 
@@ -197,6 +201,7 @@
     name.chars().take_while(|c| c.is_alphanumeric()).collect()
 }
 
+/// An event of the simulation. Nodes and workers are given by their indices.
 enum SimulationEvent {
     /// Periodic step of a node process. Fields: node, incarnation.
     Tick(usize, u64),
@@ -205,7 +210,11 @@
     /// Ends the process with that label, if one runs, and restarts it after a delay in
     /// milliseconds.
     StopProcess(usize, u64),
+    /// A response or timeout arrives at a node. Fields: node, its incarnation with the ticket of the
+    /// request from bit 20 up (0: none), command.
     DeliverCommand(usize, u64, Box<Command>),
+    /// A request arrives at the state service. Fields: node, its incarnation, time of sending from bit
+    /// 32 up with the ticket below, tag and request.
     StateRequestArrives(usize, u64, u64, Box<(coordination::Tag, StateRequest)>),
     /// Fields: node, its incarnation, ticket for the response, worker, commands.
     DeliverOrders(
@@ -215,8 +224,13 @@
         usize,
         Box<(coordination::Worker, Option<DirectOrders>)>,
     ),
+    /// A heartbeat arrives at a node. Fields: worker, node, heartbeat, its number.
     DeliverReport(usize, usize, Box<Report>, u64),
+    /// The response to a heartbeat arrives at a worker. Fields: worker, its incarnation from bit 40 up
+    /// with the heartbeat's number below, node, response.
     DeliverResponse(usize, u64, u64, Box<ApiResponse>),
+    /// A revocation request arrives at a lease renewer. Fields: sender, renewer, incarnation of the
+    /// sender from bit 32 up with the time of sending below, request.
     Revoke(usize, usize, u64, Box<Effect>),
     /// A user's request that a node relays to another. Fields: node, its incarnation, other node,
     /// number of the request at the first node, request.
@@ -231,22 +245,24 @@
     pub use dalelb::coordination::{StateTag as Tag, WorkerTag as Worker};
 }
 
+/// A job's state by the responses to its user.
 #[derive(Default)]
 struct UserView {
     accepted: bool,
     accepted_at: Option<u64>,
+    /// When a response first confirmed the cancellation.
     cancelled_at: Option<u64>,
-    asked_to_cancel: bool,
+    cancel_requested: bool,
     /// Time of the last successful response about the job.
-    answered_at: u64,
-    last: Option<JobStatus>,
+    last_response_at: u64,
+    last_status: Option<JobStatus>,
 }
 
 /// What the user knew of a job when sending a request.
 #[derive(Clone, Copy)]
 struct ViewAtRequest {
     accepted: bool,
-    last: Option<JobStatus>,
+    last_status: Option<JobStatus>,
     /// A cancellation of a dependency was confirmed.
     dependency_cancelled: bool,
 }
@@ -255,9 +271,11 @@
 /// the renewer.
 type RevocationOrigin = (usize, u64, u64, u64, String);
 
+/// A request that a node has not responded to.
 enum PendingRequest {
     /// The job, whether the request cancels it, and what its user knew.
     User(JobId, bool, ViewAtRequest),
+    /// A heartbeat: the worker, its incarnation, and the number of the heartbeat.
     Report(usize, u64, u64),
     /// A malformed or unusual request, and the statuses that are allowed for it.
     Malformed(&'static [u16]),
@@ -265,17 +283,20 @@
     Relayed(usize, u64, RequestId),
 }
 
+/// The simulated deployment: nodes, models of the services, workers, users and network. Times are in
+/// milliseconds since the start of the simulation; `Vec`s and arrays of [`NODE_COUNT`] entries are
+/// indexed by node.
 struct SimulatedCluster {
     now: u64,
     timings: WorkerTimings,
     rng: StdRng,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: HashMap<u64, SimulationEvent>,
-    next_event: u64,
+    last_event_id: u64,
     nodes: Vec<Option<Node>>,
     incarnations: Vec<u64>,
     booted_at: Vec<u64>,
-    state_service_cut_until: Vec<u64>,
+    state_service_unreachable_until: Vec<u64>,
     /// Until when the state service refuses each node alone, with an immediate 503; its open
     /// watches wait.
     state_service_refuses_until: Vec<u64>,
@@ -326,10 +347,10 @@
     /// Maximum time between the confirmation of a cancellation and the last moment at which a task
     /// of that job was on its machine.
     max_run_after_cancel_ms: u64,
-    worker_cut_until: Vec<u64>,
-    mesh_cut_until: Vec<u64>,
+    workers_unreachable_until: Vec<u64>,
+    mesh_unreachable_until: Vec<u64>,
     /// A partitioned zone: the node in it, the zone, and until when.
-    zone_cut: (usize, String, u64),
+    zone_partition: (usize, String, u64),
     /// Additional delay of starts that are sent to workers directly, not in responses to
     /// heartbeats.
     start_delay_ms: u64,
@@ -347,11 +368,11 @@
     writes: usize,
     store: Store,
     watches: Vec<(usize, u64, coordination::Tag, StateRequest, u64, u64)>,
-    answered: HashSet<u64>,
+    answered_tickets: HashSet<u64>,
     workers: Vec<Worker>,
     provisioned_instances: HashMap<String, Vec<String>>,
     jobs: BTreeMap<JobId, (Submission, UserView)>,
-    completed: HashSet<TaskId>,
+    completed_tasks: HashSet<TaskId>,
     pending_requests: HashMap<(usize, u64, RequestId), PendingRequest>,
     pending_revocations: HashMap<(usize, u64, RequestId), RevocationOrigin>,
     next_request_id: RequestId,
@@ -390,24 +411,24 @@
     replica_seconds: [(u64, u64); 2],
     flood_jobs: HashSet<JobId>,
     /// Digest of all effects of the nodes, in order, with their internal fields.
-    trace: DefaultHasher,
+    effects_digest: DefaultHasher,
     /// Digest of all messages of the nodes, in order, as encoded on the wire.
-    sent: Trace,
+    sent_trace: Trace,
     /// Messages as they were sent, if they are recorded.
-    kept: Option<Vec<Sent>>,
+    recorded_messages: Option<Vec<Sent>>,
     /// Probability that a command to a worker is delayed, for less than the timeout of its sender.
-    late_order_chance: f64,
+    late_command_probability: f64,
     faults_enabled: bool,
     leader: Option<usize>,
 }
 
-/// Returns a cluster with at least eight machines and no faults but those that a test injects.
+/// Returns a cluster of eight machines without faults but those that a test injects.
 fn small_fleet(seed: u64) -> SimulatedCluster {
-    let mut world = SimulatedCluster::new(seed);
-    world.faults_enabled = false;
-    while world.workers.len() < 8 {
-        let zone = ["a", "b"][world.workers.len() % 2];
-        world.add_worker(zone, false);
+    let mut cluster = SimulatedCluster::new(seed);
+    cluster.faults_enabled = false;
+    while cluster.workers.len() < 8 {
+        let zone = ["a", "b"][cluster.workers.len() % 2];
+        cluster.add_worker(zone, false);
     }
-    world
+    cluster
 }
--- a/tests/histories/random_faults.rs
+++ b/tests/histories/random_faults.rs
@@ -8,15 +8,15 @@
     let Ok(file) = std::env::var("HISTORY_DIGESTS") else {
         return;
     };
-    let lines = |(seed, digest): (&u64, &u64)| format!("{seed} {digest:016x}\n");
-    let found: Vec<String> = digests.iter().map(lines).collect();
+    let format_line = |(seed, digest): (&u64, &u64)| format!("{seed} {digest:016x}\n");
+    let found: Vec<String> = digests.iter().map(format_line).collect();
     match std::fs::read_to_string(&file) {
         Ok(expected) => {
-            let differ = |line: &&String| !expected.contains(line.as_str());
-            let differ: Vec<&String> = found.iter().filter(differ).collect();
+            let differing = |line: &&String| !expected.contains(line.as_str());
+            let differing: Vec<&String> = found.iter().filter(differing).collect();
             assert!(
-                differ.is_empty(),
-                "digests differ from those in {file}: {differ:?}"
+                differing.is_empty(),
+                "digests differ from those in {file}: {differing:?}"
             );
         }
         Err(_) => std::fs::write(&file, found.concat()).expect("the digest file is writable"),
@@ -26,19 +26,19 @@
 #[expect(clippy::too_many_lines, reason = "still to be split")]
 #[test]
 fn invariants_hold_under_random_faults() {
-    logging();
+    init_logging();
     // `HISTORIES=1000` runs more seeds than the default of 64; `FIRST=15 HISTORIES=16` runs seed 15
     // only.
-    let number = |name| std::env::var(name).ok().and_then(|n| n.parse::<u64>().ok());
-    let first = number("FIRST").unwrap_or(0);
-    let seeds: Vec<u64> = (first..number("HISTORIES").unwrap_or(64)).collect();
-    let at_once = std::thread::available_parallelism().map_or(1, |n| n.get());
-    let (mut seen, mut broken) = ([0; 17], Vec::new());
+    let env_number = |name| std::env::var(name).ok().and_then(|n| n.parse::<u64>().ok());
+    let first = env_number("FIRST").unwrap_or(0);
+    let seeds: Vec<u64> = (first..env_number("HISTORIES").unwrap_or(64)).collect();
+    let parallelism = std::thread::available_parallelism().map_or(1, |n| n.get());
+    let (mut fault_counts, mut failed_seeds) = ([0; 17], Vec::new());
     let mut digests = BTreeMap::new();
-    for seeds in seeds.chunks(at_once) {
+    for seeds in seeds.chunks(parallelism) {
         std::thread::scope(|scope| {
             // A panic message contains the thread's name and thus the seed.
-            let played: Vec<_> = seeds
+            let handles: Vec<_> = seeds
                 .iter()
                 .map(|seed| {
                     std::thread::Builder::new()
@@ -47,64 +47,70 @@
                         .expect("a thread")
                 })
                 .collect();
-            for (seed, played) in seeds.iter().zip(played) {
-                match played.join() {
-                    Ok(played) => {
-                        (0..17).for_each(|each| seen[each] += played.seen[each]);
-                        digests.insert(*seed, played.sent);
+            for (seed, handle) in seeds.iter().zip(handles) {
+                match handle.join() {
+                    Ok(result) => {
+                        (0..17).for_each(|each| fault_counts[each] += result.fault_counts[each]);
+                        digests.insert(*seed, result.sent_digest);
                     }
-                    Err(_) => broken.push(*seed),
+                    Err(_) => failed_seeds.push(*seed),
                 }
             }
         });
     }
     assert!(
-        broken.is_empty(),
-        "invariants violated with seeds {broken:?}"
+        failed_seeds.is_empty(),
+        "invariants violated with seeds {failed_seeds:?}"
     );
     compare_digests(&digests);
     let [
-        relayed,
-        frozen,
-        resigned,
-        released,
-        split,
-        too_large,
-        sent_away,
-        quick_ends,
-        copies,
-        late_applied,
-        reports_again,
-        unheard,
-        answers_lost,
-        reports_kept,
-        looks,
-        muted,
-        held_up,
-    ] = seen;
+        relayed_successes,
+        leader_freezes,
+        resignations,
+        dependent_starts,
+        split_records,
+        oversized_writes,
+        rejections,
+        quick_restarts,
+        duplicated_messages,
+        delayed_writes,
+        duplicated_reports,
+        dropped_messages,
+        lost_replies,
+        replayed_reports,
+        consistency_checks,
+        undelivered_reports,
+        held_messages,
+    ] = fault_counts;
     assert!(
-        answers_lost > 0,
+        lost_replies > 0,
         "no committed transaction lost its response"
     );
     assert!(
-        reports_kept > 0,
+        replayed_reports > 0,
         "no old heartbeat was replayed to a new leader"
     );
-    assert!(looks > 0, "no consistency check was answered");
-    assert!(muted > 0, "no machine lost its outbound messages");
-    assert!(held_up > 0, "no message waited for a hung machine");
-    assert!(late_applied > 0, "no transaction was applied late");
-    assert!(reports_again > 0, "no heartbeat was duplicated");
-    assert!(unheard > 0, "no machine lost inbound messages");
-    assert!(quick_ends > 0, "no process restarted within a second");
-    assert!(copies > 0, "no message was duplicated");
-    assert!(sent_away > 0, "no user was rejected with a time to retry");
-    assert!(too_large > 0, "no write was refused for its size");
-    assert!(released > 0, "no job with dependencies ran");
-    assert!(split > 0, "no record needed several keys");
-    assert!(relayed > 0, "no request was relayed to another member");
-    assert!(frozen > 0, "no leader froze");
-    assert!(resigned > 0, "no leader that lost its workers resigned");
+    assert!(consistency_checks > 0, "no consistency check was answered");
+    assert!(
+        undelivered_reports > 0,
+        "no machine lost its outbound messages"
+    );
+    assert!(held_messages > 0, "no message waited for a hung machine");
+    assert!(delayed_writes > 0, "no transaction was applied late");
+    assert!(duplicated_reports > 0, "no heartbeat was duplicated");
+    assert!(dropped_messages > 0, "no machine lost inbound messages");
+    assert!(quick_restarts > 0, "no process restarted within a second");
+    assert!(duplicated_messages > 0, "no message was duplicated");
+    assert!(rejections > 0, "no user was rejected with a time to retry");
+    assert!(oversized_writes > 0, "no write was refused for its size");
+    assert!(dependent_starts > 0, "no job with dependencies ran");
+    assert!(split_records > 0, "no record needed several keys");
+    assert!(
+        relayed_successes > 0,
+        "no request was relayed to another member"
+    );
+    assert!(leader_freezes > 0, "no leader froze");
+    assert!(resignations > 0, "no leader that lost its workers resigned");
 }
 
 /// Guards against non-determinism: the messages of a node depend only on its commands and their
@@ -114,7 +120,7 @@
 fn same_seed_gives_the_same_history() {
     for seed in [3, 15] {
         let (first, second) = (run_history(seed), run_history(seed));
-        assert_eq!(first.trace, second.trace, "seed {seed}");
-        assert_eq!(first.sent, second.sent, "seed {seed}");
+        assert_eq!(first.effects_digest, second.effects_digest, "seed {seed}");
+        assert_eq!(first.sent_digest, second.sent_digest, "seed {seed}");
     }
 }
--- a/tests/histories/users.rs
+++ b/tests/histories/users.rs
@@ -5,45 +5,51 @@
 impl SimulatedCluster {
     pub(crate) fn on_response(
         &mut self,
-        index: usize,
-        life: u64,
+        node: usize,
+        incarnation: u64,
         id: RequestId,
-        answer: ApiResponse,
+        response: ApiResponse,
     ) {
-        match self.pending_requests.remove(&(index, life, id)) {
-            Some(PendingRequest::Report(at, ..)) if self.drops_inbound(at) => {}
-            Some(PendingRequest::Report(at, session, number)) => {
-                let cut = self.link_cut_until(index, at);
-                if let Some(time) = self.message_arrival(cut) {
-                    let tag = session << 40 | number;
+        match self.pending_requests.remove(&(node, incarnation, id)) {
+            Some(PendingRequest::Report(worker_index, ..)) if self.drops_inbound(worker_index) => {}
+            Some(PendingRequest::Report(worker_index, worker_incarnation, report_number)) => {
+                let link_down_until = self.link_down_until(node, worker_index);
+                if let Some(time) = self.message_arrival(link_down_until) {
+                    let tag = worker_incarnation << 40 | report_number;
                     self.schedule(
                         time,
-                        SimulationEvent::DeliverResponse(at, tag, index as u64, Box::new(answer)),
+                        SimulationEvent::DeliverResponse(
+                            worker_index,
+                            tag,
+                            node as u64,
+                            Box::new(response),
+                        ),
                     );
                 }
             }
-            Some(PendingRequest::Relayed(asker, asker_life, id)) => {
-                self.relayed_successes += usize::from(answer.status < 300);
-                let cut = self.mesh_cut_until[index].max(self.mesh_cut_until[asker]);
-                if let Some(time) = self.message_arrival(cut) {
-                    let command = Command::RelayAnswered(id, Some(answer));
-                    self.schedule_command(asker, asker_life, time, command);
+            Some(PendingRequest::Relayed(requester, requester_incarnation, id)) => {
+                self.relayed_successes += usize::from(response.status < 300);
+                let link_down_until =
+                    self.mesh_unreachable_until[node].max(self.mesh_unreachable_until[requester]);
+                if let Some(time) = self.message_arrival(link_down_until) {
+                    let command = Command::RelayAnswered(id, Some(response));
+                    self.schedule_command(requester, requester_incarnation, time, command);
                 }
             }
             Some(PendingRequest::Malformed(allowed)) => {
                 assert!(
-                    allowed.contains(&answer.status),
-                    "unexpected response to a malformed request: {answer:?}"
+                    allowed.contains(&response.status),
+                    "unexpected response to a malformed request: {response:?}"
                 );
                 *self
                     .malformed_responses
-                    .entry((index, answer.status))
+                    .entry((node, response.status))
                     .or_default() += 1;
             }
             // The frozen node sends too late: the user no longer waits for the response.
             Some(PendingRequest::User(..)) if self.effects_held_until > 0 => {}
-            Some(PendingRequest::User(job, cancel, before)) => {
-                self.record_user_view(job, cancel, before, &answer)
+            Some(PendingRequest::User(job, cancel, view_before)) => {
+                self.check_response(job, cancel, view_before, &response)
             }
             None => {}
         }
@@ -51,70 +57,74 @@
 
     /// Checks the invariants of a response and records it in the user's view of the job.
     #[expect(clippy::too_many_lines, reason = "still to be split")]
-    pub(crate) fn record_user_view(
+    pub(crate) fn check_response(
         &mut self,
         id: JobId,
         cancel: bool,
-        before: ViewAtRequest,
-        answer: &ApiResponse,
+        view_before: ViewAtRequest,
+        response: &ApiResponse,
     ) {
-        let ViewAtRequest { accepted, last, .. } = before;
+        let ViewAtRequest {
+            accepted,
+            last_status,
+            ..
+        } = view_before;
         let now = self.now;
         let may_be_cancelled = self
             .dependencies(id)
-            .any(|id| self.jobs[&id].1.asked_to_cancel);
-        let (spec, told) = self
+            .any(|id| self.jobs[&id].1.cancel_requested);
+        let (spec, user_view) = self
             .jobs
             .get_mut(&id)
             .expect("requests name submitted jobs only");
-        if answer.status == 404 {
+        if response.status == 404 {
             assert!(!accepted, "forgotten: accepted job {id} is unknown");
             return;
         }
-        if answer.status >= 300 {
+        if response.status >= 300 {
             assert!(
-                !accepted || (answer.status != 400 && answer.status != 422),
+                !accepted || (response.status != 400 && response.status != 422),
                 "forgotten: accepted job {id} is unknown"
             );
-            if let Some(seconds) = answer.retry_after_s {
+            if let Some(seconds) = response.retry_after_s {
                 assert!(seconds <= 30, "a retry time of more than 30 s");
                 self.retry_at.insert(id, now + u64::from(seconds) * 1000);
-                self.rejections += usize::from(answer.status == 429);
+                self.rejections += usize::from(response.status == 429);
             }
             return;
         }
-        if answer.status == 201 {
+        if response.status == 201 {
             self.acceptances_at.push(now);
         }
-        let known = (told.accepted, told.last);
-        told.accepted = true;
-        told.answered_at = now;
-        told.accepted_at.get_or_insert(now);
-        let view: JobView = protocol::decode(&answer.body).expect("a valid job state");
-        let ended = |status| matches!(status, Some(JobStatus::Done | JobStatus::Cancelled));
-        if ended(last) {
+        let previous = (user_view.accepted, user_view.last_status);
+        user_view.accepted = true;
+        user_view.last_response_at = now;
+        user_view.accepted_at.get_or_insert(now);
+        let job_view: JobView = protocol::decode(&response.body).expect("a valid job state");
+        let is_final = |status| matches!(status, Some(JobStatus::Done | JobStatus::Cancelled));
+        if is_final(last_status) {
             assert_eq!(
-                Some(view.status),
-                last,
+                Some(job_view.status),
+                last_status,
                 "went_back: the final status of {id} changed"
             );
         }
-        if ended(told.last) && ended(Some(view.status)) {
+        if is_final(user_view.last_status) && is_final(Some(job_view.status)) {
             assert_eq!(
-                Some(view.status),
-                told.last,
+                Some(job_view.status),
+                user_view.last_status,
                 "went_back: the final status of {id} changed"
             );
         }
-        if !ended(told.last) {
-            told.last = Some(view.status);
+        if !is_final(user_view.last_status) {
+            user_view.last_status = Some(job_view.status);
         }
-        match view.status {
+        match job_view.status {
             JobStatus::Done => {
                 for index in 0..spec.tasks {
                     let task = TaskId { job: id, index };
                     assert!(
-                        self.completed.contains(&task),
+                        self.completed_tasks.contains(&task),
                         "not_done: {id} is reported as done, but {task} has not completed"
                     );
                 }
@@ -124,25 +134,28 @@
                     may_be_cancelled,
                     "went_back: {id} is reported as cancelled without a cancellation"
                 );
-                told.cancelled_at.get_or_insert(now);
+                user_view.cancelled_at.get_or_insert(now);
             }
             _ => {
-                assert!(!cancel, "a cancellation was confirmed with status {view:?}");
+                assert!(
+                    !cancel,
+                    "a cancellation was confirmed with status {job_view:?}"
+                );
                 // Stricter than the rule, which allows some time: each node derives the
                 // cancellation of dependent jobs immediately.
                 assert!(
-                    !before.dependency_cancelled,
+                    !view_before.dependency_cancelled,
                     "orphaned: a dependency of {id} is cancelled, but {id} is {:?}",
-                    view.status
+                    job_view.status
                 );
             }
         }
         if self.consistency_checks_until > now {
             self.answered_consistency_checks += 1;
-            if known != (true, told.last) {
+            if previous != (true, user_view.last_status) {
                 // From now on no node may return an older state.
-                for later in [1, 2, 4, 8, 16, 30, 60, 200, 1000] {
-                    self.schedule(now + later, SimulationEvent::CheckConsistency(id));
+                for delay in [1, 2, 4, 8, 16, 30, 60, 200, 1000] {
+                    self.schedule(now + delay, SimulationEvent::CheckConsistency(id));
                 }
             }
         }
@@ -151,65 +164,73 @@
     /// Returns a job and all its dependencies, direct and transitive.
     pub(crate) fn dependencies(&self, id: JobId) -> impl Iterator<Item = JobId> {
         let mut all = vec![id];
-        let mut at = 0;
-        while let Some(id) = all.get(at) {
-            at += 1;
-            for awaited in &self.jobs[id].0.dependencies {
-                if !all.contains(awaited) {
-                    all.push(*awaited);
+        let mut next = 0;
+        while let Some(id) = all.get(next) {
+            next += 1;
+            for dependency in &self.jobs[id].0.dependencies {
+                if !all.contains(dependency) {
+                    all.push(*dependency);
                 }
             }
         }
         all.into_iter()
     }
 
-    pub(crate) fn send_request(&mut self, id: JobId, ask: ApiRequest) {
-        let index = self.rng.random_range(0..NODE_COUNT);
-        self.send_request_to(index, id, ask);
+    pub(crate) fn send_request(&mut self, id: JobId, request: ApiRequest) {
+        let node = self.rng.random_range(0..NODE_COUNT);
+        self.send_request_to(node, id, request);
     }
 
-    pub(crate) fn send_request_to(&mut self, index: usize, id: JobId, ask: ApiRequest) {
-        if self.frozen_until[index] > self.now {
+    pub(crate) fn send_request_to(&mut self, node: usize, id: JobId, request: ApiRequest) {
+        if self.frozen_until[node] > self.now {
             // A request to a frozen node times out; the user retries later.
             return;
         }
-        let cancel = matches!(ask, ApiRequest::Cancel(_));
+        let cancel = matches!(request, ApiRequest::Cancel(_));
         if cancel {
             self.jobs
                 .get_mut(&id)
                 .expect("a submitted job")
                 .1
-                .asked_to_cancel = true;
+                .cancel_requested = true;
         }
         self.next_request_id += 1;
-        let life = self.incarnations[index];
-        let told = &self.jobs[&id].1;
+        let incarnation = self.incarnations[node];
+        let user_view = &self.jobs[&id].1;
         let cancelled = |id: JobId| self.jobs[&id].1.cancelled_at.is_some();
-        let before = ViewAtRequest {
-            accepted: told.accepted,
-            last: told.last,
+        let view_before = ViewAtRequest {
+            accepted: user_view.accepted,
+            last_status: user_view.last_status,
             dependency_cancelled: self.dependencies(id).any(cancelled),
         };
-        let asked = PendingRequest::User(id, cancel, before);
+        let pending = PendingRequest::User(id, cancel, view_before);
         self.pending_requests
-            .insert((index, life, self.next_request_id), asked);
-        self.step(index, life, Command::ApiRequest(self.next_request_id, ask));
+            .insert((node, incarnation, self.next_request_id), pending);
+        self.step(
+            node,
+            incarnation,
+            Command::ApiRequest(self.next_request_id, request),
+        );
     }
 
     /// Sends a malformed or unusual request, which may get only the statuses in `allowed`.
     pub(crate) fn send_malformed_request(
         &mut self,
-        index: usize,
-        ask: ApiRequest,
+        node: usize,
+        request: ApiRequest,
         allowed: &'static [u16],
     ) {
         self.next_request_id += 1;
-        let life = self.incarnations[index];
+        let incarnation = self.incarnations[node];
         self.pending_requests.insert(
-            (index, life, self.next_request_id),
+            (node, incarnation, self.next_request_id),
             PendingRequest::Malformed(allowed),
         );
-        self.step(index, life, Command::ApiRequest(self.next_request_id, ask));
+        self.step(
+            node,
+            incarnation,
+            Command::ApiRequest(self.next_request_id, request),
+        );
     }
 
     pub(crate) fn random_job(&mut self, number: u64) -> Submission {
@@ -256,19 +277,19 @@
 
     /// Returns a random job that may depend on up to three of the last 12 accepted array jobs,
     /// whatever their state.
-    pub(crate) fn random_dag_stage(&mut self, number: u64) -> Submission {
+    pub(crate) fn random_dependent_job(&mut self, number: u64) -> Submission {
         let mut spec = self.random_job(number);
-        let known = self
+        let accepted_arrays = self
             .jobs
             .iter()
-            .filter(|(_, (spec, told))| told.accepted && spec.kind == JobKind::Array);
-        let known: Vec<JobId> = known.map(|(id, _)| *id).collect();
-        let lately = &known[known.len().saturating_sub(12)..];
-        if spec.kind == JobKind::Array && !lately.is_empty() {
+            .filter(|(_, (spec, user_view))| user_view.accepted && spec.kind == JobKind::Array);
+        let accepted_arrays: Vec<JobId> = accepted_arrays.map(|(id, _)| *id).collect();
+        let recent = &accepted_arrays[accepted_arrays.len().saturating_sub(12)..];
+        if spec.kind == JobKind::Array && !recent.is_empty() {
             for _ in 0..self.rng.random_range(0..4) {
-                let awaited = lately[self.rng.random_range(0..lately.len())];
-                if !spec.dependencies.contains(&awaited) {
-                    spec.dependencies.push(awaited);
+                let dependency = recent[self.rng.random_range(0..recent.len())];
+                if !spec.dependencies.contains(&dependency) {
+                    spec.dependencies.push(dependency);
                 }
             }
             // Makes the record so large that it needs several keys.
@@ -290,7 +311,7 @@
     }
 
     /// Returns a job of the flood: one small task of a team without a guarantee.
-    pub(crate) fn small_task(&mut self, number: u64) -> Submission {
+    pub(crate) fn flood_job(&mut self, number: u64) -> Submission {
         self.flood_jobs.insert(JobId(number));
         Submission {
             class: "flood".into(),
@@ -314,7 +335,7 @@
     pub(crate) fn may_retry(&mut self, id: JobId) -> bool {
         let now = self.now;
         match self.retry_at.get(&id) {
-            Some(at) if *at > now => false,
+            Some(retry_at) if *retry_at > now => false,
             Some(_) => true,
             None => self.rng.random_bool(0.05),
         }
--- a/tests/histories/workers.rs
+++ b/tests/histories/workers.rs
@@ -4,8 +4,8 @@
 use super::*;
 
 impl SimulatedCluster {
-    pub(crate) fn build_report(&mut self, at: usize) -> Report {
-        let worker = &mut self.workers[at];
+    pub(crate) fn build_report(&mut self, worker_index: usize) -> Report {
+        let worker = &mut self.workers[worker_index];
         worker.seq += 1;
         Report {
             machine: worker.name.clone(),
@@ -20,11 +20,11 @@
             tasks: worker
                 .tasks
                 .iter()
-                .map(|(task, on)| TaskReport {
+                .map(|(task, entry)| TaskReport {
                     task: *task,
-                    attempt: on.attempt,
-                    state: on.state,
-                    cause: on.cause,
+                    attempt: entry.attempt,
+                    state: entry.state,
+                    cause: entry.cause,
                     saved: None,
                 })
                 .collect(),
@@ -33,15 +33,15 @@
 
     /// Advances a worker to the current time: expires its lease, finishes image downloads and ends
     /// tasks.
-    pub(crate) fn advance_worker(&mut self, at: usize) {
+    pub(crate) fn advance_worker(&mut self, worker_index: usize) {
         let now = self.now;
-        let worker = &mut self.workers[at];
-        if worker.gone {
+        let worker = &mut self.workers[worker_index];
+        if worker.deleted {
             return;
         }
         if now
             > worker.lease_renewed_at
-                + (self.timings.lease_ttl_ms as f64 * worker.clock_drift) as u64
+                + (self.timings.lease_ttl_ms as f64 * worker.lease_duration_factor) as u64
         {
             worker.tasks.clear();
             worker.incarnation += 1;
@@ -55,22 +55,22 @@
         let due: Vec<TaskId> = worker
             .tasks
             .iter()
-            .filter(|(_, on)| on.ends_at <= now && on.state != TaskState::Ended)
+            .filter(|(_, entry)| entry.ends_at <= now && entry.state != TaskState::Ended)
             .map(|(task, _)| *task)
             .collect();
         for task in due {
             let spec = self.jobs[&task.job].0.clone();
-            let state = self.workers[at].tasks[&task].state;
+            let state = self.workers[worker_index].tasks[&task].state;
             if state == TaskState::Fetching {
-                self.workers[at].images.insert(spec.image.clone());
-                self.on_task_started(at, task, &spec);
-                let done = self.completed.contains(&task);
-                let on = self.workers[at]
+                self.workers[worker_index].images.insert(spec.image.clone());
+                self.on_task_started(worker_index, task, &spec);
+                let done = self.completed_tasks.contains(&task);
+                let entry = self.workers[worker_index]
                     .tasks
                     .get_mut(&task)
                     .expect("the task is on the worker");
-                on.state = TaskState::Running;
-                on.ends_at = if done {
+                entry.state = TaskState::Running;
+                entry.ends_at = if done {
                     now
                 } else if spec.kind == JobKind::Service {
                     u64::MAX
@@ -78,17 +78,17 @@
                     now + (spec.estimate_s * 1000.0) as u64
                 };
             } else {
-                if self.completed.insert(task) {
+                if self.completed_tasks.insert(task) {
                     self.cancel_at_completion(task.job, &spec);
                 }
-                let on = self.workers[at]
+                let entry = self.workers[worker_index]
                     .tasks
                     .get_mut(&task)
                     .expect("the task is on the worker");
-                on.state = TaskState::Ended;
-                on.cause = Some(FailureCause::Done);
+                entry.state = TaskState::Ended;
+                entry.cause = Some(FailureCause::Done);
             }
-            let worker = &mut self.workers[at];
+            let worker = &mut self.workers[worker_index];
             worker.report_at = worker.report_at.min(now + 500);
         }
     }
@@ -96,33 +96,36 @@
     /// When the last task of a job ends, cancels the job at that moment or up to 2.5 s later, while
     /// the end is reported and stored.
     pub(crate) fn cancel_at_completion(&mut self, job: JobId, spec: &Submission) {
-        let done = |index| self.completed.contains(&TaskId { job, index });
+        let done = |index| self.completed_tasks.contains(&TaskId { job, index });
         if self.cancel_at_completion_until <= self.now || !(0..spec.tasks).all(done) {
             return;
         }
         let time = self.now + self.rng.random_range(0..2500);
         self.schedule(time, SimulationEvent::CancelJob(job));
         for _ in 0..3 {
-            let near = time.saturating_sub(50).max(self.now) + self.rng.random_range(0..100);
-            self.schedule(near, SimulationEvent::CheckConsistency(job));
+            let check_time = time.saturating_sub(50).max(self.now) + self.rng.random_range(0..100);
+            self.schedule(check_time, SimulationEvent::CheckConsistency(job));
         }
     }
 
     /// Checks the invariants of a start, as a task whose image was downloaded starts to run.
     #[expect(clippy::too_many_lines, reason = "still to be split")]
-    pub(crate) fn on_task_started(&mut self, at: usize, task: TaskId, spec: &Submission) {
+    pub(crate) fn on_task_started(&mut self, worker_index: usize, task: TaskId, spec: &Submission) {
         self.starts += 1;
         *self.starts_by_task.entry(task).or_default() += 1;
-        let on = |state| matches!(state, TaskState::Running | TaskState::Saving);
+        let is_active = |state| matches!(state, TaskState::Running | TaskState::Saving);
         for (other, worker) in self.workers.iter().enumerate() {
-            let there = worker.tasks.get(&task).is_some_and(|t| on(t.state));
+            let runs_there = worker
+                .tasks
+                .get(&task)
+                .is_some_and(|entry| is_active(entry.state));
             assert!(
-                other == at || !there,
+                other == worker_index || !runs_there,
                 "ran_twice: task {task} starts while it runs on another machine, at {} ms",
                 self.now
             );
         }
-        let (worker, told) = (&self.workers[at], &self.jobs[&task.job].1);
+        let (worker, user_view) = (&self.workers[worker_index], &self.jobs[&task.job].1);
         assert!(
             !worker.spot || spec.spot,
             "wrong_place: task {task} of a job without spot machines starts on a spot machine"
@@ -139,17 +142,19 @@
                 .iter()
                 .filter(|other| other.zone != worker.zone)
             {
-                let apart = |(id, t): (&TaskId, &TaskOnWorker)| id.job == task.job && on(t.state);
+                let runs_in_other_zone = |(id, entry): (&TaskId, &TaskOnWorker)| {
+                    id.job == task.job && is_active(entry.state)
+                };
                 assert!(
-                    !other.tasks.iter().any(apart),
+                    !other.tasks.iter().any(runs_in_other_zone),
                     "wrong_place: task {task} of a one-zone job starts in another zone than the rest of the job"
                 );
             }
         }
-        for awaited in &spec.dependencies {
+        for dependency in &spec.dependencies {
             // The stored record decides: a cancellation may precede the write of an end that was
             // already reported.
-            let record = self.store.row(&format!("shared/job/{awaited}"));
+            let record = self.store.row(&format!("shared/job/{dependency}"));
             let record = record.expect("the dependency was accepted").value;
             assert_eq!(
                 record["status"], "done",
@@ -158,16 +163,16 @@
             );
             self.dependent_starts += 1;
         }
-        if let Some(told_at) = told.cancelled_at {
+        if let Some(confirmed_at) = user_view.cancelled_at {
             assert!(
-                self.now <= told_at + self.timings.cancellation_bound_ms,
+                self.now <= confirmed_at + self.timings.cancellation_bound_ms,
                 "ran_cancelled: task {task} of a cancelled job starts after the cancellation bound"
             );
         }
         let running = |team: &str| -> f64 {
             let tasks = self.workers.iter().flat_map(|worker| &worker.tasks);
             tasks
-                .filter(|(_, t)| on(t.state))
+                .filter(|(_, entry)| is_active(entry.state))
                 .map(|(id, _)| &self.jobs[&id.job].0)
                 .filter(|job| job.team == team)
                 .map(|job| job.cpus)
@@ -178,20 +183,20 @@
             assert!(
                 used <= TEAM_CPU_LIMIT + 1e-6,
                 "quota: team red exceeds its limit: {used} CPUs with {task} on {}: {:?}",
-                self.workers[at].name,
+                self.workers[worker_index].name,
                 self.task_locations("red")
             );
         }
         if spec.spread {
-            let same = self
+            let tasks_in_zone = self
                 .workers
                 .iter()
                 .filter(|other| other.zone == worker.zone)
                 .flat_map(|other| &other.tasks)
-                .filter(|(id, t)| id.job == task.job && on(t.state))
+                .filter(|(id, entry)| id.job == task.job && is_active(entry.state))
                 .count();
             assert!(
-                same < spec.tasks.div_ceil(2) as usize,
+                tasks_in_zone < spec.tasks.div_ceil(2) as usize,
                 "wrong_place: task {task}: too many tasks of a spread job in one zone"
             );
         }
@@ -199,39 +204,39 @@
 
     /// Lists the placement of a team's tasks, for the messages of failed assertions.
     pub(crate) fn task_locations(&self, team: &str) -> Vec<String> {
-        let mut found = Vec::new();
+        let mut locations = Vec::new();
         for worker in &self.workers {
-            for (task, on) in &worker.tasks {
+            for (task, entry) in &worker.tasks {
                 if self.jobs[&task.job].0.team == team {
-                    found.push(format!(
+                    locations.push(format!(
                         "{task}#{} {:?} on {} (incarnation {}, token {}, unreachable until {})",
-                        on.attempt,
-                        on.state,
+                        entry.attempt,
+                        entry.state,
                         worker.name,
                         worker.incarnation,
                         worker.token,
-                        worker.cut_until
+                        worker.unreachable_until
                     ));
                 }
             }
         }
-        found
+        locations
     }
 
     #[expect(clippy::too_many_lines, reason = "still to be split")]
-    pub(crate) fn execute_orders(&mut self, at: usize, orders: &[Order]) {
+    pub(crate) fn execute_orders(&mut self, worker_index: usize, orders: &[Order]) {
         for order in orders {
             match *order {
                 Order::Start { task, attempt } => {
                     let spec = self.jobs[&task.job].0.clone();
                     let mut used = 0.0;
-                    for (id, on) in &self.workers[at].tasks {
-                        if on.state != TaskState::Ended {
+                    for (id, present) in &self.workers[worker_index].tasks {
+                        if present.state != TaskState::Ended {
                             used += self.jobs[&id.job].0.cpus;
                         }
                     }
                     let fetch = self.rng.random_range(50..3000);
-                    let worker = &mut self.workers[at];
+                    let worker = &mut self.workers[worker_index];
                     let fetch = if worker.images.contains(&spec.image) {
                         1
                     } else {
@@ -240,52 +245,50 @@
                     if worker
                         .tasks
                         .get(&task)
-                        .is_some_and(|on| on.attempt == attempt)
+                        .is_some_and(|present| present.attempt == attempt)
                     {
                         continue;
                     }
-                    let refused = if worker.tasks.contains_key(&task) {
+                    let refusal = if worker.tasks.contains_key(&task) {
                         // The present attempt stays; this model does not report the refusal of the
                         // new one.
                         continue;
                     } else {
                         (used + spec.cpus > 16.0 + 1e-6).then_some(FailureCause::NoRoom)
                     };
-                    let entry = TaskOnWorker {
+                    let new_entry = TaskOnWorker {
                         attempt,
-                        state: if refused.is_some() {
+                        state: if refusal.is_some() {
                             TaskState::Ended
                         } else {
                             TaskState::Fetching
                         },
-                        cause: refused,
+                        cause: refusal,
                         ends_at: self.now + fetch,
                     };
-                    worker.tasks.insert(task, entry);
+                    worker.tasks.insert(task, new_entry);
                 }
                 Order::Stop { task, attempt, .. } => {
-                    if let Some(on) = self.workers[at].tasks.get_mut(&task)
-                        && on.attempt == attempt
-                        && on.state != TaskState::Ended
+                    if let Some(present) = self.workers[worker_index].tasks.get_mut(&task)
+                        && present.attempt == attempt
+                        && present.state != TaskState::Ended
                     {
-                        on.state = TaskState::Ended;
-                        on.cause = Some(FailureCause::Stopped);
+                        present.state = TaskState::Ended;
+                        present.cause = Some(FailureCause::Stopped);
                     }
                 }
                 Order::Forget { task, attempt } => {
-                    let worker = &mut self.workers[at];
-                    if worker
-                        .tasks
-                        .get(&task)
-                        .is_some_and(|on| on.attempt == attempt && on.state == TaskState::Ended)
-                    {
+                    let worker = &mut self.workers[worker_index];
+                    if worker.tasks.get(&task).is_some_and(|present| {
+                        present.attempt == attempt && present.state == TaskState::Ended
+                    }) {
                         worker.tasks.remove(&task);
                     }
                 }
             }
         }
         if !orders.is_empty() {
-            let worker = &mut self.workers[at];
+            let worker = &mut self.workers[worker_index];
             worker.report_at = worker.report_at.min(self.now + 500);
         }
     }
@@ -293,10 +296,11 @@
     /// Returns the running tasks, each with its attempt and the index of its worker.
     pub(crate) fn running(&self) -> BTreeMap<TaskId, (u64, usize)> {
         let all = self.workers.iter().enumerate();
-        let tasks = all.flat_map(|(at, worker)| worker.tasks.iter().map(move |t| (at, t)));
+        let tasks = all
+            .flat_map(|(worker_index, worker)| worker.tasks.iter().map(move |t| (worker_index, t)));
         tasks
-            .filter(|(_, (_, on))| on.state == TaskState::Running)
-            .map(|(at, (task, on))| (*task, (on.attempt, at)))
+            .filter(|(_, (_, entry))| entry.state == TaskState::Running)
+            .map(|(worker_index, (task, entry))| (*task, (entry.attempt, worker_index)))
             .collect()
     }
 }
