--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -1,4 +1,4 @@
-//! The books, the scheduler and the autoscaler under generated loads.
+//! Tests of the cluster state, the scheduler and the autoscaler, many of them under generated loads.
 
 use std::{cmp::Reverse, collections::HashSet};
 
@@ -23,8 +23,8 @@
 fn advance_all_to_running(cluster: &mut ClusterState, now: u64) {
     for machine in 0..cluster.machines.len() as u32 {
         let machine = MachineIndex(machine);
-        for at in 0..cluster.machine(machine).attempts.len() {
-            cluster.advance_phase(machine, at, Phase::Running, now);
+        for i in 0..cluster.machine(machine).attempts.len() {
+            cluster.advance_phase(machine, i, Phase::Running, now);
         }
     }
 }
@@ -43,11 +43,11 @@
 fn guarantee_is_enforced_by_preempting_only_excess_of_other_teams() {
     let mut cluster = cluster((16.0, 0.0), (0.0, 0.0), 4);
     let mut fair_share = FairShareLedger::default();
-    let aimed = Submission {
+    let with_objectives = Submission {
         deadline_s: Some(1000.0),
         ..job(1, "blue", 16, 4.0)
     };
-    cluster.add_job(&aimed, 0, 0);
+    cluster.add_job(&with_objectives, 0, 0);
     scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0);
     advance_all_to_running(&mut cluster, 0);
     assert_eq!(reserved_units(&cluster), [0.0, 64.0]);
@@ -61,32 +61,33 @@
         scheduling::compute_deserved_shares(&cluster, 64.0),
         [40.0, 24.0]
     );
-    // Tasks end all the time: an array waits a little before work with aims has to give way, or
-    // replicas, which have no such times.
+    // Tasks complete continually: an array waits for a short time before it preempts work with
+    // objectives, or replicas, which have no objective times.
     assert!(scheduling::select_preemptions(&cluster, 1000, PreemptionScope::All).is_empty());
     for kind in [JobKind::Service, JobKind::Array] {
         let index = JobIndex(0);
-        let aims = std::mem::take(&mut cluster.jobs[index.as_usize()].latest_placements_ms);
+        let objectives = std::mem::take(&mut cluster.jobs[index.as_usize()].latest_placements_ms);
         cluster.jobs[index.as_usize()].kind = kind;
-        let gives_way =
+        let preempted =
             !scheduling::select_preemptions(&cluster, 1000, PreemptionScope::All).is_empty();
-        assert_eq!(gives_way, kind == JobKind::Array, "without aims, {kind:?}");
-        cluster.jobs[index.as_usize()].latest_placements_ms = aims;
+        assert_eq!(preempted, kind == JobKind::Array, "{kind:?}, no objectives");
+        cluster.jobs[index.as_usize()].latest_placements_ms = objectives;
     }
     let victims = scheduling::select_preemptions(&cluster, 5000, PreemptionScope::All);
-    assert_eq!(victims.len(), 4, "blue gives red its guarantee, no more");
-    // What was stopped waits again, and red has its turn.
+    assert_eq!(victims.len(), 4, "red gets its guarantee, no more");
+    // Attempts that are being stopped already count; once they are gone, their tasks wait again and
+    // red is placed first.
     for victim in victims.iter().rev() {
         cluster.machines[victim.machine.as_usize()].attempts[victim.attempt_index].stop_grace_s =
             Some(0.0);
     }
-    let again = scheduling::select_preemptions(&cluster, 5000, PreemptionScope::All);
-    assert!(again.is_empty(), "what is being stopped already is enough");
+    let more_victims = scheduling::select_preemptions(&cluster, 5000, PreemptionScope::All);
+    assert!(more_victims.is_empty(), "pending stops are counted");
     for number in 0..4 {
         let machine = MachineIndex(number);
-        for at in (0..cluster.machine(machine).attempts.len()).rev() {
-            if cluster.machine(machine).attempts[at].stop_grace_s.is_some() {
-                cluster.remove_attempt(machine, at, 5001);
+        for i in (0..cluster.machine(machine).attempts.len()).rev() {
+            if cluster.machine(machine).attempts[i].stop_grace_s.is_some() {
+                cluster.remove_attempt(machine, i, 5001);
             }
         }
     }
@@ -94,7 +95,7 @@
     assert_eq!(reserved_units(&cluster), [16.0, 48.0]);
     assert!(
         scheduling::select_preemptions(&cluster, 6000, PreemptionScope::All).is_empty(),
-        "nothing of the same priority"
+        "no preemption at the same priority beyond the guarantee"
     );
 }
 
@@ -126,12 +127,12 @@
             scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, now);
             for machine in 0..cluster.machines.len() as u32 {
                 let machine = MachineIndex(machine);
-                for at in (0..cluster.machine(machine).attempts.len()).rev() {
-                    let stopping = cluster.machine(machine).attempts[at].stop_grace_s.is_some();
+                for i in (0..cluster.machine(machine).attempts.len()).rev() {
+                    let stopping = cluster.machine(machine).attempts[i].stop_grace_s.is_some();
                     if stopping || rng.random_bool(0.1) {
-                        cluster.remove_attempt(machine, at, now);
+                        cluster.remove_attempt(machine, i, now);
                     } else {
-                        cluster.advance_phase(machine, at, Phase::Running, now);
+                        cluster.advance_phase(machine, i, Phase::Running, now);
                     }
                 }
             }
@@ -146,14 +147,15 @@
                     used.add(&job.requested);
                     assert!(
                         !machine.spot || job.spot,
-                        "an ordinary job on a spot machine"
+                        "a job that excludes spot machines is on one"
                     );
                 }
                 assert!(used.cpus <= 16.0 + 1e-6, "{} CPUs on 16", used.cpus);
             }
             for job in &cluster.jobs {
-                let most = job.active_by_zone.iter().max().copied().unwrap_or(0) as usize;
-                assert!(!job.spread || most <= job.tasks.len().div_ceil(2));
+                let largest_zone_count =
+                    job.active_by_zone.iter().max().copied().unwrap_or(0) as usize;
+                assert!(!job.spread || largest_zone_count <= job.tasks.len().div_ceil(2));
                 let zones = job
                     .active_by_zone
                     .iter()
@@ -169,9 +171,9 @@
 fn replica_preempts_array_task_on_machine_that_has_its_image() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 2);
     let mut fair_share = FairShareLedger::default();
-    let mut warm = job(1, "red", 4, 4.0);
-    warm.image = "front-img".into();
-    cluster.add_job(&warm, 0, 0);
+    let mut array_with_image = job(1, "red", 4, 4.0);
+    array_with_image.image = "front-img".into();
+    cluster.add_job(&array_with_image, 0, 0);
     scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0);
     advance_all_to_running(&mut cluster, 0);
     let mut replica = job(2, "blue", 1, 4.0);
@@ -183,7 +185,7 @@
     replica.spot = false;
     cluster.add_job(&replica, 0, 40_000);
     scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 40_000);
-    let holder = cluster
+    let machine = cluster
         .machines
         .iter()
         .find(|machine| {
@@ -194,21 +196,21 @@
         })
         .expect("the replica was placed");
     assert!(
-        holder
+        machine
             .attempts
             .iter()
             .any(|a| cluster.job(a.job).id == JobId(1))
     );
-    let stopped = holder
+    let stopped = machine
         .attempts
         .iter()
         .filter(|a| a.stop_grace_s.is_some())
         .count();
-    assert_eq!(stopped, 1, "one array task gives way, no more");
+    assert_eq!(stopped, 1, "exactly one array task is preempted");
 }
 
-/// Under a backlog, first come first served makes everybody late: a job that has missed an aim makes
-/// way for one that can still meet it, until its own next aim comes near.
+/// Under a backlog, first come, first served lets every job miss its objectives. A job that has missed an
+/// objective yields to jobs that can still meet theirs, until its own next objective is near.
 #[test]
 fn job_past_its_objective_yields_to_jobs_that_can_still_meet_theirs() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 0);
@@ -217,10 +219,10 @@
         let &(_, _, job) = cluster.teams[team.as_usize()].queue.first().unwrap();
         cluster.job(job).id.0
     };
-    for (number, at) in [(1, 0), (2, 10_000)] {
+    for (number, submitted_at) in [(1, 0), (2, 10_000)] {
         let mut batch = job(number, "red", 4, 4.0);
         batch.class = "batch".into();
-        cluster.add_job(&batch, at, at);
+        cluster.add_job(&batch, submitted_at, submitted_at);
     }
     for (now, expected) in [
         (5000, 1),
@@ -234,7 +236,11 @@
         assert_eq!(first(&cluster), expected, "after {now} ms");
     }
     cluster.refresh_placement_deadlines(120_000);
-    assert_eq!(first(&cluster), 1, "past all aims, the older first");
+    assert_eq!(
+        first(&cluster),
+        1,
+        "past all objectives the older job is first"
+    );
 }
 
 #[test]
@@ -249,62 +255,62 @@
     cluster.add_job(&replica, 0, 0);
     let (rentals, _) = autoscaler.plan_scaling(&cluster, &[], 0, 0);
     let count: u32 = rentals.iter().map(|rental| rental.count).sum();
-    assert_eq!(count, 2, "half of a spread job in either zone");
+    assert_eq!(count, 2, "half of a spread job in each zone");
     assert!(rentals.iter().all(|rental| !rental.offer.spot));
-    let (more, _) = autoscaler.plan_scaling(&cluster, &rentals, 0, 0);
-    assert!(more.is_empty(), "what is under way is counted");
+    let (further_rentals, _) = autoscaler.plan_scaling(&cluster, &rentals, 0, 0);
+    assert!(further_rentals.is_empty(), "pending rentals are counted");
     for rental in &rentals {
         autoscaler.mark_unavailable(rental.offer, 0);
     }
     assert!(
         autoscaler.plan_scaling(&cluster, &[], 0, 0).0.is_empty(),
-        "refused offers rest"
+        "unavailable offers are not requested again yet"
     );
 
     let mut cluster = self::cluster((0.0, 0.0), (0.0, 0.0), 3);
     cluster.add_job(&job(2, "red", 1, 4.0), 0, 0);
     scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0);
     let (_, returns) = autoscaler.plan_scaling(&cluster, &[], 200_000, 200_000);
-    assert_eq!(returns.len(), 2, "the one with work stays");
+    assert_eq!(returns.len(), 2, "the machine with work is kept");
 }
 
-/// Room for services: as much as steadily comes while a machine boots, at any size, but not for what came all
-/// at once when the deployment started.
+/// The headroom for services covers the replicas that steadily arrive while a machine boots, at any rate of
+/// arrivals, but not the burst of a deployment's start.
 #[test]
 fn service_headroom_follows_steady_arrivals_not_bursts() {
-    let need = Resources {
+    let request = Resources {
         cpus: 1.0,
         gpus: 0.0,
         ram_gb: 1.0,
     };
-    let wanted = |bulk: usize, each_second: usize| {
+    let headroom_tasks = |burst: usize, arrivals_per_second: usize| {
         let cluster = cluster((0.0, 0.0), (0.0, 0.0), 0);
         let mut autoscaler = Autoscaler::default();
-        autoscaler.record_service_arrival(need, bulk, 1000);
+        autoscaler.record_service_arrival(request, burst, 1000);
         for second in 0..110 {
-            autoscaler.record_service_arrival(need, each_second, 2000 + second * 1000);
+            autoscaler.record_service_arrival(request, arrivals_per_second, 2000 + second * 1000);
         }
         let (rentals, _) = autoscaler.plan_scaling(&cluster, &[], 112_000, 112_000);
         let machines: u32 = rentals.iter().map(|rental| rental.count).sum();
         16 * machines as usize
     };
-    // 15 s of booting, and half as much again.
-    let expected = |each_second: usize| each_second * 15 * 3 / 2;
-    for each_second in [1, 4, 8, 16] {
-        let got = wanted(0, each_second);
-        let least = expected(each_second) * 3 / 4;
-        let most = expected(each_second) * 5 / 4 + 16;
+    // Arrivals during 15 s of booting, with a margin of half as much.
+    let expected_tasks = |arrivals_per_second: usize| arrivals_per_second * 15 * 3 / 2;
+    for arrivals_per_second in [1, 4, 8, 16] {
+        let got = headroom_tasks(0, arrivals_per_second);
+        let lower = expected_tasks(arrivals_per_second) * 3 / 4;
+        let upper = expected_tasks(arrivals_per_second) * 5 / 4 + 16;
         assert!(
-            (least..=most).contains(&got),
-            "{got} of {each_second} a second"
+            (lower..=upper).contains(&got),
+            "headroom of {got} at {arrivals_per_second} arrivals per second"
         );
     }
-    assert_eq!(wanted(2000, 0), 64, "one burst");
-    assert!(wanted(2000, 4) <= expected(4) * 5 / 4 + 16);
+    assert_eq!(headroom_tasks(2000, 0), 64, "a single burst");
+    assert!(headroom_tasks(2000, 4) <= expected_tasks(4) * 5 / 4 + 16);
 }
 
-/// Of two zones that could be rented in, the one that is cut off had fewer machines that count and got all
-/// that was rented.
+/// The autoscaler balances zones by their responsive machines. A partitioned zone has fewer of them than the
+/// other zone and got all new machines.
 #[test]
 fn no_scale_out_in_partitioned_zone() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 8);
@@ -316,10 +322,10 @@
     assert_eq!(cluster.machine(booting).state, MachineState::Booting);
     cluster.add_job(&job(1, "red", 64, 16.0), 0, 0);
     let (rentals, _) = Autoscaler::default().plan_scaling(&cluster, &[], 0, 0);
-    let elsewhere: u32 = rentals.iter().map(|rental| rental.count).sum();
+    let rented: u32 = rentals.iter().map(|rental| rental.count).sum();
     assert!(rentals.iter().all(|rental| rental.offer.zone != zone));
-    assert_eq!(elsewhere, 50, "as many as one request may ask for");
-    // Half of it answers: it is not the zone.
+    assert_eq!(rented, 50, "as many as one request may ask for");
+    // Half of the machines in the zone respond: the zone is not partitioned.
     for machine in cluster.machines.iter_mut().step_by(4) {
         machine.unresponsive = false;
     }
@@ -345,7 +351,8 @@
     }
 }
 
-/// A successor places by the images that its predecessor knew of.
+/// A new leader places tasks by the image locations that its predecessor stored, so their records must hold
+/// every machine and each fit into one value.
 #[test]
 fn image_records_stay_within_value_limit() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 600);
@@ -356,14 +363,19 @@
     cluster.machines[3].draining = true;
     for bytes in [2048, 16 * 1024] {
         let records = records::images_records(&cluster, bytes);
-        let mut told = 0;
+        let mut machines_recorded = 0;
         for record in records {
-            told += record
+            machines_recorded += record
                 .machines
                 .iter()
-                .filter(|(name, held)| {
-                    let replace = name == "vm-000003";
-                    *held == 1 | if replace { storage::REPLACEMENT_BIT } else { 0 }
+                .filter(|(name, flags)| {
+                    let marked_for_replacement = name == "vm-000003";
+                    *flags
+                        == 1 | if marked_for_replacement {
+                            storage::REPLACEMENT_BIT
+                        } else {
+                            0
+                        }
                 })
                 .count();
             assert_eq!(record.images, [("img".to_owned(), 1.0)]);
@@ -374,7 +386,7 @@
                 record
             );
         }
-        assert_eq!(told, 600);
+        assert_eq!(machines_recorded, 600);
     }
     let mut successor = self::cluster((0.0, 0.0), (0.0, 0.0), 0);
     let images = [("img".to_owned(), 1.0)].into_iter();
@@ -384,10 +396,13 @@
     successor.add_job(&job(1, "red", 1, 8.0), 0, 0);
     let image = successor.jobs[0].image;
     assert!(successor.machine(machine).has_image(image));
-    assert!(successor.machine(machine).draining, "to be replaced");
+    assert!(
+        successor.machine(machine).draining,
+        "the mark for replacement is restored"
+    );
 }
 
-/// A fleet's worth of changes is cut into entries that each fit a value, however small that is.
+/// Changes of a whole fleet are split into log records that each fit into one value, down to 600 bytes.
 #[test]
 fn log_records_fit_value_limit_and_contain_each_change_once() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 600);
@@ -401,20 +416,20 @@
     assert_eq!(changed.len(), 2100, "each placement is a change");
     for bytes in [600, 4096, 16 * 1024] {
         let mut tasks = changed.iter().copied().peekable();
-        let mut named = 0;
+        let mut recorded = 0;
         while tasks.peek().is_some() {
             let record = records::log_record(&cluster, &mut tasks, (1, 1), bytes);
-            named += record
+            recorded += record
                 .jobs
                 .iter()
-                .map(|(.., notes)| notes.len())
+                .map(|(.., tasks)| tasks.len())
                 .sum::<usize>();
             let value = storage::to_value(&record);
             assert!(value.to_string().len() <= bytes);
             let read: storage::LogRecord = serde_json::from_value(value).unwrap();
             assert_eq!(read, record);
         }
-        assert_eq!(named, changed.len());
+        assert_eq!(recorded, changed.len());
     }
 }
 
@@ -429,11 +444,11 @@
     assert_eq!(
         scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0),
         0,
-        "a zone holds eight"
+        "one zone has capacity for only eight tasks"
     );
     let zone = cluster.intern_zone("a");
-    let more = cluster.add_machine("vm-000009", MachineTypeIndex(0), zone, false, 0);
-    cluster.machines[more.as_usize()].state = MachineState::Up;
+    let added = cluster.add_machine("vm-000009", MachineTypeIndex(0), zone, false, 0);
+    cluster.machines[added.as_usize()].state = MachineState::Up;
     assert_eq!(
         scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0),
         9
@@ -441,9 +456,9 @@
     assert_eq!(cluster.job(index).active_by_zone, [9, 0]);
 }
 
-/// A load in which arrays and services of two teams, with images, types of need and machines that
-/// are partly full, compete.
-fn crowded_cluster(seed: u64, machines: usize, jobs: u64, most: u32) -> ClusterState {
+/// A cluster in which arrays and services of two teams compete, with different images and requirements, on
+/// ordinary and spot machines.
+fn partly_filled_cluster(seed: u64, machines: usize, jobs: u64, max_tasks: u32) -> ClusterState {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut cluster = cluster((8.0, 0.0), (0.0, 0.0), machines);
     for machine in &mut cluster.machines {
@@ -451,7 +466,7 @@
     }
     for number in 1..=jobs {
         let team = if rng.random_bool(0.5) { "red" } else { "blue" };
-        let mut spec = job(number, team, rng.random_range(1..=most), 1.0);
+        let mut spec = job(number, team, rng.random_range(1..=max_tasks), 1.0);
         spec.cpus = f64::from(rng.random_range(1..5u32));
         spec.image = format!("img-{}", rng.random_range(0..6));
         spec.image_gb = 3.0;
@@ -469,42 +484,47 @@
     cluster
 }
 
-/// Equal tasks share one look at all machines; where they go is what a look for each would say.
+/// Equal tasks share one scan of all machines. Guards against a cache that places a task elsewhere than a
+/// scan for each task would.
 #[test]
 fn candidate_cache_places_tasks_as_uncached_scheduling_does() {
-    let places = |cluster: &ClusterState| -> Vec<Vec<(JobId, u32)>> {
-        let on = |machine: &Machine| {
+    let placements = |cluster: &ClusterState| -> Vec<Vec<(JobId, u32)>> {
+        let tasks_on = |machine: &Machine| {
             let attempts = machine.attempts.iter();
             attempts.map(|a| (cluster.job(a.job).id, a.task)).collect()
         };
-        cluster.machines.iter().map(on).collect()
+        cluster.machines.iter().map(tasks_on).collect()
     };
     for seed in 0..40 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let (mut shared, mut plain) = (
-            crowded_cluster(seed, 12, 20, 20),
-            crowded_cluster(seed, 12, 20, 20),
+        let (mut cached, mut uncached) = (
+            partly_filled_cluster(seed, 12, 20, 20),
+            partly_filled_cluster(seed, 12, 20, 20),
         );
-        let mut shared_fair_share = FairShareLedger::default();
-        let mut plain_fair_share = FairShareLedger::default();
+        let mut cached_fair_share = FairShareLedger::default();
+        let mut uncached_fair_share = FairShareLedger::default();
         for now in (0..4000).step_by(40) {
-            scheduling::run_scheduling_cycle(&mut shared, &mut shared_fair_share, now);
+            scheduling::run_scheduling_cycle(&mut cached, &mut cached_fair_share, now);
             scheduling::run_scheduling_cycle_with(
-                &mut plain,
-                &mut plain_fair_share,
+                &mut uncached,
+                &mut uncached_fair_share,
                 now,
                 &mut CandidateCache::without_cache(),
             );
-            assert_eq!(places(&shared), places(&plain), "seed {seed} at {now}");
-            for cluster in [&mut shared, &mut plain] {
+            assert_eq!(
+                placements(&cached),
+                placements(&uncached),
+                "seed {seed} at {now}"
+            );
+            for cluster in [&mut cached, &mut uncached] {
                 advance_all_to_running(cluster, now);
             }
-            // Something ends, and something lingers on its machine although it is to run elsewhere.
-            let on = MachineIndex(rng.random_range(0..12));
+            // Up to three attempts on one machine are removed; their tasks wait again.
+            let machine = MachineIndex(rng.random_range(0..12));
             for _ in 0..rng.random_range(0..4) {
-                for cluster in [&mut shared, &mut plain] {
-                    if !cluster.machine(on).attempts.is_empty() {
-                        cluster.remove_attempt(on, 0, now);
+                for cluster in [&mut cached, &mut uncached] {
+                    if !cluster.machine(machine).attempts.is_empty() {
+                        cluster.remove_attempt(machine, 0, now);
                     }
                 }
             }
@@ -512,63 +532,75 @@
     }
 }
 
-/// Six hundred machines, tens of thousands of tasks: what a round looks at grows with jobs and with
-/// the machines that they get, not with tasks that wait.
+/// 600 machines and more than 20,000 tasks: the number of machines that a scheduling cycle scores grows with
+/// the jobs and with the machines that they get, not with the waiting tasks.
 #[test]
 fn scheduling_cycle_scores_bounded_number_of_machines() {
-    let mut cluster = crowded_cluster(1, 600, 30, 4000);
+    let mut cluster = partly_filled_cluster(1, 600, 30, 4000);
     let mut fair_share = FairShareLedger::default();
     let tasks: usize = cluster.jobs.iter().map(|job| job.tasks.len()).sum();
     assert!(tasks > 20_000, "{tasks} tasks");
     let mut total = 0;
     for now in 0.. {
-        let waits = cluster.jobs.iter().filter(|job| !job.waiting.is_empty());
+        let waiting_jobs = cluster.jobs.iter().filter(|job| !job.waiting.is_empty());
         let (arrays, services): (Vec<_>, Vec<_>) =
-            waits.partition(|job| job.kind == JobKind::Array);
+            waiting_jobs.partition(|job| job.kind == JobKind::Array);
         let replicas: usize = services.iter().map(|job| job.waiting.len()).sum();
         let (jobs, teams) = (arrays.len() + services.len(), cluster.teams.len());
-        let mut looks = CandidateCache::default();
-        let placed =
-            scheduling::run_scheduling_cycle_with(&mut cluster, &mut fair_share, now, &mut looks);
+        let mut candidates = CandidateCache::default();
+        let placed = scheduling::run_scheduling_cycle_with(
+            &mut cluster,
+            &mut fair_share,
+            now,
+            &mut candidates,
+        );
         if placed == 0 {
             break;
         }
-        // All machines are looked at once for a job, once for each machine that it gets, and once
-        // when it finds no room; twice for a replica. Besides, each team's job at hand looks at
-        // what was filled since its last look.
-        let gets: usize = cluster
+        // All machines are scored once for a job, once for each machine that it gets, and once
+        // when none has capacity for it; twice for a replica. In addition, each team's current job scores
+        // the machines that were filled since its last scan.
+        let machines_assigned: usize = cluster
             .machines
             .iter()
             .map(|machine| {
-                let fresh = machine.attempts.iter().filter(|a| a.placed_at == now);
-                fresh.map(|a| a.job).collect::<HashSet<_>>().len()
+                let placed_now = machine
+                    .attempts
+                    .iter()
+                    .filter(|attempt| attempt.placed_at == now);
+                placed_now
+                    .map(|attempt| attempt.job)
+                    .collect::<HashSet<_>>()
+                    .len()
             })
             .sum();
-        let bound = (2 * jobs + gets + 2 * replicas.min(placed)) * 600 + teams * placed;
+        let bound =
+            (2 * jobs + machines_assigned + 2 * replicas.min(placed)) * 600 + teams * placed;
         assert!(
-            looks.machines_scored <= bound,
-            "{} looks of {bound}",
-            looks.machines_scored
+            candidates.machines_scored <= bound,
+            "{} machines scored, at most {bound} expected",
+            candidates.machines_scored
         );
         total += placed;
     }
     assert!(total > 3000, "{total} placed");
 }
 
-/// The heap gave room that urgent work had been promised back to the team that it was taken from, and
-/// the next check took it again: 26000 tasks were stopped in seven minutes, and the urgent waited on.
+/// Capacity that preemption frees must be reserved for the preemptor. Without a reservation the heap of teams
+/// gave it back to the preempted team, and the next preemption check freed it again: 26,000 tasks were stopped
+/// in seven minutes while the urgent work kept waiting.
 #[test]
 fn room_freed_by_preemption_is_reserved_for_the_preemptor() {
     let mut cluster = cluster((16.0, 0.0), (0.0, 0.0), 4);
     let mut fair_share = FairShareLedger::default();
-    let guest = Submission {
+    let without_guarantee = Submission {
         priority: Priority::Low,
         ..job(1, "blue", 100, 1.0)
     };
-    cluster.add_job(&guest, 0, 0);
+    cluster.add_job(&without_guarantee, 0, 0);
     scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0);
     advance_all_to_running(&mut cluster, 0);
-    // Red is beyond what it deserves, blue below: the heap would have blue go first.
+    // Red is above its deserved share and blue below: the heap would place blue first.
     let urgent = Submission {
         priority: Priority::High,
         ..job(2, "red", 14, 4.0)
@@ -589,27 +621,28 @@
     assert_eq!(
         cluster.job(index).waiting.len(),
         0,
-        "the urgent job has its room"
+        "all tasks of the urgent job are placed"
     );
-    assert_eq!(stopped, 56, "each place is taken once");
+    assert_eq!(stopped, 56, "each victim is preempted once");
     assert_eq!(
         reserved_units(&cluster),
         [56.0, 8.0],
-        "the guest has what is left"
+        "the team without a guarantee has the rest"
     );
 }
 
-/// A guest's swarm of small tasks was stopped up to 35 times each for urgent arrays, and ended too late.
+/// Guards against repeated preemption: the many small tasks of a team without a guarantee were each stopped up
+/// to 35 times for urgent arrays and completed too late.
 #[test]
 fn task_with_objective_is_preempted_once_by_arrays_and_always_by_services() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 1);
     let mut fair_share = FairShareLedger::default();
-    let guest = Submission {
+    let without_guarantee = Submission {
         priority: Priority::Low,
         class: "batch".into(),
         ..job(1, "blue", 4, 4.0)
     };
-    cluster.add_job(&guest, 0, 0);
+    cluster.add_job(&without_guarantee, 0, 0);
     for (attempt, stopped) in [(1, 1), (2, 0)] {
         scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0);
         advance_all_to_running(&mut cluster, 0);
@@ -625,8 +658,8 @@
         let victims = scheduling::select_preemptions(&cluster, 5000, PreemptionScope::All);
         assert_eq!(victims.len(), stopped, "attempt {attempt}");
         cluster.close_job(index);
-        for at in (0..cluster.machine(MachineIndex(0)).attempts.len()).rev() {
-            cluster.remove_attempt(MachineIndex(0), at, 1000);
+        for i in (0..cluster.machine(MachineIndex(0)).attempts.len()).rev() {
+            cluster.remove_attempt(MachineIndex(0), i, 1000);
         }
     }
     scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 2000);
@@ -643,8 +676,8 @@
     );
 }
 
-/// A burst of urgent arrays and a team that was within its guarantee took the same places from each other
-/// each second: 600 and 400 tasks in one day, which all began anew.
+/// A burst of urgent arrays and a team within its guarantee preempted each other on the same machines each
+/// second: 600 and 400 tasks in one day, which all restarted from the beginning.
 #[test]
 fn arrays_do_not_preempt_work_within_another_teams_guarantee() {
     for (guarantee, stopped) in [(16.0, 0), (8.0, 2), (0.0, 4)] {
@@ -663,7 +696,7 @@
         };
         cluster.add_job(&urgent, 0, 0);
         let victims = scheduling::select_preemptions(&cluster, 5000, PreemptionScope::All);
-        assert_eq!(victims.len(), stopped, "guaranteed {guarantee}");
+        assert_eq!(victims.len(), stopped, "guarantee of {guarantee} CPUs");
         let service = Submission {
             kind: JobKind::Service,
             priority: Priority::Production,
@@ -672,12 +705,17 @@
         };
         cluster.add_job(&service, 0, 0);
         let victims = scheduling::select_preemptions(&cluster, 5000, PreemptionScope::Services);
-        assert_eq!(victims.len(), 1, "services have what they need");
+        assert_eq!(
+            victims.len(),
+            1,
+            "a service preempts work within a guarantee"
+        );
     }
 }
 
-/// What is stopped within 30 s of its start was no start for its user: of tasks that lost as little,
-/// those give way whose starts have counted, or are late already.
+/// A start counts for its objective only once the task has run for 30 s; a task that is stopped earlier has not
+/// started for its user. Of tasks that lose equally little, those are preempted first whose start has counted
+/// already or that have missed the objective anyway.
 #[test]
 fn preemption_victim_is_chosen_by_missed_objective_cost() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 1);
@@ -686,15 +724,16 @@
         class: "batch".into(),
         ..job(number, "blue", 1, 4.0)
     };
-    // Begun 35 s ago, in time, 20 s ago, in time, and 20 s ago, after 61 s of waiting.
-    for (number, submitted, began) in [
+    // Started 35 s ago in time, 20 s ago in time, and 20 s ago after 70 s of waiting, past
+    // the last objective of 60 s.
+    for (number, submitted, started_at) in [
         (1, 75_000, 75_000),
         (2, 88_000, 90_000),
         (3, 20_000, 90_000),
     ] {
         let index = cluster.add_job(&batch(number), submitted, submitted);
         let index = index.expect("a known team");
-        cluster.place(index, 0, MachineIndex(0), began);
+        cluster.place(index, 0, MachineIndex(0), started_at);
     }
     advance_all_to_running(&mut cluster, 90_000);
     cluster.machines[0].attempts[0].running_since = Some(75_000);
@@ -718,71 +757,76 @@
     assert_eq!(order, [3, 1, 2]);
 }
 
-/// Age and aims count from the release, the deadline from the submission.
+/// A job's age and its start objectives count from the release of the job, its deadline from the submission.
 #[test]
 fn released_job_age_and_objectives_count_from_release() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 0);
     cluster.set_time_of_day(0, 100_000);
-    let stage = Submission {
+    let dependent_job = Submission {
         class: "batch".into(),
         deadline_s: Some(200.0),
         estimate_s: 10.0,
         ..job(1, "red", 1, 4.0)
     };
-    let index = cluster.add_released_job(&stage, (40_000, 100_000), 0);
-    let entry = cluster.job(index.expect("a known team"));
-    // 200 s less 60 s of waiting for others and 13 s of running.
-    assert_eq!(entry.objective_slacks_s, [8.0, 60.0, 127.0]);
-    assert_eq!(entry.placement_deadline_ms, 107_500);
+    let index = cluster.add_released_job(&dependent_job, (40_000, 100_000), 0);
+    let job = cluster.job(index.expect("a known team"));
+    // 200 s less 60 s of waiting for dependencies and 13 s of running.
+    assert_eq!(job.objective_slacks_s, [8.0, 60.0, 127.0]);
+    assert_eq!(job.placement_deadline_ms, 107_500);
 }
 
-/// A stage is as urgent as the most urgent job that needs it, has to be placed in time for that, and
-/// is what it was once nobody needs it any more.
+/// A job inherits the priority of its most urgent dependent and the times by which dependents need it done, and
+/// returns to its own once no dependent is left.
 #[test]
 fn job_inherits_priority_and_deadline_of_its_dependents() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 1);
     let mut fair_share = FairShareLedger::default();
-    let plain = Submission {
+    let low_priority = Submission {
         priority: Priority::Low,
         estimate_s: 10.0,
         ..job(1, "red", 9, 4.0)
     };
-    let index = cluster.add_job(&plain, 0, 0).expect("a known team");
+    let index = cluster.add_job(&low_priority, 0, 0).expect("a known team");
     cluster.add_job(&job(2, "red", 9, 4.0), 0, 0);
     let first = |cluster: &ClusterState| cluster.teams[0].queue.first().map(|(.., job)| *job);
     assert_ne!(first(&cluster), Some(index));
-    let pull = InheritedUrgency {
+    let inherited = InheritedUrgency {
         priority: Priority::High,
         finish_by_ms: vec![40_000, 70_000],
     };
-    cluster.inherit_urgency(index, &pull, 0);
+    cluster.inherit_urgency(index, &inherited, 0);
     assert_eq!(first(&cluster), Some(index));
-    let entry = cluster.job(index);
+    let job = cluster.job(index);
     assert_eq!(
-        (entry.priority, entry.objective_slacks_s.as_slice()),
+        (job.priority, job.objective_slacks_s.as_slice()),
         (Priority::High, &[27.0, 57.0][..])
     );
-    assert_eq!(entry.placement_deadline_ms, 26_500);
+    assert_eq!(job.placement_deadline_ms, 26_500);
     scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0);
-    assert_eq!(cluster.job(index).waiting.len(), 5, "it had its turn first");
-    let own = InheritedUrgency {
+    assert_eq!(
+        cluster.job(index).waiting.len(),
+        5,
+        "it is placed before the other job"
+    );
+    let nothing_inherited = InheritedUrgency {
         priority: Priority::Low,
         finish_by_ms: Vec::new(),
     };
-    cluster.inherit_urgency(index, &own, 0);
+    cluster.inherit_urgency(index, &nothing_inherited, 0);
     assert_ne!(first(&cluster), Some(index));
     assert_eq!(cluster.teams[0].queue.len(), 2);
-    // An end that can't be met any more is none to hurry for.
-    let late = InheritedUrgency {
+    // A finish time that can't be met any more is ignored.
+    let unattainable = InheritedUrgency {
         priority: Priority::High,
         finish_by_ms: vec![5000],
     };
-    cluster.inherit_urgency(index, &late, 0);
+    cluster.inherit_urgency(index, &unattainable, 0);
     assert!(cluster.job(index).objective_slacks_s.is_empty());
 }
 
-/// An urgent array waits that fits on no machine beside the replicas there. Work that nothing is aimed at was taken to be in
-/// its way for as long as it waited, though there was room for it that the array could not use.
+/// An urgent array waits because none of its tasks fits on a machine beside the replicas there. Jobs without
+/// an objective were held back for as long as the array waited, although the array could not use the free
+/// capacity that they needed.
 #[test]
 fn job_without_objective_is_not_starved_by_blocked_array() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 2);
@@ -803,31 +847,33 @@
     };
     cluster.add_job(&urgent, 500, 500);
     scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 500);
-    let small = Submission {
+    let small_job = Submission {
         priority: Priority::Low,
         ..job(3, "blue", 3, 1.0)
     };
-    let small = cluster.add_job(&small, 1000, 1000).expect("a known team");
+    let small = cluster
+        .add_job(&small_job, 1000, 1000)
+        .expect("a known team");
     let mut placed = None;
     for now in (1000..91_000).step_by(1000) {
         scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, now);
         assert!(
             scheduling::select_preemptions(&cluster, now, PreemptionScope::All).is_empty(),
-            "nobody is in the way"
+            "no victim would make room for the array"
         );
         if cluster.job(small).waiting.is_empty() {
             placed.get_or_insert(now);
         }
     }
-    let placed = placed.expect("there was room");
+    let placed = placed.expect("there was free capacity");
     assert!(
         placed > 10_000,
-        "at {placed}: first it may be stopped at the next check"
+        "placed at {placed} ms, when the next preemption check could still stop it"
     );
 }
 
-/// A job's task failed on the only machine that has room, and the machine is sound again. The job kept away from it for good, and
-/// waited beside its room.
+/// A task of a job failed on the only machine with free capacity, and the machine is healthy again. The job
+/// avoided that machine forever and never ran.
 #[test]
 fn job_retries_failed_machine_after_avoidance_period() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 1);
@@ -836,20 +882,24 @@
         .add_job(&job(1, "red", 1, 4.0), 0, 0)
         .expect("a known team");
     scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0);
-    let on = MachineIndex(0);
-    cluster.advance_phase(on, 0, Phase::Ended, 1000);
+    let machine = MachineIndex(0);
+    cluster.advance_phase(machine, 0, Phase::Ended, 1000);
     cluster.requeue(index, 0, 1);
-    cluster.on_task_failed(index, on, 1000);
-    cluster.remove_attempt(on, 0, 1000);
+    cluster.on_task_failed(index, machine, 1000);
+    cluster.remove_attempt(machine, 0, 1000);
     let placed = (2000..91_000).step_by(1000).find(|now| {
         scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, *now);
         cluster.job(index).waiting.is_empty()
     });
-    let placed = placed.expect("there was room");
-    assert!(placed > 11_000, "at {placed}: others first");
+    let placed = placed.expect("there was free capacity");
+    assert!(
+        placed > 11_000,
+        "placed at {placed} ms, while the machine is still avoided"
+    );
 }
 
-/// The only machine with room is to be replaced for being slow, and stays as long as a replica runs there.
+/// The only machine with free capacity is to be replaced because it is slow, but stays as long as a replica runs
+/// there. A job that has waited long is placed on it rather than never.
 #[test]
 fn long_waiting_job_is_placed_on_slow_machine() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 1);
@@ -871,21 +921,29 @@
     for now in (1000..75_000).step_by(1000) {
         scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, now);
     }
-    assert_eq!(waiting(&cluster), 4, "it is to be replaced");
+    assert_eq!(
+        waiting(&cluster),
+        4,
+        "no placement on a machine to be replaced"
+    );
     for now in (75_000..90_000).step_by(1000) {
         scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, now);
     }
-    assert_eq!(waiting(&cluster), 1, "it holds three more");
+    assert_eq!(
+        waiting(&cluster),
+        1,
+        "the machine has capacity for three more"
+    );
 }
 
-fn add_running_job(cluster: &mut ClusterState, spec: &Submission, on: &[u32]) -> JobIndex {
+fn add_running_job(cluster: &mut ClusterState, spec: &Submission, machines: &[u32]) -> JobIndex {
     let job = cluster.add_job(spec, 0, 0).expect("a known team");
-    for (task, machine) in on.iter().enumerate() {
+    for (task, machine) in machines.iter().enumerate() {
         cluster.place(job, task as u32, MachineIndex(*machine), 0);
-        let at = cluster.machines[*machine as usize].attempts.len() - 1;
+        let attempt_index = cluster.machines[*machine as usize].attempts.len() - 1;
         cluster.advance_phase(
             MachineIndex(*machine),
-            at,
+            attempt_index,
             Phase::Running,
             10 * (task as u64 + 1),
         );
@@ -908,34 +966,36 @@
         ..job(1, "red", 2, 4.0)
     };
     let urgent = add_running_job(&mut cluster, &urgent, &[0, 1]);
-    let plain = add_running_job(&mut cluster, &job(2, "red", 3, 4.0), &[1, 2, 3]);
-    let other = add_running_job(&mut cluster, &job(3, "blue", 1, 4.0), &[3]);
-    let team = cluster.job(plain).team;
-    let stopped = |cpus: f64, cluster: &ClusterState| -> Vec<(JobIndex, u32)> {
+    let normal = add_running_job(&mut cluster, &job(2, "red", 3, 4.0), &[1, 2, 3]);
+    let of_other_team = add_running_job(&mut cluster, &job(3, "blue", 1, 4.0), &[3]);
+    let team = cluster.job(normal).team;
+    let stopped_tasks = |cpus: f64, cluster: &ClusterState| -> Vec<(JobIndex, u32)> {
         let victims =
             scheduling::select_stops_over_limit(cluster, team, &excess_cpus(cpus), 60_000);
         let attempts = victims
             .iter()
-            .map(|(on, at)| &cluster.machine(*on).attempts[*at]);
+            .map(|(machine, index)| &cluster.machine(*machine).attempts[*index]);
         attempts
             .map(|attempt| (attempt.job, attempt.task))
             .collect()
     };
-    // The last one to begin has least to lose.
-    assert_eq!(stopped(4.0, &cluster), [(plain, 2)]);
+    // The attempt that started last loses the least work.
+    assert_eq!(stopped_tasks(4.0, &cluster), [(normal, 2)]);
     assert_eq!(
-        stopped(4.5, &cluster),
-        [(plain, 2), (plain, 1)],
-        "whole tasks"
+        stopped_tasks(4.5, &cluster),
+        [(normal, 2), (normal, 1)],
+        "only whole tasks are stopped"
+    );
+    let selected = stopped_tasks(16.0, &cluster);
+    assert_eq!(selected.len(), 4);
+    assert!(
+        selected.contains(&(urgent, 1)) && !selected.iter().any(|(job, _)| *job == of_other_team)
     );
-    let all = stopped(16.0, &cluster);
-    assert_eq!(all.len(), 4);
-    assert!(all.contains(&(urgent, 1)) && !all.iter().any(|(job, _)| *job == other));
-    assert!(stopped(0.0, &cluster).is_empty());
-    // What already has to stop counts.
+    assert!(stopped_tasks(0.0, &cluster).is_empty());
+    // Attempts that are being stopped already count.
     cluster.request_stop(MachineIndex(2), 0, 0.0);
-    assert!(stopped(4.0, &cluster).is_empty());
-    assert_eq!(stopped(8.0, &cluster), [(plain, 2)]);
+    assert!(stopped_tasks(4.0, &cluster).is_empty());
+    assert_eq!(stopped_tasks(8.0, &cluster), [(normal, 2)]);
 }
 
 #[test]
@@ -954,6 +1014,6 @@
     assert!(
         victims
             .iter()
-            .all(|(on, at)| cluster.machine(*on).attempts[*at].job == JobIndex(0))
+            .all(|(machine, index)| cluster.machine(*machine).attempts[*index].job == JobIndex(0))
     );
 }
