--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -1,9 +1,10 @@
-//! Several cells that share teams' quotas: one controller each, with a state service, machines and links between them
-//! that are slow, cut or mended. At every start the team's use over all cells is held to its limit.
+//! Several cells that share teams' quotas. Each cell has one controller, a state service and machines; the links
+//! between cells have latency and can be partitioned and restored. At every task start the team's usage over all
+//! cells is checked against its limit.
 
 #![expect(
     clippy::unwrap_used,
-    reason = "its panics are still to be given their invariants"
+    reason = "the unwraps still lack messages that state their invariants"
 )]
 
 #[path = "wire/mod.rs"]
@@ -41,17 +42,17 @@
 use serde_json::json;
 use wire::{Channel, Sent, Trace};
 
-/// One way between two cells.
+/// One-way latency between two cells.
 const LINK_LATENCY_MS: u64 = 150;
 const TICK_INTERVAL_MS: u64 = 50;
 const REPORT_INTERVAL_MS: u64 = 1000;
 const STATE_LATENCY_MS: u64 = 4;
 const MACHINES_PER_CELL: usize = 4;
 const CPUS_PER_MACHINE: f64 = 16.0;
-/// Within this a change has to be in force in all cells that can be reached.
+/// A quota change must be in force in all reachable cells within this time.
 const MAX_PROPAGATION_MS: u64 = 6000;
 
-/// What runs, in all cells, and what a team may run.
+/// The running tasks of all cells, and the CPUs that the team uses and may use.
 struct TeamUsage {
     placements: HashMap<TaskId, usize>,
     used: f64,
@@ -69,25 +70,25 @@
     }
 
     fn on_task_event(&self, machine: &str, task: TaskId, event: TaskEvent) {
-        let mut all = self.0.lock().unwrap();
+        let mut usage = self.0.lock().unwrap();
         match event {
             TaskEvent::Started => {
-                *all.placements.entry(task).or_default() += 1;
+                *usage.placements.entry(task).or_default() += 1;
                 assert_eq!(
-                    all.placements[&task], 1,
+                    usage.placements[&task], 1,
                     "{task} starts twice, on {machine}"
                 );
-                all.used += 1.0;
+                usage.used += 1.0;
                 assert!(
-                    all.used <= all.limit,
-                    "{} of {} on {machine}",
-                    all.used,
-                    all.limit
+                    usage.used <= usage.limit,
+                    "{} CPUs used of {} allowed, on {machine}",
+                    usage.used,
+                    usage.limit
                 );
             }
             TaskEvent::Removed => {
-                all.placements.remove(&task);
-                all.used -= 1.0;
+                usage.placements.remove(&task);
+                usage.used -= 1.0;
             }
         }
     }
@@ -105,12 +106,12 @@
 
 struct SimulatedCell {
     node: Node,
-    /// Counts processes; what is meant for an earlier one is dropped.
+    /// Counts the processes of the controller; events for an earlier one are dropped.
     incarnation: u64,
     started_at: u64,
     store: Store,
     machines: Vec<EmulatedWorker>,
-    /// Users' and machines' requests under way.
+    /// Pending requests of users (`None`) and of machines (the machine's index).
     pending_requests: HashMap<RequestId, Option<usize>>,
     pending_reports: HashMap<RequestId, (usize, u64)>,
     responses: Vec<ApiResponse>,
@@ -118,29 +119,29 @@
 
 struct SimulatedCells {
     now: u64,
-    next: u64,
+    next_number: u64,
     queue: BTreeMap<(u64, u64), (usize, u64, SimulationEvent)>,
     cells: Vec<SimulatedCell>,
     teams: Vec<serde_json::Value>,
     is_partitioned: Vec<bool>,
     usage: Arc<SharedUsage>,
-    /// How long the state services take, one way.
+    /// One-way latency of the state services.
     state_latency_ms: u64,
-    /// The state services refuse every other write of quotas.
+    /// Every other write of quotas is rejected with status 429.
     refuses_quota_writes: bool,
-    /// Every third write of quotas gets no answer: carried out at once, or late.
+    /// Every third write of quotas gets no response; it is executed immediately or late.
     loses_quota_write_replies: bool,
     quota_writes: u64,
-    /// Messages between cells that were delivered.
+    /// Number of reports that were delivered between cells.
     delivered_messages: Rc<RefCell<u64>>,
-    /// Over all that the cells sent, as it is on the wire.
+    /// Digest of all messages that the cells sent, in their wire format.
     sent: Trace,
-    /// What cells said to each other, while it is kept.
-    kept: Option<Vec<Sent>>,
+    /// Messages between cells, if they are recorded.
+    recorded: Option<Vec<Sent>>,
 }
 
-/// With `CELL_DIGESTS=FILE`: what a test's cells sent has to have one of the digests there; with `WRITE_GOLDEN` as well
-/// it is added to them.
+/// With `CELL_DIGESTS=FILE`, the digest of the messages that a test's cells sent must be in that file. If
+/// `WRITE_GOLDEN` is set too, the digest is appended to the file instead.
 impl Drop for SimulatedCells {
     fn drop(&mut self) {
         let Ok(file) = std::env::var("CELL_DIGESTS") else {
@@ -156,12 +157,15 @@
                 .create(true)
                 .append(true)
                 .open(file)
-                .expect("a file");
+                .expect("the file can be opened");
             file.write_all(digest.as_bytes())
                 .expect("the file can be written");
         } else {
-            let known = std::fs::read_to_string(&file).expect("the file can be read");
-            assert!(known.contains(&digest), "another digest than in {file}");
+            let expected = std::fs::read_to_string(&file).expect("the file can be read");
+            assert!(
+                expected.contains(&digest),
+                "the digest of the messages is not in {file}"
+            );
         }
     }
 }
@@ -183,7 +187,7 @@
     json!({"name": "red", "cpus": limit / 2.0, "cpus_max": limit})
 }
 
-fn config(cell: usize, of: usize, teams: &[serde_json::Value]) -> Config {
+fn config(cell: usize, cell_count: usize, teams: &[serde_json::Value]) -> Config {
     let config = json!({
         "label": "n0", "domain": "a", "listen": "127.0.0.1:1", "mesh_addr": "127.0.0.1:2",
         "services": {"cloud": "127.0.0.1:3", "state": "127.0.0.1:4"},
@@ -195,11 +199,11 @@
         }
     });
     let mut config: Config = serde_json::from_value(config).unwrap();
-    let peers = (0..of).filter(|other| *other != cell);
+    let peers = (0..cell_count).filter(|other| *other != cell);
     let peers: Vec<PeerCell> = peers
         .map(|other| format!("{}=127.0.0.1:9", cell_name(other)).parse().unwrap())
         .collect();
-    config.cells = (of > 0).then(|| CellTopology::new(&cell_name(cell), &peers).unwrap());
+    config.cells = (cell_count > 0).then(|| CellTopology::new(&cell_name(cell), &peers).unwrap());
     config
 }
 
@@ -210,9 +214,9 @@
             used: 0.0,
             limit,
         })));
-        let mut world = SimulatedCells {
+        let mut simulation = SimulatedCells {
             now: 0,
-            next: 0,
+            next_number: 0,
             queue: BTreeMap::new(),
             cells: Vec::new(),
             teams: vec![team_settings(limit)],
@@ -224,12 +228,12 @@
             quota_writes: 0,
             delivered_messages: Rc::default(),
             sent: Trace::default(),
-            kept: None,
+            recorded: None,
         };
         for cell in 0..cells {
-            world.add_cell(config(cell, cells, &world.teams));
+            simulation.add_cell(config(cell, cells, &simulation.teams));
         }
-        world
+        simulation
     }
 
     fn add_cell(&mut self, config: Config) {
@@ -257,122 +261,126 @@
             pending_reports: HashMap::new(),
             responses: Vec::new(),
         });
-        self.at(0, index, SimulationEvent::Tick);
+        self.schedule(0, index, SimulationEvent::Tick);
         for machine in 0..MACHINES_PER_CELL {
-            self.at(10 * machine as u64, index, SimulationEvent::Report(machine));
+            self.schedule(10 * machine as u64, index, SimulationEvent::Report(machine));
         }
     }
 
-    fn at(&mut self, delay: u64, cell: usize, what: SimulationEvent) {
-        self.next += 1;
-        let life = self.cells[cell].incarnation;
-        self.queue
-            .insert((self.now + delay, self.next), (cell, life, what));
+    fn schedule(&mut self, delay: u64, cell: usize, event: SimulationEvent) {
+        self.next_number += 1;
+        let incarnation = self.cells[cell].incarnation;
+        self.queue.insert(
+            (self.now + delay, self.next_number),
+            (cell, incarnation, event),
+        );
     }
 
     fn run_for(&mut self, length: u64) {
         let until = self.now + length;
-        while let Some((&(at, number), _)) = self.queue.first_key_value()
-            && at <= until
+        while let Some((&(due_at, number), _)) = self.queue.first_key_value()
+            && due_at <= until
         {
-            let (cell, life, what) = self.queue.remove(&(at, number)).unwrap();
-            self.now = at;
-            self.cells[cell].store.expire_leases(at);
-            // Machines outlive processes.
-            if life == self.cells[cell].incarnation || matches!(what, SimulationEvent::Report(_)) {
-                self.apply_event(cell, what);
+            let (cell, incarnation, event) = self.queue.remove(&(due_at, number)).unwrap();
+            self.now = due_at;
+            self.cells[cell].store.expire_leases(due_at);
+            // Machines keep running when a process restarts.
+            if incarnation == self.cells[cell].incarnation
+                || matches!(event, SimulationEvent::Report(_))
+            {
+                self.apply_event(cell, event);
             }
         }
         self.now = until;
     }
 
-    fn apply_event(&mut self, cell: usize, what: SimulationEvent) {
-        match what {
+    fn apply_event(&mut self, cell: usize, event: SimulationEvent) {
+        match event {
             SimulationEvent::Tick => {
                 self.step(cell, Command::Tick);
-                self.at(TICK_INTERVAL_MS, cell, SimulationEvent::Tick);
+                self.schedule(TICK_INTERVAL_MS, cell, SimulationEvent::Tick);
             }
             SimulationEvent::Report(machine) => {
                 let now = self.now;
-                let held = &mut self.cells[cell].machines[machine];
-                held.expire_lease(now, 14_000, &*self.usage);
-                let report = held.report();
-                self.next += 1;
-                let id = self.next;
+                let worker = &mut self.cells[cell].machines[machine];
+                worker.expire_lease(now, 14_000, &*self.usage);
+                let report = worker.report();
+                self.next_number += 1;
+                let id = self.next_number;
                 self.cells[cell].pending_requests.insert(id, Some(machine));
                 self.step(
                     cell,
                     Command::ApiRequest(id, ApiRequest::Heartbeat(Box::new(report))),
                 );
-                self.at(REPORT_INTERVAL_MS, cell, SimulationEvent::Report(machine));
+                self.schedule(REPORT_INTERVAL_MS, cell, SimulationEvent::Report(machine));
             }
             SimulationEvent::Command(command) => self.step(cell, *command),
-            SimulationEvent::State(tag, request, since) => {
-                self.send_report(cell, tag, request, since)
+            SimulationEvent::State(tag, request, called_at) => {
+                self.call_state_service(cell, tag, request, called_at)
             }
             SimulationEvent::DelayedWrite(request) => {
                 self.cells[cell].store.execute(&request, self.now);
             }
-            SimulationEvent::CellReportArrives(from, lease, statement) => {
-                self.next += 1;
-                let id = self.next;
+            SimulationEvent::CellReportArrives(from, lease, cell_report) => {
+                self.next_number += 1;
+                let id = self.next_number;
                 self.cells[cell].pending_reports.insert(id, (from, lease));
                 *self.delivered_messages.borrow_mut() += 1;
-                self.step(cell, Command::CellReported(id, statement));
+                self.step(cell, Command::CellReported(id, cell_report));
             }
-            SimulationEvent::CellGrantsArrive(lease, from, answer) => {
+            SimulationEvent::CellGrantsArrive(lease, from, cell_grants) => {
                 let command = Command::CellGrantsReceived {
                     lease,
                     cell: from,
-                    grants: answer,
+                    grants: cell_grants,
                 };
                 self.step(cell, command);
             }
         }
     }
 
-    fn send_report(
+    fn call_state_service(
         &mut self,
         cell: usize,
         tag: dalelb::coordination::StateTag,
         request: StateRequest,
-        since: u64,
+        called_at: u64,
     ) {
         if self.is_refused(&request) {
             let command = Command::StateResponse {
                 tag,
-                sent_at: since - self.cells[cell].started_at,
+                sent_at: called_at - self.cells[cell].started_at,
                 result: Err(StateError::Refused(429)),
             };
-            return self.at(
+            return self.schedule(
                 self.state_latency_ms,
                 cell,
                 SimulationEvent::Command(Box::new(command)),
             );
         }
         if self.loses_quota_write_replies && self.quota_writes % 3 == 0 && writes_quotas(&request) {
-            return self.lose_reply(cell, tag, request, since);
+            return self.lose_reply(cell, tag, request, called_at);
         }
-        let mut asked = request.clone();
-        if let StateRequest::Changes { hold_ms, .. } = &mut asked {
-            *hold_ms = hold_ms.saturating_sub(self.now - since);
+        let mut remaining = request.clone();
+        if let StateRequest::Changes { hold_ms, .. } = &mut remaining {
+            *hold_ms = hold_ms.saturating_sub(self.now - called_at);
         }
-        match self.cells[cell].store.execute(&asked, self.now) {
+        match self.cells[cell].store.execute(&remaining, self.now) {
             Some(reply) => {
-                let sent_at = since - self.cells[cell].started_at;
+                let sent_at = called_at - self.cells[cell].started_at;
                 let result: Result<StateReply, _> = Ok(reply);
                 let command = Command::StateResponse {
                     tag,
                     sent_at,
                     result,
                 };
-                self.at(
+                self.schedule(
                     self.state_latency_ms,
                     cell,
                     SimulationEvent::Command(Box::new(command)),
                 );
             }
-            None => self.at(10, cell, SimulationEvent::State(tag, request, since)),
+            None => self.schedule(10, cell, SimulationEvent::State(tag, request, called_at)),
         }
     }
 
@@ -381,25 +389,25 @@
         self.refuses_quota_writes && writes_quotas(request) && self.quota_writes % 2 == 0
     }
 
-    /// Carries a write out at once, or a second after its sender has given it up, and answers nothing.
+    /// Executes a write immediately, or one second after its sender has timed out, and sends no response.
     fn lose_reply(
         &mut self,
         cell: usize,
         tag: dalelb::coordination::StateTag,
         request: StateRequest,
-        since: u64,
+        called_at: u64,
     ) {
         if self.quota_writes % 2 == 0 {
             self.cells[cell].store.execute(&request, self.now);
         } else {
-            self.at(3000, cell, SimulationEvent::DelayedWrite(request));
+            self.schedule(3000, cell, SimulationEvent::DelayedWrite(request));
         }
         let command = Command::StateResponse {
             tag,
-            sent_at: since - self.cells[cell].started_at,
+            sent_at: called_at - self.cells[cell].started_at,
             result: Err(StateError::NoAnswer),
         };
-        self.at(2000, cell, SimulationEvent::Command(Box::new(command)));
+        self.schedule(2000, cell, SimulationEvent::Command(Box::new(command)));
     }
 
     fn step(&mut self, cell: usize, command: Command) {
@@ -416,63 +424,63 @@
     #[expect(clippy::too_many_lines, reason = "still to be split")]
     fn execute_effect(&mut self, cell: usize, effect: Effect) {
         let message = Sent::of(&effect);
-        let life = self.cells[cell].incarnation;
-        self.sent.add(self.now, cell, life, &message);
-        let between = [Channel::CellStatement, Channel::CellAnswer];
-        if let Some(kept) = &mut self.kept
-            && between.contains(&message.channel)
+        let incarnation = self.cells[cell].incarnation;
+        self.sent.add(self.now, cell, incarnation, &message);
+        let cell_channels = [Channel::CellStatement, Channel::CellAnswer];
+        if let Some(recorded) = &mut self.recorded
+            && cell_channels.contains(&message.channel)
         {
-            kept.push(message);
+            recorded.push(message);
         }
         match effect {
             Effect::CallStateService { tag, request, .. } => {
-                let since = self.now;
-                self.at(
+                let called_at = self.now;
+                self.schedule(
                     self.state_latency_ms,
                     cell,
-                    SimulationEvent::State(tag, request, since),
+                    SimulationEvent::State(tag, request, called_at),
                 );
             }
             Effect::CallCloud { tag, request, .. } => {
-                let result = Ok(self.cloud(cell, &request));
+                let result = Ok(self.call_cloud(cell, &request));
                 let command = Command::CloudResponse { tag, result };
-                self.at(20, cell, SimulationEvent::Command(Box::new(command)));
+                self.schedule(20, cell, SimulationEvent::Command(Box::new(command)));
             }
             Effect::CallWorker {
                 tag, addr, orders, ..
             } => self.deliver_orders(cell, tag, &addr, orders),
-            Effect::Respond(id, answer) => self.answer(cell, id, answer),
+            Effect::Respond(id, response) => self.deliver_response(cell, id, response),
             Effect::SendCellReport {
                 lease,
                 cell: to,
-                report: statement,
+                report: cell_report,
             } => {
                 let target = (0..self.cells.len()).find(|other| cell_name(*other) == to);
                 let target = target
                     .filter(|target| !self.is_partitioned[*target] && !self.is_partitioned[cell]);
                 match target {
-                    Some(target) => self.at(
+                    Some(target) => self.schedule(
                         LINK_LATENCY_MS,
                         target,
-                        SimulationEvent::CellReportArrives(cell, lease, statement),
+                        SimulationEvent::CellReportArrives(cell, lease, cell_report),
                     ),
-                    None => self.at(
+                    None => self.schedule(
                         2000,
                         cell,
                         SimulationEvent::CellGrantsArrive(lease, to, None),
                     ),
                 }
             }
-            Effect::RespondCellReport(id, answer) => {
+            Effect::RespondCellReport(id, grants) => {
                 let Some((to, lease)) = self.cells[cell].pending_reports.remove(&id) else {
                     return;
                 };
                 if !self.is_partitioned[cell] && !self.is_partitioned[to] {
-                    let answer = answer.map(Box::new);
-                    self.at(
+                    let grants = grants.map(Box::new);
+                    self.schedule(
                         LINK_LATENCY_MS,
                         to,
-                        SimulationEvent::CellGrantsArrive(lease, cell_name(cell), answer),
+                        SimulationEvent::CellGrantsArrive(lease, cell_name(cell), grants),
                     );
                 }
             }
@@ -480,7 +488,7 @@
         }
     }
 
-    fn cloud(&self, _: usize, request: &CloudRequest) -> CloudReply {
+    fn call_cloud(&self, _: usize, request: &CloudRequest) -> CloudReply {
         match request {
             CloudRequest::Types => CloudReply::Types(MachineTypes {
                 types: vec![machine_type(CPUS_PER_MACHINE, 64.0, &["a".to_owned()])],
@@ -527,34 +535,34 @@
             tag,
             result: Some(reply),
         };
-        self.at(2, cell, SimulationEvent::Command(Box::new(command)));
+        self.schedule(2, cell, SimulationEvent::Command(Box::new(command)));
     }
 
-    fn answer(&mut self, cell: usize, id: RequestId, answer: ApiResponse) {
+    fn deliver_response(&mut self, cell: usize, id: RequestId, response: ApiResponse) {
         let now = self.now;
         let cell = &mut self.cells[cell];
         match cell.pending_requests.remove(&id) {
-            Some(Some(machine)) if answer.status == 200 => {
-                let orders: Orders = protocol::decode(&answer.body).unwrap();
+            Some(Some(machine)) if response.status == 200 => {
+                let orders: Orders = protocol::decode(&response.body).unwrap();
                 let machine = &mut cell.machines[machine];
-                let session = machine.incarnation();
-                if machine.renew_lease(now, session, orders.token) {
+                let incarnation = machine.incarnation();
+                if machine.renew_lease(now, incarnation, orders.token) {
                     machine.execute_orders(orders.token, orders.orders, now, &*self.usage);
                 }
             }
-            Some(None) => cell.responses.push(answer),
+            Some(None) => cell.responses.push(response),
             _ => {}
         }
     }
 
     fn submit(&mut self, cell: usize, job: u64, tasks: u32) {
-        self.send(cell, job, tasks);
+        self.send_submission(cell, job, tasks);
         self.run_for(1000);
-        let answer = self.cells[cell].responses.pop().expect("an answer");
-        assert!(matches!(answer.status, 200 | 201), "{answer:?}");
+        let response = self.cells[cell].responses.pop().expect("a response");
+        assert!(matches!(response.status, 200 | 201), "{response:?}");
     }
 
-    fn send(&mut self, cell: usize, job: u64, tasks: u32) {
+    fn send_submission(&mut self, cell: usize, job: u64, tasks: u32) {
         let submission = Submission {
             id: JobId(job),
             class: "any".into(),
@@ -578,8 +586,8 @@
             deadline_s: None,
             dependencies: Vec::new(),
         };
-        self.next += 1;
-        let id = self.next;
+        self.next_number += 1;
+        let id = self.next_number;
         self.cells[cell].pending_requests.insert(id, None);
         self.step(
             cell,
@@ -587,7 +595,7 @@
         );
     }
 
-    /// All cells' settings files name other teams.
+    /// Changes the teams in the settings files of all cells.
     fn set_team_settings(&mut self, teams: &[serde_json::Value]) {
         self.teams = teams.to_vec();
         for cell in 0..self.cells.len() {
@@ -599,7 +607,7 @@
         }
     }
 
-    /// The cell's process ends and is back at once.
+    /// The cell's process ends and is restarted immediately.
     fn restart(&mut self, cell: usize) {
         let config = config(cell, self.cells.len(), &self.teams);
         let now = self.now;
@@ -608,15 +616,15 @@
         restarted.started_at = now;
         restarted.node = Node::new(config);
         restarted.pending_reports.clear();
-        self.at(0, cell, SimulationEvent::Tick);
+        self.schedule(0, cell, SimulationEvent::Tick);
     }
 
-    fn running(&self, cell: usize) -> usize {
+    fn running_tasks(&self, cell: usize) -> usize {
         let machines = self.cells[cell].machines.iter();
         machines.map(|machine| machine.running_count()).sum()
     }
 
-    fn used(&self) -> f64 {
+    fn used_cpus(&self) -> f64 {
         self.usage.0.lock().unwrap().used
     }
 
@@ -624,33 +632,34 @@
         self.usage.0.lock().unwrap().limit = limit;
     }
 
-    /// For how long the oldest change has waited, and in which cells it is not in force, by its home's word.
+    /// The age of the oldest change that is not in force everywhere, in milliseconds, and the cells that are behind,
+    /// as the coordinators report them.
     fn pending_quota_changes(&mut self) -> (u64, Vec<String>) {
-        let (mut oldest, mut behind) = (0, Vec::new());
+        let (mut oldest_ms, mut cells_behind) = (0, Vec::new());
         for cell in &mut self.cells {
             let status = cell.node.status();
             let Some(quotas) = status.quotas else {
                 continue;
             };
-            oldest = oldest.max(quotas.oldest_change_ms);
+            oldest_ms = oldest_ms.max(quotas.oldest_change_ms);
             let cells = quotas
                 .cells_behind
                 .into_iter()
                 .filter(|(_, teams)| *teams > 0);
-            behind.extend(cells.map(|(cell, _)| cell));
+            cells_behind.extend(cells.map(|(cell, _)| cell));
         }
-        (oldest, behind)
+        (oldest_ms, cells_behind)
     }
 
-    /// Runs until the latest change is in force everywhere; how long that took.
-    fn run_until_propagated(&mut self, most: u64) -> u64 {
+    /// Runs until the latest change is in force everywhere; returns how long that took, in milliseconds.
+    fn run_until_propagated(&mut self, timeout_ms: u64) -> u64 {
         let began = self.now;
-        // The change has to be seen before it can be in force.
+        // The coordinator must have read the change before it counts as pending.
         self.run_for(200);
         while self.pending_quota_changes().0 > 0 {
             assert!(
-                self.now < began + most,
-                "not in force: {:?}",
+                self.now < began + timeout_ms,
+                "not in force in time: {:?}",
                 self.pending_quota_changes()
             );
             self.run_for(100);
@@ -661,44 +670,52 @@
 
 #[test]
 fn team_usage_over_all_cells_is_bounded_by_its_quota() {
-    let mut world = SimulatedCells::new(3, 24.0);
-    world.run_for(5000);
-    world.submit(0, 1, 40);
-    world.run_for(5000);
-    assert_eq!(world.running(0), 24, "units move to the demand");
-    world.submit(1, 2, 40);
-    world.run_for(10_000);
+    let mut simulation = SimulatedCells::new(3, 24.0);
+    simulation.run_for(5000);
+    simulation.submit(0, 1, 40);
+    simulation.run_for(5000);
+    assert_eq!(
+        simulation.running_tasks(0),
+        24,
+        "units are allocated where the demand is"
+    );
+    simulation.submit(1, 2, 40);
+    simulation.run_for(10_000);
     assert_eq!(
-        (world.running(0), world.running(1)),
+        (simulation.running_tasks(0), simulation.running_tasks(1)),
         (24, 0),
-        "nobody is stopped for it"
+        "no task is stopped for another cell's demand"
     );
-    assert_eq!(world.used(), 24.0);
+    assert_eq!(simulation.used_cpus(), 24.0);
 }
 
-/// What cells store and say to each other while a limit changes, as files for `tests/golden.rs`.
+/// Writes the records that cells store and the messages that they exchange while a limit changes to files for
+/// `tests/golden.rs`.
 fn write_golden() {
-    let mut world = SimulatedCells::new(3, 24.0);
-    world.kept = Some(Vec::new());
-    world.run_for(5000);
-    world.submit(0, 1, 40);
-    world.submit(1, 2, 40);
-    world.set_team_settings(&[team_settings(60.0)]);
-    world.set_asserted_limit(60.0);
-    world.run_for(10_000);
+    let mut simulation = SimulatedCells::new(3, 24.0);
+    simulation.recorded = Some(Vec::new());
+    simulation.run_for(5000);
+    simulation.submit(0, 1, 40);
+    simulation.submit(1, 2, 40);
+    simulation.set_team_settings(&[team_settings(60.0)]);
+    simulation.set_asserted_limit(60.0);
+    simulation.run_for(10_000);
     let mut records = String::new();
-    for cell in &world.cells {
+    for cell in &simulation.cells {
         let keys = cell.store.keys.iter();
         for (key, (value, version, _)) in keys.filter(|(key, _)| key.starts_with("quota/")) {
             let row = json!({"key": key, "value": value, "version": version});
             records += &format!("{row}\n");
         }
     }
-    let kept = world.kept.take().expect("it was kept");
+    let recorded = simulation.recorded.take().expect("messages were recorded");
     let mut messages = String::new();
     for channel in [Channel::CellStatement, Channel::CellAnswer] {
-        let all = kept.iter().filter(|sent| sent.channel == channel);
-        let bodies = all.filter(|sent| !sent.body.is_empty()).step_by(7).take(6);
+        let of_channel = recorded.iter().filter(|sent| sent.channel == channel);
+        let bodies = of_channel
+            .filter(|sent| !sent.body.is_empty())
+            .step_by(7)
+            .take(6);
         for sent in bodies {
             let hex: String = sent.body.iter().map(|byte| format!("{byte:02x}")).collect();
             messages += &format!("{}\t{}\t{hex}\n", channel.name(), sent.head);
@@ -714,229 +731,260 @@
     if std::env::var_os("WRITE_GOLDEN").is_some() {
         write_golden();
     }
-    let mut world = SimulatedCells::new(3, 24.0);
-    world.run_for(5000);
+    let mut simulation = SimulatedCells::new(3, 24.0);
+    simulation.run_for(5000);
     for cell in 0..3 {
-        world.submit(cell, 1 + cell as u64, 40);
-    }
-    world.run_for(5000);
-    assert_eq!(world.used(), 24.0);
-    world.set_asserted_limit(60.0);
-    world.set_team_settings(&[team_settings(60.0)]);
-    let took = world.run_until_propagated(MAX_PROPAGATION_MS);
-    world.run_for(3000);
-    assert_eq!(world.used(), 60.0, "in force after {took} ms");
-    // What runs above the lowered limit is stopped, and nothing else.
-    world.set_team_settings(&[team_settings(20.0)]);
-    let took = world.run_until_propagated(MAX_PROPAGATION_MS);
-    assert_eq!(world.used(), 20.0, "in force after {took} ms");
-    world.set_asserted_limit(20.0);
-    world.run_for(20_000);
-    assert_eq!(world.used(), 20.0);
+        simulation.submit(cell, 1 + cell as u64, 40);
+    }
+    simulation.run_for(5000);
+    assert_eq!(simulation.used_cpus(), 24.0);
+    simulation.set_asserted_limit(60.0);
+    simulation.set_team_settings(&[team_settings(60.0)]);
+    let took = simulation.run_until_propagated(MAX_PROPAGATION_MS);
+    simulation.run_for(3000);
+    assert_eq!(simulation.used_cpus(), 60.0, "in force after {took} ms");
+    // Exactly the tasks above the lowered limit are stopped.
+    simulation.set_team_settings(&[team_settings(20.0)]);
+    let took = simulation.run_until_propagated(MAX_PROPAGATION_MS);
+    assert_eq!(simulation.used_cpus(), 20.0, "in force after {took} ms");
+    simulation.set_asserted_limit(20.0);
+    simulation.run_for(20_000);
+    assert_eq!(simulation.used_cpus(), 20.0);
 }
 
 #[test]
 fn partitioned_cell_keeps_its_allocation_and_is_reported() {
-    let mut world = SimulatedCells::new(3, 60.0);
-    world.run_for(5000);
+    let mut simulation = SimulatedCells::new(3, 60.0);
+    simulation.run_for(5000);
     for cell in 0..3 {
-        world.send(cell, 1 + cell as u64, 60);
-    }
-    world.run_for(8000);
-    assert_eq!(world.used(), 60.0);
-    let all = [0, 1, 2].map(|cell| world.running(cell));
-    assert!(all.iter().all(|running| *running >= 10), "{all:?}");
-    // A cell that is no home of the team.
-    let home = dalelb::quota::coordinator_of("red", &(0..3).map(cell_name).collect::<Vec<_>>())
-        .map(str::to_owned)
-        .unwrap();
-    let far = (0..3).find(|cell| cell_name(*cell) != home).unwrap();
-    let held = world.running(far);
-    world.is_partitioned[far] = true;
-    world.run_for(1000);
-    world.set_team_settings(&[team_settings(30.0)]);
-    world.run_for(120_000);
-    assert_eq!(world.running(far), held, "it keeps what it holds");
-    let near: usize = (0..3)
+        simulation.send_submission(cell, 1 + cell as u64, 60);
+    }
+    simulation.run_for(8000);
+    assert_eq!(simulation.used_cpus(), 60.0);
+    let running = [0, 1, 2].map(|cell| simulation.running_tasks(cell));
+    assert!(running.iter().all(|count| *count >= 10), "{running:?}");
+    // A cell that is not the coordinator of the team.
+    let coordinator =
+        dalelb::quota::coordinator_of("red", &(0..3).map(cell_name).collect::<Vec<_>>())
+            .map(str::to_owned)
+            .unwrap();
+    let far = (0..3).find(|cell| cell_name(*cell) != coordinator).unwrap();
+    let running_before = simulation.running_tasks(far);
+    simulation.is_partitioned[far] = true;
+    simulation.run_for(1000);
+    simulation.set_team_settings(&[team_settings(30.0)]);
+    simulation.run_for(120_000);
+    assert_eq!(
+        simulation.running_tasks(far),
+        running_before,
+        "a partitioned cell keeps its allocation"
+    );
+    let running_elsewhere: usize = (0..3)
         .filter(|cell| *cell != far)
-        .map(|cell| world.running(cell))
+        .map(|cell| simulation.running_tasks(cell))
         .sum();
     assert_eq!(
-        near, 20,
-        "the others come down to a third each of the limit"
+        running_elsewhere, 20,
+        "the other cells shrink to a third of the limit each"
+    );
+    let (oldest_ms, cells_behind) = simulation.pending_quota_changes();
+    assert!(oldest_ms > 100_000, "{oldest_ms}");
+    assert_eq!(cells_behind, [cell_name(far)]);
+    simulation.set_team_settings(&[team_settings(90.0)]);
+    simulation.set_asserted_limit(90.0);
+    simulation.run_for(60_000);
+    assert_eq!(
+        simulation.running_tasks(far),
+        running_before,
+        "a partitioned cell gets no further units"
     );
-    let (oldest, behind) = world.pending_quota_changes();
-    assert!(oldest > 100_000, "{oldest}");
-    assert_eq!(behind, [cell_name(far)]);
-    world.set_team_settings(&[team_settings(90.0)]);
-    world.set_asserted_limit(90.0);
-    world.run_for(60_000);
-    assert_eq!(world.running(far), held, "it gets no more");
-    world.set_team_settings(&[team_settings(30.0)]);
-    world.run_for(5000);
-    world.is_partitioned[far] = false;
-    world.run_until_propagated(MAX_PROPAGATION_MS + 2000);
-    world.set_asserted_limit(30.0);
-    world.run_for(10_000);
-    assert_eq!(world.used(), 30.0);
+    simulation.set_team_settings(&[team_settings(30.0)]);
+    simulation.run_for(5000);
+    simulation.is_partitioned[far] = false;
+    simulation.run_until_propagated(MAX_PROPAGATION_MS + 2000);
+    simulation.set_asserted_limit(30.0);
+    simulation.run_for(10_000);
+    assert_eq!(simulation.used_cpus(), 30.0);
 }
 
 #[test]
 fn failovers_during_quota_changes_preserve_the_sum() {
-    let mut world = SimulatedCells::new(3, 30.0);
-    world.run_for(5000);
+    let mut simulation = SimulatedCells::new(3, 30.0);
+    simulation.run_for(5000);
     for cell in 0..3 {
-        world.submit(cell, 1 + cell as u64, 40);
+        simulation.submit(cell, 1 + cell as u64, 40);
     }
-    world.run_for(5000);
+    simulation.run_for(5000);
     for round in 0..12 {
         let limit = if round % 2 == 0 { 45.0 } else { 15.0 };
-        // While it is being lowered the limit before holds.
-        world.set_asserted_limit(45.0);
-        world.set_team_settings(&[team_settings(limit)]);
-        world.run_for(137 * round);
-        world.restart((round % 3) as usize);
+        // While a limit is being lowered, usage up to the earlier limit is allowed.
+        simulation.set_asserted_limit(45.0);
+        simulation.set_team_settings(&[team_settings(limit)]);
+        simulation.run_for(137 * round);
+        simulation.restart((round % 3) as usize);
         if round % 4 == 3 {
             for cell in 0..3 {
-                world.restart(cell);
+                simulation.restart(cell);
             }
         }
-        world.run_for(30_000);
-        assert_eq!(world.used(), limit, "round {round}");
-        world.set_asserted_limit(limit);
-        world.run_for(2000);
+        simulation.run_for(30_000);
+        assert_eq!(simulation.used_cpus(), limit, "round {round}");
+        simulation.set_asserted_limit(limit);
+        simulation.run_for(2000);
     }
 }
 
 #[test]
 fn unlimited_and_removed_teams_are_handled() {
-    let mut world = SimulatedCells::new(2, 0.0);
-    world.set_asserted_limit(f64::INFINITY);
-    world.run_for(5000);
-    world.submit(0, 1, 50);
-    world.run_for(5000);
-    assert_eq!(world.running(0), 50, "0 means none");
+    let mut simulation = SimulatedCells::new(2, 0.0);
+    simulation.set_asserted_limit(f64::INFINITY);
+    simulation.run_for(5000);
+    simulation.submit(0, 1, 50);
+    simulation.run_for(5000);
+    assert_eq!(
+        simulation.running_tasks(0),
+        50,
+        "a limit of 0 means unlimited"
+    );
     let other = json!({"name": "blue"});
-    // Refused, whole: it still has work.
-    world.set_team_settings(std::slice::from_ref(&other));
-    world.run_for(5000);
-    assert_eq!(world.running(0), 50);
-    world.set_team_settings(&[team_settings(10.0), other]);
-    world.run_until_propagated(MAX_PROPAGATION_MS);
-    assert_eq!(world.used(), 10.0);
+    // The change is rejected as a whole: the removed team still has work.
+    simulation.set_team_settings(std::slice::from_ref(&other));
+    simulation.run_for(5000);
+    assert_eq!(simulation.running_tasks(0), 50);
+    simulation.set_team_settings(&[team_settings(10.0), other]);
+    simulation.run_until_propagated(MAX_PROPAGATION_MS);
+    assert_eq!(simulation.used_cpus(), 10.0);
 }
 
 #[test]
 fn cells_with_different_topologies_exchange_no_quota() {
-    let mut world = SimulatedCells::new(2, 24.0);
-    // The second one believes in a third.
-    let believes = config(1, 3, &world.teams);
-    world.cells[1].node = Node::new(believes);
-    world.run_for(5000);
-    world.submit(0, 1, 40);
-    world.submit(1, 2, 40);
-    world.run_for(20_000);
-    assert_eq!(world.used(), 0.0, "neither is sure of the home");
-    assert!(*world.delivered_messages.borrow() > 10, "they do talk");
-    let status = world.cells[0].node.status();
+    let mut simulation = SimulatedCells::new(2, 24.0);
+    // The second cell is configured with a third cell.
+    let diverging = config(1, 3, &simulation.teams);
+    simulation.cells[1].node = Node::new(diverging);
+    simulation.run_for(5000);
+    simulation.submit(0, 1, 40);
+    simulation.submit(1, 2, 40);
+    simulation.run_for(20_000);
+    assert_eq!(
+        simulation.used_cpus(),
+        0.0,
+        "without an agreed coordinator no units are granted"
+    );
+    assert!(
+        *simulation.delivered_messages.borrow() > 10,
+        "the cells exchange messages"
+    );
+    let status = simulation.cells[0].node.status();
     assert!(status.quotas.unwrap().rejected_messages > 0);
 }
 
 #[test]
 fn without_cells_no_quota_state_is_stored_or_reported() {
-    let mut world = SimulatedCells::new(0, 24.0);
-    world.add_cell(config(0, 0, &[team_settings(24.0)]));
-    world.run_for(5000);
-    world.submit(0, 1, 40);
-    world.set_team_settings(&[team_settings(60.0)]);
-    world.run_for(10_000);
-    assert_eq!(world.running(0), 24);
-    let mut keys = world.cells[0].store.keys.keys();
+    let mut simulation = SimulatedCells::new(0, 24.0);
+    simulation.add_cell(config(0, 0, &[team_settings(24.0)]));
+    simulation.run_for(5000);
+    simulation.submit(0, 1, 40);
+    simulation.set_team_settings(&[team_settings(60.0)]);
+    simulation.run_for(10_000);
+    assert_eq!(simulation.running_tasks(0), 24);
+    let mut keys = simulation.cells[0].store.keys.keys();
     assert!(keys.all(|key| !key.starts_with("quota/")));
-    assert!(world.cells[0].node.status().quotas.is_none());
+    assert!(simulation.cells[0].node.status().quotas.is_none());
 }
 
-/// A home's successor reads all that its predecessor had told: it refuses no cell's word.
+/// A coordinator's new leader must restore all grants that its predecessor sent. A grant that was sent but not
+/// stored would make it reject the reports of the cells that hold it.
 #[test]
 fn coordinator_successor_recovers_from_participant_reports() {
-    let mut world = SimulatedCells::new(3, 600.0);
-    world.run_for(5000);
+    let mut simulation = SimulatedCells::new(3, 600.0);
+    simulation.run_for(5000);
     for cell in 0..3 {
-        world.send(cell, 1 + cell as u64, 60);
+        simulation.send_submission(cell, 1 + cell as u64, 60);
     }
-    world.run_for(5000);
+    simulation.run_for(5000);
     for round in 0..8 {
         let limit = [24.0, 60.0, 12.0, 90.0][round % 4];
-        world.set_team_settings(&[team_settings(limit)]);
-        world.run_for(4000);
+        simulation.set_team_settings(&[team_settings(limit)]);
+        simulation.run_for(4000);
     }
     for cell in 0..3 {
-        world.restart(cell);
-        world.run_for(10_000);
-        let refused: Vec<u64> = world
+        simulation.restart(cell);
+        simulation.run_for(10_000);
+        let rejected: Vec<u64> = simulation
             .cells
             .iter_mut()
             .filter_map(|cell| Some(cell.node.status().quotas?.rejected_messages))
             .collect();
-        assert_eq!(refused, [0, 0, 0], "after {cell} was back");
+        assert_eq!(rejected, [0, 0, 0], "after the restart of cell {cell}");
     }
 }
 
-/// While a write was under way an empty one was sent. If the former was refused, the latter's answer stood for it: grants were told and used
-/// that were stored only later or never, and a home's successor refused the cells that had them.
+/// An empty write was sent while another write was in flight. If the first one was rejected, the response to the
+/// empty one was taken as its confirmation: grants were sent and used that were stored only later or never, and
+/// the coordinator's next leader rejected the reports of the cells that held them.
 #[test]
 fn quota_is_not_used_before_it_is_durable() {
-    let mut world = SimulatedCells::new(3, 600.0);
-    world.run_for(5000);
-    world.state_latency_ms = 180;
-    world.refuses_quota_writes = true;
+    let mut simulation = SimulatedCells::new(3, 600.0);
+    simulation.run_for(5000);
+    simulation.state_latency_ms = 180;
+    simulation.refuses_quota_writes = true;
     for cell in 0..3 {
-        world.send(cell, 1 + cell as u64, 60);
+        simulation.send_submission(cell, 1 + cell as u64, 60);
     }
     for round in 0..200 {
         if round % 20 == 0 {
-            world.set_team_settings(&[team_settings([24.0, 60.0, 12.0, 90.0][round / 20 % 4])]);
+            simulation
+                .set_team_settings(&[team_settings([24.0, 60.0, 12.0, 90.0][round / 20 % 4])]);
         }
-        world.run_for(100);
-        for cell in &mut world.cells {
-            let Some((row, ..)) = cell.store.keys.get("quota/hold/red") else {
+        simulation.run_for(100);
+        for cell in &mut simulation.cells {
+            let Some((record, ..)) = cell.store.keys.get("quota/hold/red") else {
                 continue;
             };
-            let units = |total: &str| row["account"][total]["cpus"].as_u64().unwrap();
+            let units = |total: &str| record["account"][total]["cpus"].as_u64().unwrap();
             let stored = (units("granted") - units("returned")) as f64 / 1000.0;
             let quotas = cell.node.status().quotas;
             let used = quotas.map_or(0.0, |quotas| quotas.teams[0].allocated_units);
-            assert!(used <= stored, "round {round}: {used} of {stored}");
+            assert!(
+                used <= stored,
+                "round {round}: {used} units used, {stored} stored"
+            );
         }
     }
     for cell in 0..3 {
-        world.restart(cell);
-        world.run_for(10_000);
-        for cell in &mut world.cells {
+        simulation.restart(cell);
+        simulation.run_for(10_000);
+        for cell in &mut simulation.cells {
             let quotas = cell.node.status().quotas;
             assert_eq!(quotas.map_or(0, |quotas| quotas.rejected_messages), 0);
         }
     }
 }
 
-/// Writes whose answers are lost, carried out at once or late, while limits change and leaders end.
+/// Writes whose responses are lost, and that are executed immediately or late, while limits change and leaders
+/// end. Guards against units that are granted twice or never returned after such a write.
 #[test]
 fn unconfirmed_quota_writes_are_neither_doubled_nor_lost() {
-    let mut world = SimulatedCells::new(3, 90.0);
-    world.run_for(5000);
+    let mut simulation = SimulatedCells::new(3, 90.0);
+    simulation.run_for(5000);
     for cell in 0..3 {
-        world.send(cell, 1 + cell as u64, 60);
+        simulation.send_submission(cell, 1 + cell as u64, 60);
     }
-    world.loses_quota_write_replies = true;
+    simulation.loses_quota_write_replies = true;
     for round in 0..12 {
         let limit = [24.0, 60.0, 12.0, 90.0][round % 4];
-        world.set_team_settings(&[team_settings(limit)]);
-        world.run_for(7000);
-        world.restart(round % 3);
-        world.run_for(7000);
-    }
-    world.loses_quota_write_replies = false;
-    world.run_for(20_000);
-    assert_eq!(world.pending_quota_changes().0, 0, "in force in the end");
-    assert_eq!(world.used(), 90.0);
+        simulation.set_team_settings(&[team_settings(limit)]);
+        simulation.run_for(7000);
+        simulation.restart(round % 3);
+        simulation.run_for(7000);
+    }
+    simulation.loses_quota_write_replies = false;
+    simulation.run_for(20_000);
+    assert_eq!(
+        simulation.pending_quota_changes().0,
+        0,
+        "all changes are in force in the end"
+    );
+    assert_eq!(simulation.used_cpus(), 90.0);
 }
