--- a/tests/floods.rs
+++ b/tests/floods.rs
@@ -1,5 +1,5 @@
-//! Floods: a fleet that is full for minutes, in steps of a quarter of a second. What is stopped begins anew, as
-//! on real machines.
+//! Overload: a simulated fleet that is full for minutes, in steps of 250 ms. A preempted task restarts from the
+//! beginning, as on real machines.
 
 use std::collections::HashMap;
 
@@ -18,11 +18,11 @@
 struct TaskCounts {
     started: u32,
     done: u32,
-    /// Stopped after they had begun to run.
+    /// Preempted while running.
     preempted_running: u32,
 }
 
-/// A fleet whose tasks run for as long as was estimated.
+/// A fleet whose tasks run for exactly their estimated time.
 struct SimulatedFleet {
     cluster: ClusterState,
     fair_share: FairShareLedger,
@@ -53,23 +53,24 @@
     fn step(&mut self) {
         self.now += STEP_MS;
         let now = self.now;
-        for on in (0..self.cluster.machines.len() as u32).map(MachineIndex) {
-            for at in (0..self.cluster.machine(on).attempts.len()).rev() {
-                let attempt = self.cluster.machine(on).attempts[at].clone();
-                let estimate = self.cluster.job(attempt.job).estimate_s * 1000.0;
+        for machine in (0..self.cluster.machines.len() as u32).map(MachineIndex) {
+            for index in (0..self.cluster.machine(machine).attempts.len()).rev() {
+                let attempt = self.cluster.machine(machine).attempts[index].clone();
+                let estimate_ms = self.cluster.job(attempt.job).estimate_s * 1000.0;
                 match attempt.running_since {
                     None => {
                         let team = self.team(&attempt);
                         self.counts.entry(team).or_default().started += 1;
-                        self.cluster.advance_phase(on, at, Phase::Running, now);
+                        self.cluster
+                            .advance_phase(machine, index, Phase::Running, now);
                     }
-                    Some(since) if since + estimate as u64 <= now => {
+                    Some(since) if since + estimate_ms as u64 <= now => {
                         let team = self.team(&attempt);
                         self.counts.entry(team).or_default().done += 1;
                         self.cluster.complete_task(attempt.job, attempt.task);
-                        let ended = &mut self.cluster.machines[on.as_usize()].attempts[at];
+                        let ended = &mut self.cluster.machines[machine.as_usize()].attempts[index];
                         ended.reconciled = true;
-                        self.cluster.remove_attempt(on, at, now);
+                        self.cluster.remove_attempt(machine, index, now);
                     }
                     Some(_) => {}
                 }
@@ -79,12 +80,12 @@
         self.cluster.refresh_placement_deadlines(now);
         scheduling::run_scheduling_cycle(&mut self.cluster, &mut self.fair_share, now);
         if now % 1000 == 0 {
-            let whose = if now % 10_000 == 0 {
+            let scope = if now % 10_000 == 0 {
                 PreemptionScope::All
             } else {
                 PreemptionScope::WithObjective
             };
-            let mut victims = scheduling::select_preemptions(&self.cluster, now, whose);
+            let mut victims = scheduling::select_preemptions(&self.cluster, now, scope);
             victims.sort_by_key(|victim| std::cmp::Reverse((victim.machine, victim.attempt_index)));
             for victim in victims {
                 let attempt =
@@ -96,8 +97,8 @@
                 }
                 self.cluster
                     .remove_attempt(victim.machine, victim.attempt_index, now);
-                let held = Some((victim.beneficiary, now + 3000));
-                self.cluster.machines[victim.machine.as_usize()].reserved_for = held;
+                let reservation = Some((victim.beneficiary, now + 3000));
+                self.cluster.machines[victim.machine.as_usize()].reserved_for = reservation;
             }
         }
     }
@@ -107,10 +108,11 @@
     }
 }
 
-/// Urgent arrays with aims for four times what the fleet holds, for minutes; red is guaranteed all of it.
-fn flooded_fleet(machines: usize) -> SimulatedFleet {
-    let whole = 16.0 * machines as f64;
-    let mut fleet = SimulatedFleet::new(cluster((whole, 0.0), (0.0, 0.0), machines));
+/// A fleet that waiting urgent arrays of the team red fill for 500 s: for each machine 200 tasks of a quarter of a
+/// machine for 10 s. They have objectives, and red is guaranteed the whole fleet.
+fn overloaded_fleet(machines: usize) -> SimulatedFleet {
+    let fleet_cpus = 16.0 * machines as f64;
+    let mut fleet = SimulatedFleet::new(cluster((fleet_cpus, 0.0), (0.0, 0.0), machines));
     for number in 0..machines as u64 {
         let urgent = Submission {
             priority: Priority::High,
@@ -132,13 +134,13 @@
     }
 }
 
-/// At the size of a deployment, 63 of 5,445 small tasks of a team without a guarantee were done: they were
-/// started and stopped each second.
+/// Guards against starving a team without a guarantee: at the size of a deployment only 63 of its 5,445 small tasks
+/// were completed, because they were started and preempted again each second.
 #[test]
-fn team_without_guarantee_gets_fair_share_with_few_preemptions_under_flood() {
-    let mut fleet = flooded_fleet(20);
+fn team_without_guarantee_gets_fair_share_with_few_preemptions_under_overload() {
+    let mut fleet = overloaded_fleet(20);
     for step in 0..800 {
-        // 2 a second of 0.25 CPUs for 10 s each: 5 CPUs of 320.
+        // 2 tasks per second of 0.25 CPUs for 10 s each use 5 of 320 CPUs.
         if step % 2 == 0 && step < 720 {
             fleet.add_job(&thumbnail_job(1000 + step));
         }
@@ -146,52 +148,60 @@
     }
     let (red, blue) = (fleet.team_counts("red"), fleet.team_counts("blue"));
     assert!(blue.done >= 300, "{blue:?}");
-    assert!(red.done >= 1200, "the urgent have nearly all: {red:?}");
-    let (lost, started) = (
+    assert!(
+        red.done >= 1200,
+        "the urgent arrays have nearly the whole fleet: {red:?}"
+    );
+    let (preempted, started) = (
         red.preempted_running + blue.preempted_running,
         red.started + blue.started,
     );
-    assert!(lost * 20 <= started, "{lost} of {started}");
+    assert!(
+        preempted * 20 <= started,
+        "{preempted} of {started} tasks were preempted"
+    );
 }
 
-/// However much a team without a guarantee wants, no more than its part is kept from the others.
+/// However much work a team without a guarantee submits, no more than a bounded share of the capacity is withheld
+/// from the other teams for it.
 #[test]
-fn starvation_debt_is_bounded_by_a_share_of_capacity() {
-    let mut fleet = flooded_fleet(20);
+fn capacity_for_starved_classes_is_bounded() {
+    let mut fleet = overloaded_fleet(20);
     for number in 0..20 {
-        let idle = Submission {
+        let low_priority = Submission {
             priority: Priority::Low,
             class: "studies".into(),
             estimate_s: 10.0,
             ..job(1000 + number, "blue", 100, 2.0)
         };
-        fleet.add_job(&idle);
+        fleet.add_job(&low_priority);
     }
     for _ in 0..400 {
         fleet.step();
     }
     let (red, blue) = (fleet.team_counts("red"), fleet.team_counts("blue"));
-    let part =
+    let share =
         f64::from(blue.done) * 2.0 / (f64::from(blue.done) * 2.0 + f64::from(red.done) * 4.0);
-    assert!((0.06..0.16).contains(&part), "{part}: {red:?} {blue:?}");
+    assert!((0.06..0.16).contains(&share), "{share}: {red:?} {blue:?}");
 }
 
-/// Room that is free is anybody's: who is behind for want of machines alone has nothing kept for it.
+/// Free capacity is available to every class: a class that lags only because there are too few machines is not
+/// starved, and no capacity is withheld for it.
 #[test]
-fn no_class_is_starved_without_flood() {
+fn no_class_is_starved_without_overload() {
     let mut fleet = SimulatedFleet::new(cluster((0.0, 0.0), (0.0, 0.0), 4));
     for step in 0..400 {
         if step % 4 == 0 {
             fleet.add_job(&thumbnail_job(1000 + step));
         }
         if step % 40 == 0 {
-            let calm = Submission {
+            let array = Submission {
                 priority: Priority::High,
                 class: "batch".into(),
                 estimate_s: 10.0,
                 ..job(step, "red", 10, 4.0)
             };
-            fleet.add_job(&calm);
+            fleet.add_job(&array);
         }
         fleet.step();
         assert!(fleet.fair_share.starved_classes().is_empty(), "step {step}");
@@ -202,75 +212,85 @@
     );
 }
 
-/// Replicas come before everything, owed or not.
+/// A service may preempt every other task, even one that was placed because its class was starved; an array may
+/// not preempt such a task.
 #[test]
-fn starved_services_may_preempt_when_nothing_else_is_left() {
+fn service_preempts_task_placed_for_fair_share_and_array_does_not() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 1);
-    let owed = cluster
+    let starved_job = cluster
         .add_job(&thumbnail_job(1), 0, 0)
         .expect("a known team");
-    cluster.place_for_fair_share(owed, 0, MachineIndex(0), 0);
+    cluster.place_for_fair_share(starved_job, 0, MachineIndex(0), 0);
     cluster.advance_phase(MachineIndex(0), 0, Phase::Running, 0);
-    let whole = |number, kind, priority| Submission {
+    let whole_machine = |number, kind, priority| Submission {
         kind,
         priority,
         spot: false,
         ..job(number, "red", 1, 16.0)
     };
-    cluster.add_job(&whole(2, JobKind::Array, Priority::High), 0, 0);
+    cluster.add_job(&whole_machine(2, JobKind::Array, Priority::High), 0, 0);
     assert!(scheduling::select_preemptions(&cluster, 10_000, PreemptionScope::All).is_empty());
-    cluster.add_job(&whole(3, JobKind::Service, Priority::Production), 0, 0);
+    cluster.add_job(
+        &whole_machine(3, JobKind::Service, Priority::Production),
+        0,
+        0,
+    );
     assert_eq!(
         scheduling::select_preemptions(&cluster, 10_000, PreemptionScope::Services).len(),
         1
     );
 }
 
-/// 1,300 machines that are full, 10,000 waiting jobs of 20 classes and 5,000 single tasks of another team: what a
-/// round and a check cost. Before trials in vain were remembered, a check looked at all machines for each job.
+/// The cost of a scheduling cycle and of a preemption check with 1,300 full machines, 10,000 waiting jobs of 20
+/// classes and 5,000 single tasks of another team. Before failed trials were remembered, a preemption check scanned
+/// all machines for each job.
 #[test]
 fn scheduling_cycle_cost_is_proportional_to_placements() {
-    let mut fleet = flooded_fleet(1300);
+    let mut fleet = overloaded_fleet(1300);
     while scheduling::run_scheduling_cycle(&mut fleet.cluster, &mut fleet.fair_share, 250) > 0 {}
     for number in 0..10_000 {
-        let waits = Submission {
+        let waiting_job = Submission {
             class: format!("class-{}", number % 20),
             estimate_s: 10.0,
             ..job(10_000 + number, "red", 20, 4.0 + (number % 4) as f64)
         };
-        fleet.add_job(&waits);
+        fleet.add_job(&waiting_job);
     }
     (0..5000).for_each(|number| {
         fleet.add_job(&thumbnail_job(30_000 + number));
     });
     let timed = |what: &str, run: &mut dyn FnMut()| {
-        let began = std::time::Instant::now();
+        let started_at = std::time::Instant::now();
         run();
-        let took = began.elapsed();
+        let took = started_at.elapsed();
         println!("{what}: {took:?}");
         took
     };
     let cluster = &mut fleet.cluster;
     let fair_share = &mut fleet.fair_share;
-    let mut looks = scheduling::CandidateCache::default();
-    timed("round with a look at dues", &mut || {
-        scheduling::run_scheduling_cycle_with(cluster, fair_share, 10_000, &mut looks);
-    });
-    let mut looks = scheduling::CandidateCache::default();
-    let round = timed("round", &mut || {
-        scheduling::run_scheduling_cycle_with(cluster, fair_share, 10_040, &mut looks);
+    let mut candidates = scheduling::CandidateCache::default();
+    timed(
+        "scheduling cycle that also computes entitlements",
+        &mut || {
+            scheduling::run_scheduling_cycle_with(cluster, fair_share, 10_000, &mut candidates);
+        },
+    );
+    let mut candidates = scheduling::CandidateCache::default();
+    let cycle = timed("scheduling cycle", &mut || {
+        scheduling::run_scheduling_cycle_with(cluster, fair_share, 10_040, &mut candidates);
     });
     assert!(
-        looks.machines_scored <= 30 * 1300,
-        "{} looks",
-        looks.machines_scored
+        candidates.machines_scored <= 30 * 1300,
+        "{} machines scored",
+        candidates.machines_scored
     );
-    let check = timed("check", &mut || {
+    let check = timed("preemption check", &mut || {
         scheduling::select_preemptions(cluster, 10_000, PreemptionScope::All);
     });
-    // Far above what they take unoptimised on a busy machine, far below what they took.
+    // Far above the time in a debug build on a busy machine, far below the time before failed trials were
+    // remembered.
     assert!(
-        round.as_secs() < 5 && check.as_secs() < 5,
-        "{round:?} {check:?}"
+        cycle.as_secs() < 5 && check.as_secs() < 5,
+        "cycle {cycle:?}, preemption check {check:?}"
     );
 }
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -1,8 +1,8 @@
-//! Wire formats under generated inputs.
+//! Wire formats and storage formats under generated inputs, and their compatibility with the previous version.
 
 #![expect(
     clippy::unwrap_used,
-    reason = "its panics are still to be given their invariants"
+    reason = "the unwraps still lack messages that state their invariants"
 )]
 
 use dalelb::{
@@ -21,7 +21,7 @@
 };
 use serde_json::{Value, json};
 
-/// The same cases each time.
+/// Checks a property on 300 generated cases, the same in each run.
 fn check_property<S: Strategy>(strategy: S, test: impl Fn(S::Value) -> Result<(), TestCaseError>) {
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let config = Config {
@@ -37,7 +37,7 @@
 fn any_submission() -> impl Strategy<Value = Submission> {
     let amounts = (0.001..1e6f64, 0.0..64.0f64, 0.001..1e5f64, 0.0..500.0f64);
     let times = (0.0..1e6f64, 0.0..1e4f64, 0.0..1e3f64);
-    let places = (
+    let placement = (
         prop::option::of(prop::collection::vec("[a-z0-9]{1,9}", 0..4)),
         prop::option::of("[a-z-]{1,12}"),
         prop::option::of(0.1..1e6f64),
@@ -50,12 +50,12 @@
         "[a-z-]{1,20}",
         amounts,
         times,
-        places,
+        placement,
         flags,
         awaits,
     )
         .prop_map(
-            |(id, tasks, name, amounts, times, places, flags, awaits)| Submission {
+            |(id, tasks, name, amounts, times, placement, flags, awaits)| Submission {
                 id: JobId(id),
                 class: name.clone(),
                 team: name.clone(),
@@ -75,15 +75,15 @@
                 ram_gb: amounts.2,
                 image: name,
                 image_gb: amounts.3,
-                types: places.0,
-                zone: places.1,
+                types: placement.0,
+                zone: placement.1,
                 one_zone: flags[2],
                 spread: flags[3],
                 spot: flags[4],
                 estimate_s: times.0,
                 checkpoint_s: times.1,
                 save_s: times.2,
-                deadline_s: places.2,
+                deadline_s: placement.2,
                 dependencies: awaits.into_iter().map(JobId).collect(),
             },
         )
@@ -121,7 +121,7 @@
         prop_assert!(Submission::from_body(&bytes).is_err());
         Ok(())
     });
-    // Cut off, or with bytes after the end.
+    // Truncated bodies, and a body with bytes after its end.
     let whole = protocol::encode(&example_submission());
     for length in 0..whole.len() {
         assert!(Submission::from_body(&whole[..length]).is_err());
@@ -164,7 +164,7 @@
         let mut job = example_submission();
         job[field] = value.clone();
         let refused = Submission::from_body(&protocol::encode(&job));
-        assert!(refused.is_err(), "{field} = {value} was taken");
+        assert!(refused.is_err(), "{field} = {value} was accepted");
     }
     for field in example_submission().as_object().unwrap().keys() {
         if ["builds", "yard", "due_s"].contains(&field.as_str()) {
@@ -174,13 +174,13 @@
         job.as_object_mut().unwrap().remove(field);
         assert!(
             Submission::from_body(&protocol::encode(&job)).is_err(),
-            "{field} may be missing"
+            "a submission without {field} was accepted"
         );
     }
     let mut job = Submission::from_body(&protocol::encode(&example_submission())).unwrap();
     job.cpus = f64::NAN;
     assert!(Submission::from_body(&protocol::encode(&job)).is_err());
-    // A list of the right values in the right order is no map.
+    // A list of the right values in the right order is not a map.
     let list = rmp_serde::to_vec(&job).unwrap();
     assert_eq!(Submission::from_body(&list), Err(DecodeError::NotAMap));
 }
@@ -208,11 +208,11 @@
         json!(["j-000398/0"]),
         json!(false),
     ] {
-        assert!(read(Some(wrong.clone())).is_err(), "{wrong} was taken");
+        assert!(read(Some(wrong.clone())).is_err(), "{wrong} was accepted");
     }
 }
 
-/// A record too long for one value is cut into texts that fit, and is whole again from them.
+/// A record too long for one value is split into parts that each fit, and is restored from them unchanged.
 #[test]
 fn oversized_submissions_are_split_over_several_keys() {
     let names = prop::collection::vec("[a-z\\\\\"é]{1,200}", 0..40);
@@ -244,10 +244,10 @@
     );
 }
 
-/// Machine types that one value can't hold are kept under several keys, and none is left out.
+/// Machine types that don't fit into one value are stored under several keys, and none is lost.
 #[test]
 fn machine_type_records_stay_within_value_limit() {
-    let kind = |number: usize| MachineType {
+    let machine_type = |number: usize| MachineType {
         name: format!("kind-{number:0>40}"),
         cpus: 16.0,
         gpus: 0.0,
@@ -260,7 +260,7 @@
         zones: vec!["a".into(), "b".into()],
     };
     for count in [1, 2, 7, 8, 60] {
-        let types: Vec<MachineType> = (0..count).map(kind).collect();
+        let types: Vec<MachineType> = (0..count).map(machine_type).collect();
         let records = storage::machine_types_records(&types, 2048);
         let mut read = Vec::new();
         for (at, (key, value)) in records.iter().enumerate() {
@@ -276,9 +276,9 @@
     }
 }
 
-/// The formats of the version before jobs could await others, as far as it reads them: the two run side
-/// by side while an upgrade lasts.
-mod before {
+/// The formats of the version before jobs could have dependencies, as far as that version reads them. Both versions
+/// run side by side during an upgrade.
+mod previous_version {
     use std::collections::BTreeMap;
 
     use serde::{Deserialize, Serialize};
@@ -379,15 +379,16 @@
         pub term: u64,
     }
 
-    /// How it found a page's key, and how many tasks it took a page of 16 KiB to stand for.
-    pub fn page(key: &str) -> Option<(&str, u32)> {
+    /// How that version parses a snapshot's key: the job's id and the snapshot's number.
+    pub fn parse_snapshot_key(key: &str) -> Option<(&str, u32)> {
         let (id, chunk) = key.strip_prefix("books/task/")?.split_once('/')?;
         Some((id, chunk.parse().ok()?))
     }
-    pub const PAGE: u32 = 99;
+    /// Number of tasks in a snapshot of up to 16 KiB in that version.
+    pub const TASKS_PER_SNAPSHOT: u32 = 99;
 
-    /// One of each, as it was written.
-    pub fn written() -> BTreeMap<&'static str, serde_json::Value> {
+    /// One record of each kind, as that version wrote it.
+    pub fn example_records() -> BTreeMap<&'static str, serde_json::Value> {
         let machine = || Machine {
             name: "vm-000231".into(),
             kind: "g8".into(),
@@ -402,7 +403,7 @@
             gpus: 1.0,
             ram_gb: 64.0,
         };
-        let page = PreviousSnapshotRecord {
+        let snapshot = PreviousSnapshotRecord {
             job: job(),
             machines: vec![machine()],
             tasks: vec![
@@ -411,7 +412,7 @@
                 (5, 7, PreviousRecordedStatus::Waiting),
             ],
         };
-        let entry = PreviousLogRecord {
+        let log_record = PreviousLogRecord {
             seq: 9,
             first: 4,
             machines: vec![machine()],
@@ -435,50 +436,56 @@
         BTreeMap::from([
             ("done", value(&Job::Done).unwrap()),
             ("cancelled", value(&Job::Cancelled).unwrap()),
-            ("page", serde_json::to_value(page).unwrap()),
-            ("entry", serde_json::to_value(entry).unwrap()),
+            ("snapshot", serde_json::to_value(snapshot).unwrap()),
+            ("log", serde_json::to_value(log_record).unwrap()),
             ("images", serde_json::to_value(images).unwrap()),
             ("leader", serde_json::to_value(leader).unwrap()),
         ])
     }
 }
 
-/// Reads a record of one version as the other's, and back: nothing is lost and nothing else is said.
+/// Reads a record as type `A`, rereads what `A` writes as type `B`, and checks that `B` writes the same record.
 fn assert_rereads_as<A, B>(value: &Value)
 where
     A: serde::Serialize + serde::de::DeserializeOwned,
     B: serde::Serialize + serde::de::DeserializeOwned,
 {
-    let one: A = serde_json::from_value(value.clone()).unwrap();
-    let other: B = serde_json::from_value(serde_json::to_value(one).unwrap()).unwrap();
-    assert_eq!(&serde_json::to_value(other).unwrap(), value);
+    let first: A = serde_json::from_value(value.clone()).unwrap();
+    let second: B = serde_json::from_value(serde_json::to_value(first).unwrap()).unwrap();
+    assert_eq!(&serde_json::to_value(second).unwrap(), value);
 }
 
 #[test]
 fn records_are_compatible_with_previous_version_both_ways() {
-    let written = before::written();
-    assert_rereads_as::<storage::JobRecord, before::Job>(&written["done"]);
-    assert_rereads_as::<storage::JobRecord, before::Job>(&written["cancelled"]);
-    assert_rereads_as::<storage::SnapshotRecord, before::PreviousSnapshotRecord>(&written["page"]);
-    assert_rereads_as::<storage::LogRecord, before::PreviousLogRecord>(&written["entry"]);
-    assert_rereads_as::<storage::ImagesRecord, before::PreviousImagesRecord>(&written["images"]);
-    assert_rereads_as::<storage::LeaderRecord, before::PreviousLeaderRecord>(&written["leader"]);
+    let records = previous_version::example_records();
+    assert_rereads_as::<storage::JobRecord, previous_version::Job>(&records["done"]);
+    assert_rereads_as::<storage::JobRecord, previous_version::Job>(&records["cancelled"]);
+    assert_rereads_as::<storage::SnapshotRecord, previous_version::PreviousSnapshotRecord>(
+        &records["snapshot"],
+    );
+    assert_rereads_as::<storage::LogRecord, previous_version::PreviousLogRecord>(&records["log"]);
+    assert_rereads_as::<storage::ImagesRecord, previous_version::PreviousImagesRecord>(
+        &records["images"],
+    );
+    assert_rereads_as::<storage::LeaderRecord, previous_version::PreviousLeaderRecord>(
+        &records["leader"],
+    );
     check_property(any_submission(), |mut job| {
-        // While the other version is there, no job awaits others.
+        // While the previous version is running, no job has dependencies.
         job.dependencies.clear();
         let (record, texts) = storage::live_job_record(7, &job, 16 * 1024);
         prop_assert!(texts.is_empty());
-        assert_rereads_as::<before::Job, storage::JobRecord>(&storage::to_value(&record));
+        assert_rereads_as::<previous_version::Job, storage::JobRecord>(&storage::to_value(&record));
         Ok(())
     });
-    // The time of an end is new.
+    // The time at which a job ended is new in this version.
     let done = storage::to_value(&storage::JobRecord::Done { at_ms: Some(7) });
-    let read: before::Job = serde_json::from_value(done).unwrap();
-    assert_eq!(read, before::Job::Done);
+    let read: previous_version::Job = serde_json::from_value(done).unwrap();
+    assert_eq!(read, previous_version::Job::Done);
 }
 
-/// Pages of 9 tasks and of 99 never have the same key, and the version that only counted them reads
-/// both.
+/// Snapshots of 9 tasks and of 99 never have the same key. The previous version, which only numbered snapshots, can
+/// parse both kinds of key.
 #[test]
 fn snapshots_of_different_range_lengths_never_share_a_key() {
     let lengths = || prop_oneof![Just(9u32), Just(99), 1..=128u32];
@@ -486,21 +493,31 @@
         (lengths(), lengths(), 0..100_000u32, 0..100_000u32),
         |(a, b, i, j)| {
             let key = |length: u32, task: u32| {
-                let page = storage::SnapshotNumber::new(length, task / length);
-                storage::snapshot_key(JobId(412), page)
+                let snapshot = storage::SnapshotNumber::new(length, task / length);
+                storage::snapshot_key(JobId(412), snapshot)
             };
             prop_assert_eq!(key(a, i) == key(b, j), a == b && i / a == j / b);
             let read = storage::parse_snapshot_key(&key(a, i));
-            let (id, page) = read.expect("a page's key");
-            prop_assert_eq!((id, page.range_index(a)), (JobId(412), Some(i / a)));
-            prop_assert!(a == b || page.range_index(b).is_none());
-            // The other version's keys: read, not taken for one's own, and never written by this one.
-            let old = format!("books/task/j-000412/{:05}", i / before::PAGE);
-            let (_, page) = storage::parse_snapshot_key(&old).expect("a page's key");
-            prop_assert_eq!(page.range_index(a), None);
-            prop_assert!(old != key(a, i));
-            let (_, number) = before::page(&key(a, i)).expect("a page's key");
-            prop_assert!(number > 100_000 / before::PAGE, "taken for page {}", number);
+            let (id, snapshot) = read.expect("a snapshot's key");
+            prop_assert_eq!((id, snapshot.range_index(a)), (JobId(412), Some(i / a)));
+            prop_assert!(a == b || snapshot.range_index(b).is_none());
+            // Keys of the previous version are parsed, are not taken for this version's own, and are never
+            // written by this version.
+            let previous_key = format!(
+                "books/task/j-000412/{:05}",
+                i / previous_version::TASKS_PER_SNAPSHOT
+            );
+            let (_, snapshot) =
+                storage::parse_snapshot_key(&previous_key).expect("a snapshot's key");
+            prop_assert_eq!(snapshot.range_index(a), None);
+            prop_assert!(previous_key != key(a, i));
+            let (_, number) =
+                previous_version::parse_snapshot_key(&key(a, i)).expect("a snapshot's key");
+            prop_assert!(
+                number > 100_000 / previous_version::TASKS_PER_SNAPSHOT,
+                "taken for snapshot {}",
+                number
+            );
             Ok(())
         },
     );
--- a/tests/quota_escrow.rs
+++ b/tests/quota_escrow.rs
@@ -1,6 +1,7 @@
-//! The escrow of one team's quota among cells under generated sequences: messages are lost, late, repeated and out of
-//! order, writes get no answer or come late, leaders end between any two steps, the home or a cell is cut off. At
-//! every step no more may be used than the limit allows, and once troubles end everything settles.
+//! The escrow of one team's quota among cells under generated event sequences. Messages are lost, delayed, repeated
+//! and reordered; writes get no response or are executed late; leaders crash between any two steps; the coordinator
+//! or a cell is partitioned. After every step the usage must be within the limit, and once faults stop the state
+//! must converge.
 
 use std::collections::BTreeMap;
 
@@ -17,7 +18,7 @@
 
 const CELLS: usize = 3;
 const COORDINATOR_CELL: usize = 0;
-/// Time that passes with each step, in milliseconds.
+/// Simulated time per step, in milliseconds.
 const STEP_MS: u64 = 100;
 const SEQUENCE_COUNT: u32 = 400;
 
@@ -29,43 +30,38 @@
     Quota { cpus, gpus: 0 }
 }
 
-/// What may happen.
+/// An event of a generated sequence.
 #[derive(Clone, Debug)]
 enum Event {
-    /// A cell's leader decides what to return and writes it.
+    /// A cell's leader decides which units to return and writes its record.
     ParticipantWrites(usize),
-    /// The home decides on grants and writes them.
+    /// The coordinator decides on grants and writes its record.
     CoordinatorWrites,
-    /// The oldest write of a cell, or of the home, reaches its store: answered or not.
+    /// The oldest write of a cell or of the coordinator reaches its store, with or without a response.
     Apply {
-        home: bool,
+        coordinator: bool,
         cell: usize,
         answered: bool,
     },
-    /// A write without an answer: the leader reads what is stored.
-    Reread {
-        home: bool,
-        cell: usize,
-    },
-    /// A cell tells the home how it stands.
+    /// A leader reads the stored record again, as after a write without a response.
+    Reread { coordinator: bool, cell: usize },
+    /// A cell sends its report to the coordinator.
     SendReport(usize),
-    /// One of the messages under way arrives, and is kept if it is to come again.
-    Deliver {
-        which: usize,
-        again: bool,
-    },
-    /// One is lost.
+    /// A message in flight is delivered; it stays in flight if it is to be delivered again.
+    Deliver { index: usize, keep: bool },
+    /// A message in flight is lost.
     DropMessage(usize),
-    /// A cell's leader ends; its successor knows what is stored.
+    /// A cell's leader crashes; its successor starts from the stored record.
     ParticipantLeaderCrashes(usize),
-    /// The home's leader ends.
+    /// The coordinator's leader crashes.
     CoordinatorLeaderCrashes,
-    /// The limit is set.
+    /// The team's limit is set to this many units.
     Limit(Units),
-    /// So much work waits in a cell.
+    /// The waiting work in a cell is set to this many units.
     Waiting(usize, Units),
-    /// Tasks start where they may, or end.
+    /// Tasks of up to this many units start in a cell, as far as its quota allows.
     Start(usize, Units),
+    /// Tasks of up to this many units end in a cell.
     End(usize, Units),
 }
 
@@ -76,11 +72,11 @@
         4 => cell.clone().prop_map(Event::ParticipantWrites),
         4 => Just(Event::CoordinatorWrites),
         8 => (any::<bool>(), cell.clone(), prop::bool::weighted(0.7))
-            .prop_map(|(home, cell, answered)| Event::Apply { home, cell, answered }),
-        2 => (any::<bool>(), cell.clone()).prop_map(|(home, cell)| Event::Reread { home, cell }),
+            .prop_map(|(coordinator, cell, answered)| Event::Apply { coordinator, cell, answered }),
+        2 => (any::<bool>(), cell.clone()).prop_map(|(coordinator, cell)| Event::Reread { coordinator, cell }),
         4 => cell.clone().prop_map(Event::SendReport),
         8 => (any::<usize>(), prop::bool::weighted(0.3))
-            .prop_map(|(which, again)| Event::Deliver { which, again }),
+            .prop_map(|(index, keep)| Event::Deliver { index, keep }),
         1 => any::<usize>().prop_map(Event::DropMessage),
         1 => cell.clone().prop_map(Event::ParticipantLeaderCrashes),
         1 => Just(Event::CoordinatorLeaderCrashes),
@@ -93,21 +89,22 @@
 
 #[derive(Clone)]
 enum Message {
-    Position(usize, ParticipantReport),
+    Report(usize, ParticipantReport),
     Grant(usize, Grant),
 }
 
-/// A key of a store with the writes that are on their way to it. A write of a leader that has ended changes nothing:
-/// it is conditional on that leader's key.
+/// A key of a store with the writes in flight to it. A write of a former leader has no effect: it is conditional on
+/// that leader's key.
 struct StoredKey<T> {
     value: T,
     version: u64,
-    /// The record, the version that it replaces, and the life of its leader.
+    /// The record, the version that it replaces, and the incarnation of its leader.
     writes: Vec<(T, u64, u64)>,
-    life: u64,
-    /// A write is waited for, or what became of it is not known.
-    waits: bool,
-    doubtful: bool,
+    incarnation: u64,
+    /// The leader waits for the response to a write.
+    write_in_flight: bool,
+    /// The leader does not know whether its last write was executed.
+    outcome_unknown: bool,
 }
 
 impl<T: Clone + Default> StoredKey<T> {
@@ -116,40 +113,42 @@
             value: T::default(),
             version: 0,
             writes: Vec::new(),
-            life: 0,
-            waits: false,
-            doubtful: false,
+            incarnation: 0,
+            write_in_flight: false,
+            outcome_unknown: false,
         }
     }
 
-    fn write(&mut self, value: T, replaces: u64) {
-        self.writes.push((value, replaces, self.life));
-        self.waits = true;
+    fn write(&mut self, value: T, replaced_version: u64) {
+        self.writes
+            .push((value, replaced_version, self.incarnation));
+        self.write_in_flight = true;
     }
 
-    /// Applies the oldest write; what was written, if it is stored and its leader still there.
+    /// Executes the oldest write. Returns its record and whether it was stored, or `None` if there is no write or
+    /// its leader has crashed.
     fn apply(&mut self) -> Option<(T, bool)> {
         if self.writes.is_empty() {
             return None;
         }
-        let (value, replaces, life) = self.writes.remove(0);
-        let own = life == self.life;
-        let stored = own && replaces == self.version;
+        let (value, replaced_version, incarnation) = self.writes.remove(0);
+        let is_current = incarnation == self.incarnation;
+        let stored = is_current && replaced_version == self.version;
         if stored {
             self.value = value.clone();
             self.version += 1;
         }
-        own.then_some((value, stored))
+        is_current.then_some((value, stored))
     }
 
     fn on_leader_crash(&mut self) {
-        self.life += 1;
-        self.waits = false;
-        self.doubtful = false;
+        self.incarnation += 1;
+        self.write_in_flight = false;
+        self.outcome_unknown = false;
     }
 }
 
-struct Cell {
+struct SimulatedCell {
     participant: Participant,
     key: StoredKey<ParticipantRecord>,
     used: Units,
@@ -160,16 +159,16 @@
     now: u64,
     coordinator: Coordinator,
     coordinator_key: StoredKey<CoordinatorRecord>,
-    cells: Vec<Cell>,
+    cells: Vec<SimulatedCell>,
     messages: Vec<Message>,
     limit: Units,
-    /// What all cells could use before this step, by what is stored.
-    before: Units,
+    /// Units granted and not returned before this step, according to the stored records.
+    outstanding_before: Units,
 }
 
 impl Simulation {
     fn new() -> Self {
-        let cells = (0..CELLS).map(|_| Cell {
+        let cells = (0..CELLS).map(|_| SimulatedCell {
             participant: Participant::default(),
             key: StoredKey::new(),
             used: 0,
@@ -182,7 +181,7 @@
             cells: cells.collect(),
             messages: Vec::new(),
             limit: 600,
-            before: 0,
+            outstanding_before: 0,
         }
     }
 
@@ -199,19 +198,21 @@
             Event::ParticipantWrites(cell) => self.write_participant(cell),
             Event::CoordinatorWrites => self.write_coordinator(),
             Event::Apply {
-                home: true,
+                coordinator: true,
                 answered,
                 ..
             } => self.apply_coordinator_write(answered),
             Event::Apply { cell, answered, .. } => self.apply_participant_write(cell, answered),
-            Event::Reread { home: true, .. } => self.reread_coordinator(),
+            Event::Reread {
+                coordinator: true, ..
+            } => self.reread_coordinator(),
             Event::Reread { cell, .. } => self.reread_participant(cell),
             Event::SendReport(cell) => self.send_report(cell),
-            Event::Deliver { which, again } => self.deliver_message(which, again),
-            Event::DropMessage(which) => {
+            Event::Deliver { index, keep } => self.deliver_message(index, keep),
+            Event::DropMessage(index) => {
                 if !self.messages.is_empty() {
-                    let which = which % self.messages.len();
-                    self.messages.remove(which);
+                    let index = index % self.messages.len();
+                    self.messages.remove(index);
                 }
             }
             Event::ParticipantLeaderCrashes(cell) => {
@@ -231,12 +232,12 @@
             Event::Waiting(cell, units) => self.cells[cell].waiting = units,
             Event::Start(cell, units) => {
                 let cell = &mut self.cells[cell];
-                let room = cell
+                let free_units = cell
                     .participant
                     .new_work_ceiling()
                     .cpus
                     .saturating_sub(cell.used);
-                let started = units.min(room).min(cell.waiting);
+                let started = units.min(free_units).min(cell.waiting);
                 cell.used += started;
                 cell.waiting -= started;
             }
@@ -249,7 +250,7 @@
 
     fn write_participant(&mut self, cell: usize) {
         let cell = &mut self.cells[cell];
-        if cell.key.waits || cell.key.doubtful {
+        if cell.key.write_in_flight || cell.key.outcome_unknown {
             return;
         }
         if let Some(record) = cell.participant.next_record(quota(cell.used)) {
@@ -258,7 +259,7 @@
     }
 
     fn write_coordinator(&mut self) {
-        if self.coordinator_key.waits || self.coordinator_key.doubtful {
+        if self.coordinator_key.write_in_flight || self.coordinator_key.outcome_unknown {
             return;
         }
         if let Some(record) = self.coordinator.next_record(self.configured(), self.now) {
@@ -272,11 +273,11 @@
         let Some((record, stored)) = cell.key.apply() else {
             return;
         };
-        cell.key.waits = false;
+        cell.key.write_in_flight = false;
         if answered && stored {
             cell.participant.on_stored(record, cell.key.version);
         } else {
-            cell.key.doubtful = true;
+            cell.key.outcome_unknown = true;
         }
     }
 
@@ -284,22 +285,22 @@
         let Some((record, stored)) = self.coordinator_key.apply() else {
             return;
         };
-        self.coordinator_key.waits = false;
+        self.coordinator_key.write_in_flight = false;
         if answered && stored {
             let version = self.coordinator_key.version;
             self.coordinator.on_stored(record, version, self.now);
         } else {
-            self.coordinator_key.doubtful = true;
+            self.coordinator_key.outcome_unknown = true;
         }
     }
 
-    /// Also while a write is still under way: that comes late, then.
+    /// May happen while a write is in flight; that write is then executed late.
     fn reread_participant(&mut self, cell: usize) {
         let cell = &mut self.cells[cell];
         cell.participant
             .on_stored(cell.key.value.clone(), cell.key.version);
-        cell.key.doubtful = false;
-        cell.key.waits = false;
+        cell.key.outcome_unknown = false;
+        cell.key.write_in_flight = false;
     }
 
     fn reread_coordinator(&mut self) {
@@ -308,8 +309,8 @@
             self.coordinator_key.version,
         );
         self.coordinator.on_stored(stored, version, self.now);
-        self.coordinator_key.doubtful = false;
-        self.coordinator_key.waits = false;
+        self.coordinator_key.outcome_unknown = false;
+        self.coordinator_key.write_in_flight = false;
     }
 
     fn send_report(&mut self, cell: usize) {
@@ -320,26 +321,27 @@
             first_request: quota(state.waiting.min(10)),
             largest_task: quota(1),
         };
-        let position = state.participant.report(&demand);
-        self.messages.push(Message::Position(cell, position));
+        let report = state.participant.report(&demand);
+        self.messages.push(Message::Report(cell, report));
     }
 
-    fn deliver_message(&mut self, which: usize, again: bool) {
+    fn deliver_message(&mut self, index: usize, keep: bool) {
         if self.messages.is_empty() {
             return;
         }
-        let which = which % self.messages.len();
-        let message = if again {
-            self.messages[which].clone()
+        let index = index % self.messages.len();
+        let message = if keep {
+            self.messages[index].clone()
         } else {
-            self.messages.remove(which)
+            self.messages.remove(index)
         };
         match message {
-            Message::Position(cell, position) => {
-                // A cell may be heard before the home's successor has read as much.
+            Message::Report(cell, report) => {
+                // Rejected if it names grants of a former leader of the coordinator that this one has not read
+                // yet.
                 if self
                     .coordinator
-                    .on_report(&cell_name(cell), position, self.now)
+                    .on_report(&cell_name(cell), report, self.now)
                     .is_ok()
                     && let Some(grant) = self.coordinator.grant(&cell_name(cell))
                 {
@@ -347,29 +349,29 @@
                 }
             }
             Message::Grant(cell, grant) => {
-                let heard = self.cells[cell]
+                let result = self.cells[cell]
                     .participant
                     .on_grant(&cell_name(COORDINATOR_CELL), grant);
-                assert_eq!(heard, Ok(()));
+                assert_eq!(result, Ok(()));
             }
         }
     }
 
     fn check_invariants(&mut self) -> Result<(), TestCaseError> {
-        let mut possible = 0;
+        let mut held = 0;
         for cell in &self.cells {
             let stored = cell.key.value.account.outstanding().cpus;
             let usable = cell.participant.usable_quota().cpus;
             prop_assert!(
                 usable <= stored,
-                "a leader uses {usable} of {stored} that are stored"
+                "a leader may use {usable} units, but only {stored} are stored"
             );
             prop_assert!(
                 cell.used <= stored,
-                "{} run, {stored} are stored",
+                "{} units are used, but only {stored} are stored",
                 cell.used
             );
-            possible += stored;
+            held += stored;
         }
         let granted = self.coordinator_key.value.accounts.values();
         let granted: Units = granted.map(|account| account.granted.cpus).sum();
@@ -378,19 +380,20 @@
             .iter()
             .map(|cell| cell.key.value.account.returned.cpus);
         let outstanding = granted - returned.sum::<Units>();
-        prop_assert!(possible <= outstanding);
-        // What the cells hold and what is on its way to them only grows within the limit.
+        prop_assert!(held <= outstanding);
+        // Units that the cells hold or that are in flight to them only increase up to the limit.
         let limit = self.coordinator_key.value.quota.limit.cpus;
         prop_assert!(
-            outstanding <= limit.max(self.before),
-            "{outstanding} of {limit}, {} before",
-            self.before
+            outstanding <= limit.max(self.outstanding_before),
+            "{outstanding} units outstanding, limit {limit}, {} before",
+            self.outstanding_before
         );
-        self.before = outstanding;
+        self.outstanding_before = outstanding;
         Ok(())
     }
 
-    /// Everything works: all is written, told and heard, and what runs above its share is stopped.
+    /// Runs without faults: every write is executed with a response, every message is delivered, and tasks above
+    /// their cell's quota are stopped.
     fn run_until_converged(&mut self) {
         for round in 0..60 {
             self.now += STEP_MS;
@@ -407,12 +410,12 @@
                 let excess = state.participant.excess(quota(state.used)).cpus;
                 state.used -= excess;
                 state.waiting += excess;
-                let room = state
+                let free_units = state
                     .participant
                     .new_work_ceiling()
                     .cpus
                     .saturating_sub(state.used);
-                let started = room.min(state.waiting);
+                let started = free_units.min(state.waiting);
                 state.used += started;
                 state.waiting -= started;
                 self.send_report(cell);
@@ -456,26 +459,26 @@
 fn no_event_sequence_exceeds_limit_and_all_converge() {
     let events = prop::collection::vec(any_event(), 1..300);
     let outcome = test_runner(SEQUENCE_COUNT).run(&events, |events| {
-        let mut world = Simulation::new();
+        let mut simulation = Simulation::new();
         for event in &events {
-            world.apply_event(event);
-            world.check_invariants()?;
+            simulation.apply_event(event);
+            simulation.check_invariants()?;
         }
-        world.run_until_converged();
+        simulation.run_until_converged();
         prop_assert_eq!(
-            world.coordinator.pending_for(world.now),
+            simulation.coordinator.pending_for(simulation.now),
             None,
-            "in force everywhere"
+            "the quota is in force in all cells"
         );
-        let used: Units = world.cells.iter().map(|cell| cell.used).sum();
-        let waiting: Units = world.cells.iter().map(|cell| cell.waiting).sum();
-        let limit = world.limit;
+        let used: Units = simulation.cells.iter().map(|cell| cell.used).sum();
+        let waiting: Units = simulation.cells.iter().map(|cell| cell.waiting).sum();
+        let limit = simulation.limit;
         prop_assert!(used <= limit);
-        // What waits has a place, but for amounts that are not worth a move.
+        // Waiting work gets units, except for amounts that are too small to be transferred.
         let unused = limit - used;
         prop_assert!(
             waiting == 0 || unused <= limit / 8 + 40,
-            "{} wait, {} of {} are unused",
+            "{} units wait, {} of {} are unused",
             waiting,
             unused,
             limit
@@ -485,7 +488,7 @@
     outcome.unwrap();
 }
 
-/// How far a sequence gets: a check that nothing happens in would prove nothing.
+/// Guards against generated sequences in which too little happens for the other tests to prove anything.
 #[test]
 fn generated_sequences_cover_transfers_and_limit_changes() {
     let mut seen: BTreeMap<&str, u32> = BTreeMap::new();
@@ -493,58 +496,62 @@
     for _ in 0..60 {
         let events = prop::collection::vec(any_event(), 200..300);
         let events = events.new_tree(&mut runner).unwrap().current();
-        let mut world = Simulation::new();
+        let mut simulation = Simulation::new();
         for event in &events {
-            world.apply_event(event);
-            let record = &world.coordinator_key.value;
-            let returned = world
+            simulation.apply_event(event);
+            let record = &simulation.coordinator_key.value;
+            let returned = simulation
                 .cells
                 .iter()
                 .any(|cell| cell.key.value.account.returned.cpus > 0);
-            let used = world.cells.iter().any(|cell| cell.used > 0);
+            let used = simulation.cells.iter().any(|cell| cell.used > 0);
             for (what, seen_now) in [
                 ("versions", record.version > 2),
                 ("returns", returned),
                 ("use", used),
-                ("doubt", world.coordinator_key.doubtful),
+                (
+                    "unknown outcomes",
+                    simulation.coordinator_key.outcome_unknown,
+                ),
             ] {
                 *seen.entry(what).or_default() += u32::from(seen_now);
             }
         }
     }
-    for what in ["versions", "returns", "use", "doubt"] {
+    for what in ["versions", "returns", "use", "unknown outcomes"] {
         assert!(seen[what] > 100, "{what}: {seen:?}");
     }
 }
 
-/// Each write of a transfer, with the end of either leader after it, with and without an answer.
+/// A leader crash after any step of a transfer, with and without a response to the write, must neither lose nor
+/// duplicate units.
 #[expect(clippy::too_many_lines, reason = "still to be split")]
 #[test]
 fn leader_crash_between_any_two_writes_neither_loses_nor_duplicates_units() {
-    let calm = [
+    let transfer = [
         Event::SendReport(1),
         Event::Deliver {
-            which: 0,
-            again: false,
+            index: 0,
+            keep: false,
         },
         Event::CoordinatorWrites,
         Event::Apply {
-            home: true,
+            coordinator: true,
             cell: 0,
             answered: true,
         },
         Event::SendReport(1),
         Event::Deliver {
-            which: 0,
-            again: false,
+            index: 0,
+            keep: false,
         },
         Event::Deliver {
-            which: 0,
-            again: false,
+            index: 0,
+            keep: false,
         },
         Event::ParticipantWrites(1),
         Event::Apply {
-            home: false,
+            coordinator: false,
             cell: 1,
             answered: true,
         },
@@ -553,174 +560,186 @@
         Event::Limit(120),
         Event::CoordinatorWrites,
         Event::Apply {
-            home: true,
+            coordinator: true,
             cell: 0,
             answered: true,
         },
         Event::SendReport(1),
         Event::Deliver {
-            which: 0,
-            again: false,
+            index: 0,
+            keep: false,
         },
         Event::Deliver {
-            which: 0,
-            again: false,
+            index: 0,
+            keep: false,
         },
         Event::ParticipantWrites(1),
         Event::Apply {
-            home: false,
+            coordinator: false,
             cell: 1,
             answered: true,
         },
         Event::SendReport(1),
         Event::Deliver {
-            which: 0,
-            again: false,
+            index: 0,
+            keep: false,
         },
     ];
-    for place in 0..calm.len() {
-        for end in [
+    for crash_step in 0..transfer.len() {
+        for crash in [
             Event::CoordinatorLeaderCrashes,
             Event::ParticipantLeaderCrashes(1),
         ] {
-            for lost in [false, true] {
-                let mut world = Simulation::new();
-                for (at, event) in calm.iter().enumerate() {
+            for response_lost in [false, true] {
+                let mut simulation = Simulation::new();
+                for (step, event) in transfer.iter().enumerate() {
                     let event = match event {
-                        Event::Apply { home, cell, .. } if lost && at == place => Event::Apply {
-                            home: *home,
+                        Event::Apply {
+                            coordinator, cell, ..
+                        } if response_lost && step == crash_step => Event::Apply {
+                            coordinator: *coordinator,
                             cell: *cell,
                             answered: false,
                         },
                         other => other.clone(),
                     };
-                    world.apply_event(&event);
-                    world.check_invariants().unwrap();
-                    if at == place {
-                        world.apply_event(&end);
-                        world.check_invariants().unwrap();
+                    simulation.apply_event(&event);
+                    simulation.check_invariants().unwrap();
+                    if step == crash_step {
+                        simulation.apply_event(&crash);
+                        simulation.check_invariants().unwrap();
                     }
                 }
-                world.run_until_converged();
+                simulation.run_until_converged();
                 assert_eq!(
-                    world.coordinator.pending_for(world.now),
+                    simulation.coordinator.pending_for(simulation.now),
                     None,
-                    "{place} {end:?} {lost}"
+                    "{crash:?} after step {crash_step}, response lost: {response_lost}"
+                );
+                let used: Units = simulation.cells.iter().map(|cell| cell.used).sum();
+                assert_eq!(
+                    used, 100,
+                    "{crash:?} after step {crash_step}, response lost: {response_lost}"
                 );
-                let used: Units = world.cells.iter().map(|cell| cell.used).sum();
-                assert_eq!(used, 100, "{place} {end:?} {lost}");
             }
         }
     }
 }
 
-/// The home is gone for good: whoever holds units goes on with them and gets no more.
+/// The coordinator is unreachable for good: cells keep the units that they hold and get no more.
 #[test]
 fn participant_keeps_quota_while_coordinator_is_unreachable() {
-    let mut world = Simulation::new();
-    world.run_until_converged();
-    let held: Vec<Units> = world
+    let mut simulation = Simulation::new();
+    simulation.run_until_converged();
+    let held: Vec<Units> = simulation
         .cells
         .iter()
         .map(|cell| cell.participant.usable_quota().cpus)
         .collect();
     assert_eq!(held, [200, 200, 200]);
     for cell in 1..CELLS {
-        world.apply_event(&Event::Waiting(cell, 1000));
-        world.apply_event(&Event::Start(cell, 1000));
-        world.apply_event(&Event::ParticipantLeaderCrashes(cell));
-        world.apply_event(&Event::ParticipantWrites(cell));
-        assert_eq!(world.cells[cell].used, 200);
+        simulation.apply_event(&Event::Waiting(cell, 1000));
+        simulation.apply_event(&Event::Start(cell, 1000));
+        simulation.apply_event(&Event::ParticipantLeaderCrashes(cell));
+        simulation.apply_event(&Event::ParticipantWrites(cell));
+        assert_eq!(simulation.cells[cell].used, 200);
         assert_eq!(
-            world.cells[cell].participant.excess(quota(200)),
+            simulation.cells[cell].participant.excess(quota(200)),
             Quota::ZERO
         );
     }
-    world.check_invariants().unwrap();
+    simulation.check_invariants().unwrap();
 }
 
-/// Every leader ends at once.
+/// All leaders crash at the same time.
 #[test]
 fn restarted_cells_recover_their_quota() {
-    let mut world = Simulation::new();
-    world.apply_event(&Event::Waiting(2, 300));
-    world.run_until_converged();
-    let held = |world: &Simulation| -> Vec<Units> {
-        world
+    let mut simulation = Simulation::new();
+    simulation.apply_event(&Event::Waiting(2, 300));
+    simulation.run_until_converged();
+    let held = |simulation: &Simulation| -> Vec<Units> {
+        simulation
             .cells
             .iter()
             .map(|cell| cell.participant.usable_quota().cpus)
             .collect()
     };
-    let before = held(&world);
+    let before = held(&simulation);
     for cell in 0..CELLS {
-        world.apply_event(&Event::ParticipantLeaderCrashes(cell));
+        simulation.apply_event(&Event::ParticipantLeaderCrashes(cell));
     }
-    world.apply_event(&Event::CoordinatorLeaderCrashes);
-    assert_eq!(held(&world), before);
-    world.run_until_converged();
-    assert_eq!(held(&world), before, "nothing moves without need");
+    simulation.apply_event(&Event::CoordinatorLeaderCrashes);
+    assert_eq!(held(&simulation), before);
+    simulation.run_until_converged();
+    assert_eq!(
+        held(&simulation),
+        before,
+        "no units are transferred without demand"
+    );
 }
 
-/// What a leader said two terms ago arrives now.
+/// A report and a grant that were sent two leaders ago are delivered late and repeatedly; they must change nothing.
 #[test]
 fn delayed_messages_of_former_leaders_are_ignored() {
-    let mut world = Simulation::new();
-    world.apply_event(&Event::Waiting(1, 500));
-    world.run_until_converged();
-    // Both sides speak, and nobody hears it for two terms.
-    world.send_report(1);
-    let position = world.messages.remove(0);
-    let Some(grant) = world.coordinator.grant(&cell_name(1)) else {
-        panic!("nothing is granted");
+    let mut simulation = Simulation::new();
+    simulation.apply_event(&Event::Waiting(1, 500));
+    simulation.run_until_converged();
+    // Both sides send a message that is delayed for two terms.
+    simulation.send_report(1);
+    let report = simulation.messages.remove(0);
+    let Some(grant) = simulation.coordinator.grant(&cell_name(1)) else {
+        panic!("no grant for the cell");
     };
     for limit in [300, 900] {
-        world.apply_event(&Event::Limit(limit));
-        world.apply_event(&Event::CoordinatorLeaderCrashes);
-        world.apply_event(&Event::ParticipantLeaderCrashes(1));
-        world.run_until_converged();
+        simulation.apply_event(&Event::Limit(limit));
+        simulation.apply_event(&Event::CoordinatorLeaderCrashes);
+        simulation.apply_event(&Event::ParticipantLeaderCrashes(1));
+        simulation.run_until_converged();
     }
-    let held = world.cells[1].participant.usable_quota();
-    let outstanding = world.coordinator.outstanding();
-    world.messages = vec![position, Message::Grant(1, grant)];
+    let held = simulation.cells[1].participant.usable_quota();
+    let outstanding = simulation.coordinator.outstanding();
+    simulation.messages = vec![report, Message::Grant(1, grant)];
     for _ in 0..2 {
-        world.deliver_message(0, true);
-        world.messages.truncate(2);
-        world.deliver_message(1, true);
-        world.check_invariants().unwrap();
+        simulation.deliver_message(0, true);
+        simulation.messages.truncate(2);
+        simulation.deliver_message(1, true);
+        simulation.check_invariants().unwrap();
     }
-    assert_eq!(world.cells[1].participant.usable_quota(), held);
-    assert_eq!(world.coordinator.outstanding(), outstanding);
-    world.messages.clear();
-    world.run_until_converged();
-    assert_eq!(world.cells[1].participant.usable_quota(), held);
+    assert_eq!(simulation.cells[1].participant.usable_quota(), held);
+    assert_eq!(simulation.coordinator.outstanding(), outstanding);
+    simulation.messages.clear();
+    simulation.run_until_converged();
+    assert_eq!(simulation.cells[1].participant.usable_quota(), held);
 }
 
-/// 330 teams, each with demand that moves from cell to cell.
+/// 330 teams, each with demand that shifts from cell to cell: units must follow it every time.
 #[test]
 fn units_follow_demand_shifting_between_cells() {
     for team in 0..330 {
-        let mut world = Simulation::new();
-        for swing in 0..4 {
-            let cell = (team + swing) % CELLS;
-            world.apply_event(&Event::Waiting(cell, 500));
-            world.run_until_converged();
-            assert_eq!(world.cells[cell].used, 500, "team {team}, swing {swing}");
-            world.apply_event(&Event::End(cell, 500));
+        let mut simulation = Simulation::new();
+        for shift in 0..4 {
+            let cell = (team + shift) % CELLS;
+            simulation.apply_event(&Event::Waiting(cell, 500));
+            simulation.run_until_converged();
+            assert_eq!(
+                simulation.cells[cell].used, 500,
+                "team {team}, shift {shift}"
+            );
+            simulation.apply_event(&Event::End(cell, 500));
         }
     }
 }
 
 #[test]
 fn zero_limit_reclaims_all_units() {
-    let mut world = Simulation::new();
-    world.apply_event(&Event::Waiting(1, 500));
-    world.run_until_converged();
-    world.apply_event(&Event::Limit(0));
-    world.run_until_converged();
-    assert_eq!(world.coordinator.outstanding(), Quota::ZERO);
-    assert!(world.cells.iter().all(|cell| cell.used == 0));
-    world.apply_event(&Event::Limit(400));
-    world.run_until_converged();
-    assert_eq!(world.cells[1].used, 400);
+    let mut simulation = Simulation::new();
+    simulation.apply_event(&Event::Waiting(1, 500));
+    simulation.run_until_converged();
+    simulation.apply_event(&Event::Limit(0));
+    simulation.run_until_converged();
+    assert_eq!(simulation.coordinator.outstanding(), Quota::ZERO);
+    assert!(simulation.cells.iter().all(|cell| cell.used == 0));
+    simulation.apply_event(&Event::Limit(400));
+    simulation.run_until_converged();
+    assert_eq!(simulation.cells[1].used, 400);
 }
