--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The program as an operator meets it.
+//! The command line of the program: settings checks, exit codes and error messages.
 
 use std::{
     fs,
@@ -51,7 +51,7 @@
 
 #[test]
 fn invalid_start_prints_one_line_and_exits_with_2() {
-    let bad = [
+    let invalid_settings = [
         (
             "address",
             VALID_SETTINGS.replace("127.0.0.1:1\"", "nowhere\""),
@@ -74,14 +74,14 @@
             "settings.state.next.value_kb",
         ),
     ];
-    for (name, text, reason) in bad {
+    for (name, text, reason) in invalid_settings {
         let path = write_settings(name, &text);
-        for verb in ["check", "serve"] {
-            let output = run_dalelb(&[verb, "--config", path.to_str().unwrap()]);
-            let said = String::from_utf8_lossy(&output.stderr).into_owned();
-            assert_eq!(output.status.code(), Some(2), "{name}: {said}");
-            assert_eq!(said.trim_end().lines().count(), 1, "{name}: {said}");
-            assert!(said.contains(reason), "{name}: {said}");
+        for command in ["check", "serve"] {
+            let output = run_dalelb(&[command, "--config", path.to_str().unwrap()]);
+            let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+            assert_eq!(output.status.code(), Some(2), "{name}: {stderr}");
+            assert_eq!(stderr.trim_end().lines().count(), 1, "{name}: {stderr}");
+            assert!(stderr.contains(reason), "{name}: {stderr}");
         }
         fs::remove_file(path).unwrap();
     }
@@ -90,7 +90,7 @@
     assert_eq!(
         run_dalelb(&["serve"]).status.code(),
         Some(2),
-        "a missing flag"
+        "a missing --config flag"
     );
 }
 
@@ -101,8 +101,11 @@
         .replace("\"zones\":[\"a\"]", "\"zones\":[]");
     let path = write_settings("many", &text);
     let output = run_dalelb(&["check", "--config", path.to_str().unwrap()]);
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(said.contains("zones") && said.contains("lease_s"), "{said}");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(
+        stderr.contains("zones") && stderr.contains("lease_s"),
+        "{stderr}"
+    );
     fs::remove_file(path).unwrap();
 }
 
@@ -110,7 +113,7 @@
 fn invalid_cells_are_named_and_exit_with_2() {
     let path = write_settings("cells", VALID_SETTINGS);
     let path = path.to_str().unwrap();
-    for (arguments, named) in [
+    for (arguments, expected) in [
         (&["--cell", "a b"][..], "a b"),
         (
             &["--cell", "north", "--peer-cell", "north=127.0.0.1:1"],
@@ -120,9 +123,9 @@
         (&["--peer-cell", "south=127.0.0.1:1"], "--cell"),
     ] {
         let output = run_dalelb(&[&["serve", "--config", path], arguments].concat());
-        let said = String::from_utf8_lossy(&output.stderr);
-        assert_eq!(output.status.code(), Some(2), "{said}");
-        assert!(said.contains(named), "{said}");
+        let stderr = String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{stderr}");
+        assert!(stderr.contains(expected), "{stderr}");
     }
     fs::remove_file(path).unwrap();
 }
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -1,4 +1,4 @@
-//! Real processes on loopback against stand-ins of the state service, the cloud and a worker.
+//! Real processes on loopback, with emulators of the state service, the cloud and a worker.
 
 use std::{
     net::{SocketAddr, TcpListener as StdListener},
@@ -23,10 +23,10 @@
 use serde_json::{Value, json};
 use tokio::process::{Child, Command};
 
-/// How long anything may take; far above what it does.
+/// Upper bound for each awaited condition; all take far less.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Every task runs for this long.
+/// Run time of every task.
 const TASK_DURATION_MS: u64 = 300;
 
 struct FixedDurationTasks;
@@ -113,24 +113,31 @@
         .expect("the program runs")
 }
 
-async fn wait_until<T, F: Future<Output = Option<T>>>(what: &str, mut ask: impl FnMut() -> F) -> T {
-    let began = Instant::now();
+async fn wait_until<T, F: Future<Output = Option<T>>>(
+    what: &str,
+    mut poll: impl FnMut() -> F,
+) -> T {
+    let started_at = Instant::now();
     loop {
-        if let Some(answer) = ask().await {
-            return answer;
+        if let Some(value) = poll().await {
+            return value;
         }
-        assert!(began.elapsed() < WAIT_TIMEOUT, "never: {what}");
+        assert!(
+            started_at.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting for: {what}"
+        );
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
 
-fn job(id: &str, shape: &str, team: &str) -> Vec<u8> {
-    dag_stage(id, shape, team, &[])
+/// The body of a submission without dependencies; `kind` is its value on the wire.
+fn job(id: &str, kind: &str, team: &str) -> Vec<u8> {
+    dependent_job(id, kind, team, &[])
 }
 
-fn dag_stage(id: &str, shape: &str, team: &str, awaits: &[&str]) -> Vec<u8> {
+fn dependent_job(id: &str, kind: &str, team: &str, dependencies: &[&str]) -> Vec<u8> {
     protocol::encode(
-        &json!({"id": id, "awaits": awaits, "lane": "any", "crew": team, "shape": shape,
+        &json!({"id": id, "awaits": dependencies, "lane": "any", "crew": team, "shape": kind,
         "urgency": "high", "pieces": 5, "cpus": 1.0, "gpus": 0.0, "ram_gb": 1.0, "kit": "img",
         "size_gb": 0.1, "together": false, "apart": false, "loaners": false, "guess_s": 1.0,
         "bookmark_s": 0.0, "stash_s": 0.0}),
@@ -152,11 +159,11 @@
         .iter()
         .map(|(listen, _)| SocketAddr::from(([127, 0, 0, 1], *listen)))
         .collect();
-    let named = addrs
+    let named_addrs = addrs
         .iter()
         .enumerate()
         .map(|(i, addr)| (format!("n{i}"), *addr));
-    let cloud = start_cloud(&start_worker(named.collect()));
+    let cloud = start_cloud(&start_worker(named_addrs.collect()));
     let mut first = start_node(0, &ports, state, cloud);
     let http = Rc::new(HttpClient::new(1, Duration::from_secs(30), false));
     let call = |method: Method, to: usize, path: String, body: Vec<u8>| {
@@ -168,20 +175,20 @@
         }
     };
     let ready = |to: usize| {
-        let answer = call(Method::GET, to, "/ready".into(), Vec::new());
-        async move { answer.await.filter(|response| response.status == 200) }
+        let response = call(Method::GET, to, "/ready".into(), Vec::new());
+        async move { response.await.filter(|response| response.status == 200) }
     };
     wait_until("the first node is ready", || ready(0)).await;
     let _second = start_node(1, &ports, state, cloud);
     wait_until("the second node is ready", || ready(1)).await;
     let submit = |to: usize, body: Vec<u8>, status: u16| {
-        let answer = call(Method::POST, to, "/v2/runs".into(), body);
-        async move { answer.await.filter(|response| response.status == status) }
+        let response = call(Method::POST, to, "/v2/runs".into(), body);
+        async move { response.await.filter(|response| response.status == status) }
     };
     let ended = |to: usize, id: &str, status: JobStatus| {
-        let answer = call(Method::GET, to, format!("/v2/runs/{id}"), Vec::new());
+        let response = call(Method::GET, to, format!("/v2/runs/{id}"), Vec::new());
         async move {
-            let response = answer.await.filter(|response| response.status == 200)?;
+            let response = response.await.filter(|response| response.status == 200)?;
             let view: JobView = protocol::decode(&response.body).ok()?;
             (view.status == status).then_some(())
         }
@@ -191,25 +198,32 @@
         submit(0, job("j-000001", "array", "red"), 201)
     })
     .await;
-    wait_until("known to the other", || {
+    wait_until("the second node knows the job", || {
         submit(1, job("j-000001", "array", "red"), 200)
     })
     .await;
     wait_until("done", || ended(1, "j-000001", JobStatus::Done)).await;
-    wait_until("refused for its team", || {
+    wait_until("rejected because of its team", || {
         submit(1, job("j-000002", "array", "green"), 422)
     })
     .await;
-    wait_until("refused as malformed", || {
+    wait_until("rejected as malformed", || {
         submit(0, b"nonsense".to_vec(), 400)
     })
     .await;
     let mut large = job("j-000003", "array", "red");
     large.resize(70_000, 0);
-    wait_until("refused for its size", || submit(0, large.clone(), 400)).await;
+    wait_until("rejected because of its size", || {
+        submit(0, large.clone(), 400)
+    })
+    .await;
     for path in ["/v2/runs/j-999999", "/v2/runs/odd", "/nowhere"] {
-        let answer = call(Method::GET, 1, path.into(), Vec::new()).await;
-        assert_eq!(answer.map(|response| response.status), Some(404), "{path}");
+        let response = call(Method::GET, 1, path.into(), Vec::new()).await;
+        assert_eq!(
+            response.map(|response| response.status),
+            Some(404),
+            "{path}"
+        );
     }
 
     wait_until("a service accepted", || {
@@ -221,13 +235,13 @@
     })
     .await;
     let cancel = || {
-        let answer = call(
+        let response = call(
             Method::POST,
             1,
             "/v2/runs/j-000004/abort".into(),
             Vec::new(),
         );
-        async move { answer.await.filter(|response| response.status == 200) }
+        async move { response.await.filter(|response| response.status == 200) }
     };
     wait_until("cancelled", cancel).await;
     wait_until("cancelled everywhere", || {
@@ -235,24 +249,29 @@
     })
     .await;
 
-    // Jobs in turn; a cancellation reaches those after it, also one that comes later.
+    // Jobs with dependencies run in order. A cancellation is propagated to the dependents of a job, including one that
+    // is submitted later.
     for (id, awaits) in [
         ("j-000010", &["j-000001"][..]),
         ("j-000011", &["j-000010", "j-000001"]),
         ("j-000012", &["j-000011"]),
     ] {
-        wait_until("a stage accepted", || {
-            submit(1, dag_stage(id, "array", "red", awaits), 201)
+        wait_until("a dependent job accepted", || {
+            submit(1, dependent_job(id, "array", "red", awaits), 201)
         })
         .await;
     }
-    wait_until("the last stage is done", || {
+    wait_until("the last dependent job is done", || {
         ended(0, "j-000012", JobStatus::Done)
     })
     .await;
     for unknown in ["j-000999", "j-000013"] {
-        wait_until("refused for what it awaits", || {
-            submit(0, dag_stage("j-000013", "array", "red", &[unknown]), 422)
+        wait_until("rejected because of an unknown dependency", || {
+            submit(
+                0,
+                dependent_job("j-000013", "array", "red", &[unknown]),
+                422,
+            )
         })
         .await;
     }
@@ -260,29 +279,36 @@
         submit(0, job("j-000014", "standing", "red"), 201)
     })
     .await;
-    wait_until("refused for a service", || {
-        submit(1, dag_stage("j-000015", "array", "red", &["j-000014"]), 422)
+    wait_until("rejected because it depends on a service", || {
+        submit(
+            1,
+            dependent_job("j-000015", "array", "red", &["j-000014"]),
+            422,
+        )
     })
     .await;
     let cancel = |id: &'static str| {
         let path = format!("/v2/runs/{id}/abort");
-        let answer = call(Method::POST, 1, path, Vec::new());
-        async move { answer.await.filter(|response| response.status == 200) }
+        let response = call(Method::POST, 1, path, Vec::new());
+        async move { response.await.filter(|response| response.status == 200) }
     };
     wait_until("the service cancelled", || cancel("j-000014")).await;
     for (id, awaits) in [("j-000015", "j-000014"), ("j-000016", "j-000015")] {
-        wait_until("one after a cancelled one accepted", || {
-            submit(1, dag_stage(id, "array", "red", &[awaits]), 201)
+        wait_until("a dependent of a cancelled job accepted", || {
+            submit(1, dependent_job(id, "array", "red", &[awaits]), 201)
+        })
+        .await;
+        wait_until("cancelled with its dependency", || {
+            ended(0, id, JobStatus::Cancelled)
         })
         .await;
-        wait_until("cancelled with it", || ended(0, id, JobStatus::Cancelled)).await;
     }
 
-    // What the leader tells its operators: it leads, tasks have started, nobody is short of time.
+    // Metrics of the leader: it leads, tasks have started, its entitlement has time left, a machine is up.
     wait_until("metrics", || {
-        let answer = call(Method::GET, 0, "/metrics".into(), Vec::new());
+        let response = call(Method::GET, 0, "/metrics".into(), Vec::new());
         async move {
-            let text = String::from_utf8(answer.await?.body.to_vec()).ok()?;
+            let text = String::from_utf8(response.await?.body.to_vec()).ok()?;
             let value = |name: &str| -> Option<f64> {
                 let mut lines = text.lines();
                 lines.find_map(|line| line.strip_prefix(name)?.trim().parse().ok())
@@ -296,12 +322,12 @@
     })
     .await;
 
-    // Both follow the leader's table, each with a part of the whole.
+    // Both nodes apply the leader's admission quotas, each with a share of the total.
     for index in 0..2 {
-        wait_until("an admission table", || {
-            let answer = call(Method::GET, index, "/metrics".into(), Vec::new());
+        wait_until("admission quotas", || {
+            let response = call(Method::GET, index, "/metrics".into(), Vec::new());
             async move {
-                let text = String::from_utf8(answer.await?.body.to_vec()).ok()?;
+                let text = String::from_utf8(response.await?.body.to_vec()).ok()?;
                 let value = |name: &str| -> Option<f64> {
                     let mut lines = text.lines();
                     lines.find_map(|line| line.strip_prefix(name)?.trim().parse().ok())
@@ -316,12 +342,15 @@
     first
         .kill()
         .await
-        .expect("the first node, which led, is killed");
-    wait_until("accepted without it", || {
+        .expect("the leading first node is killed");
+    wait_until("accepted after the failover", || {
         submit(1, job("j-000005", "array", "red"), 201)
     })
     .await;
-    wait_until("done without it", || ended(1, "j-000005", JobStatus::Done)).await;
+    wait_until("done after the failover", || {
+        ended(1, "j-000005", JobStatus::Done)
+    })
+    .await;
     wait_until("still done", || ended(1, "j-000001", JobStatus::Done)).await;
     for ports in ports {
         let _ = std::fs::remove_file(settings_file(ports));
@@ -329,14 +358,15 @@
 }
 
 #[tokio::test]
-async fn restarted_processes_rejoin_at_once() {
+async fn restarted_processes_rejoin_immediately() {
     tokio::task::LocalSet::new()
         .run_until(run_restart_scenario())
         .await;
 }
 
-/// Processes are killed under load and started again within 50 ms, one by one and both: their addresses are
-/// still in use by connections that nobody has closed, and what was accepted is done.
+/// Processes are killed under load and restarted 50 ms later, one by one and both together. Guards against a
+/// restarted process that can't bind its address, because connections that were not closed still use it, and
+/// against accepted jobs that are lost.
 #[expect(clippy::too_many_lines, reason = "still to be split")]
 async fn run_restart_scenario() {
     const USERS: usize = 24;
@@ -346,44 +376,44 @@
         .iter()
         .map(|(listen, _)| SocketAddr::from(([127, 0, 0, 1], *listen)))
         .collect();
-    let named = addrs
+    let named_addrs = addrs
         .iter()
         .enumerate()
         .map(|(i, addr)| (format!("n{i}"), *addr));
-    let cloud = start_cloud(&start_worker(named.collect()));
+    let cloud = start_cloud(&start_worker(named_addrs.collect()));
     let mut nodes: Vec<Child> = (0..2)
-        .map(|at| start_node(at, &ports, state, cloud))
+        .map(|index| start_node(index, &ports, state, cloud))
         .collect();
     let ready = |to: usize| {
         let addr = addrs[to].to_string();
         async move {
             let http = HttpClient::new(0, Duration::from_secs(1), false);
             let timeout = Duration::from_secs(1);
-            let answer = http
+            let response = http
                 .call(&addr, HttpRequest::get("/ready"), false, timeout)
                 .await;
-            answer.filter(|response| response.status == 200)
+            response.filter(|response| response.status == 200)
         }
     };
-    for at in 0..2 {
-        wait_until("a node is ready", || ready(at)).await;
+    for index in 0..2 {
+        wait_until("a node is ready", || ready(index)).await;
     }
     let accepted = Rc::new(std::cell::RefCell::new(Vec::new()));
-    let over = Rc::new(std::cell::Cell::new(false));
+    let stopped = Rc::new(std::cell::Cell::new(false));
     let mut users = Vec::new();
     for user in 0..USERS {
-        let (accepted, over, addrs) = (accepted.clone(), over.clone(), addrs.clone());
+        let (accepted, stopped, addrs) = (accepted.clone(), stopped.clone(), addrs.clone());
         users.push(tokio::task::spawn_local(async move {
             let http = HttpClient::new(1, Duration::from_secs(30), false);
             let mut number = 0;
-            while !over.get() {
+            while !stopped.get() {
                 let id = format!("j-{:06}", user * 1000 + number);
                 let addr = addrs[(user + number) % 2].to_string();
                 let body = job(&id, "array", "red");
                 let timeout = Duration::from_secs(5);
                 let request = HttpRequest::post("/v2/runs", body);
-                let answer = http.call(&addr, request, true, timeout).await;
-                if answer.is_some_and(|response| matches!(response.status, 200 | 201)) {
+                let response = http.call(&addr, request, true, timeout).await;
+                if response.is_some_and(|response| matches!(response.status, 200 | 201)) {
                     accepted.borrow_mut().push(id);
                     number += 1;
                 }
@@ -391,42 +421,50 @@
             }
         }));
     }
-    for (round, ends) in [&[0][..], &[0], &[1], &[0, 1], &[1, 0], &[0]]
+    for (round, killed) in [&[0][..], &[0], &[1], &[0, 1], &[1, 0], &[0]]
         .into_iter()
         .enumerate()
     {
         tokio::time::sleep(Duration::from_millis(700)).await;
-        for &at in ends {
-            nodes[at].kill().await.expect("a node is killed");
+        for &index in killed {
+            nodes[index].kill().await.expect("a node is killed");
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
-        for &at in ends {
-            nodes[at] = start_node(at, &ports, state, cloud);
+        for &index in killed {
+            nodes[index] = start_node(index, &ports, state, cloud);
         }
-        let began = Instant::now();
-        for &at in ends {
-            wait_until("ready again", || ready(at)).await;
+        let started_at = Instant::now();
+        for &index in killed {
+            wait_until("ready again", || ready(index)).await;
         }
-        let took = began.elapsed();
-        assert!(took < Duration::from_secs(5), "round {round}: {took:?}");
+        let took = started_at.elapsed();
+        assert!(
+            took < Duration::from_secs(5),
+            "round {round}: restart took {took:?}"
+        );
     }
-    over.set(true);
+    stopped.set(true);
     for user in users {
-        user.await.expect("a user leaves");
+        user.await.expect("the user task ends");
     }
     let accepted = accepted.take();
-    assert!(accepted.len() > USERS, "{} accepted", accepted.len());
+    assert!(
+        accepted.len() > USERS,
+        "only {} jobs accepted",
+        accepted.len()
+    );
     let http = Rc::new(HttpClient::new(1, Duration::from_secs(30), false));
-    // One machine does not do them all in a moment; all are known.
+    // All accepted jobs must be known. One machine needs long for all of them, so completion is awaited for the
+    // first 20 only.
     for (number, id) in accepted.into_iter().enumerate() {
-        wait_until("done, or known", || {
+        wait_until("done (first 20) or known", || {
             let (http, addr, path) = (http.clone(), addrs[1].to_string(), format!("/v2/runs/{id}"));
             async move {
                 let timeout = Duration::from_secs(5);
                 let response = http
                     .call(&addr, HttpRequest::get(path), true, timeout)
                     .await?;
-                assert_ne!(response.status, 404, "forgotten");
+                assert_ne!(response.status, 404, "an accepted job is lost");
                 let view: JobView = protocol::decode(&response.body)
                     .ok()
                     .filter(|_| response.status == 200)?;
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -43,7 +43,7 @@
         prop::option::of(0.1..1e6f64),
     );
     let flags = any::<[bool; 5]>();
-    let awaits = prop::collection::btree_set(0..1u64 << 40, 0..5);
+    let dependencies = prop::collection::btree_set(0..1u64 << 40, 0..5);
     (
         0..1u64 << 40,
         1..=100_000u32,
@@ -52,10 +52,10 @@
         times,
         placement,
         flags,
-        awaits,
+        dependencies,
     )
         .prop_map(
-            |(id, tasks, name, amounts, times, placement, flags, awaits)| Submission {
+            |(id, tasks, name, amounts, times, placement, flags, dependencies)| Submission {
                 id: JobId(id),
                 class: name.clone(),
                 team: name.clone(),
@@ -84,7 +84,7 @@
                 checkpoint_s: times.1,
                 save_s: times.2,
                 deadline_s: placement.2,
-                dependencies: awaits.into_iter().map(JobId).collect(),
+                dependencies: dependencies.into_iter().map(JobId).collect(),
             },
         )
 }
@@ -122,12 +122,12 @@
         Ok(())
     });
     // Truncated bodies, and a body with bytes after its end.
-    let whole = protocol::encode(&example_submission());
-    for length in 0..whole.len() {
-        assert!(Submission::from_body(&whole[..length]).is_err());
+    let body = protocol::encode(&example_submission());
+    for length in 0..body.len() {
+        assert!(Submission::from_body(&body[..length]).is_err());
     }
-    let longer = [whole.as_slice(), &[0xc0]].concat();
-    assert!(Submission::from_body(&longer).is_err());
+    let extended = [body.as_slice(), &[0xc0]].concat();
+    assert!(Submission::from_body(&extended).is_err());
 }
 
 #[test]
@@ -143,7 +143,7 @@
 
 #[test]
 fn each_invalid_field_is_rejected() {
-    let wrong = [
+    let invalid_fields = [
         ("id", json!("job-1")),
         ("id", json!("j-12")),
         ("id", json!("j-0000412")),
@@ -160,11 +160,11 @@
         ("lane", json!("")),
         ("together", json!(null)),
     ];
-    for (field, value) in wrong {
+    for (field, value) in invalid_fields {
         let mut job = example_submission();
         job[field] = value.clone();
-        let refused = Submission::from_body(&protocol::encode(&job));
-        assert!(refused.is_err(), "{field} = {value} was accepted");
+        let result = Submission::from_body(&protocol::encode(&job));
+        assert!(result.is_err(), "{field} = {value} was accepted");
     }
     for field in example_submission().as_object().unwrap().keys() {
         if ["builds", "yard", "due_s"].contains(&field.as_str()) {
@@ -187,19 +187,19 @@
 
 #[test]
 fn dependencies_must_be_a_list_of_unique_job_ids() {
-    let read = |awaits: Option<Value>| {
+    let parse = |dependencies: Option<Value>| {
         let mut job = example_submission();
-        if let Some(awaits) = awaits {
-            job["awaits"] = awaits;
+        if let Some(dependencies) = dependencies {
+            job["awaits"] = dependencies;
         }
         Submission::from_body(&protocol::encode(&job)).map(|job| job.dependencies)
     };
-    assert_eq!(read(None), Ok(Vec::new()));
-    assert_eq!(read(Some(json!(null))), Ok(Vec::new()));
-    assert_eq!(read(Some(json!([]))), Ok(Vec::new()));
+    assert_eq!(parse(None), Ok(Vec::new()));
+    assert_eq!(parse(Some(json!(null))), Ok(Vec::new()));
+    assert_eq!(parse(Some(json!([]))), Ok(Vec::new()));
     let twice = json!(["j-000405", "j-000398", "j-000405"]);
-    assert_eq!(read(Some(twice)), Ok(vec![JobId(405), JobId(398)]));
-    for wrong in [
+    assert_eq!(parse(Some(twice)), Ok(vec![JobId(405), JobId(398)]));
+    for invalid in [
         json!("j-000398"),
         json!({"j-000398": true}),
         json!(["j-398"]),
@@ -208,20 +208,23 @@
         json!(["j-000398/0"]),
         json!(false),
     ] {
-        assert!(read(Some(wrong.clone())).is_err(), "{wrong} was accepted");
+        assert!(
+            parse(Some(invalid.clone())).is_err(),
+            "{invalid} was accepted"
+        );
     }
 }
 
 /// A record too long for one value is split into parts that each fit, and is restored from them unchanged.
 #[test]
 fn oversized_submissions_are_split_over_several_keys() {
-    let names = prop::collection::vec("[a-z\\\\\"é]{1,200}", 0..40);
-    let awaits = prop::collection::btree_set(0..1u64 << 40, 0..300);
+    let type_names = prop::collection::vec("[a-z\\\\\"é]{1,200}", 0..40);
+    let dependencies = prop::collection::btree_set(0..1u64 << 40, 0..300);
     check_property(
-        (any_submission(), names, awaits),
-        |(mut job, names, awaits)| {
-            job.types = Some(names);
-            job.dependencies = awaits.into_iter().map(JobId).collect();
+        (any_submission(), type_names, dependencies),
+        |(mut job, type_names, dependencies)| {
+            job.types = Some(type_names);
+            job.dependencies = dependencies.into_iter().map(JobId).collect();
             let (record, texts) = storage::live_job_record(7, &job, 2048);
             for text in &texts {
                 prop_assert!(storage::to_value(text).to_string().len() <= 2048);
@@ -234,8 +237,8 @@
                 }
                 storage::JobRecord::Split { parts, .. } => {
                     prop_assert_eq!(parts as usize, texts.len());
-                    let whole = storage::join_submission_parts(texts.iter().map(String::as_str));
-                    prop_assert_eq!(whole.unwrap(), job);
+                    let joined = storage::join_submission_parts(texts.iter().map(String::as_str));
+                    prop_assert_eq!(joined.unwrap(), job);
                 }
                 other => prop_assert!(false, "{:?}", other),
             }
@@ -262,17 +265,17 @@
     for count in [1, 2, 7, 8, 60] {
         let types: Vec<MachineType> = (0..count).map(machine_type).collect();
         let records = storage::machine_types_records(&types, 2048);
-        let mut read = Vec::new();
-        for (at, (key, value)) in records.iter().enumerate() {
+        let mut types_read = Vec::new();
+        for (index, (key, value)) in records.iter().enumerate() {
             assert!(value.to_string().len() <= 2048, "{key}");
             let part = storage::parse_machine_types_key(key);
-            let whole = (records.len() == 1).then_some(storage::MACHINE_TYPES_KEY);
-            assert_eq!(whole, part.is_none().then_some(key.as_str()));
-            assert!(part.is_none_or(|part| part == (at as u32, records.len() as u32)));
+            let single_key = (records.len() == 1).then_some(storage::MACHINE_TYPES_KEY);
+            assert_eq!(single_key, part.is_none().then_some(key.as_str()));
+            assert!(part.is_none_or(|part| part == (index as u32, records.len() as u32)));
             let types: MachineTypes = serde_json::from_value(value.clone()).unwrap();
-            read.extend(types.types);
+            types_read.extend(types.types);
         }
-        assert_eq!(read, types);
+        assert_eq!(types_read, types);
     }
 }
 
@@ -480,8 +483,8 @@
     });
     // The time at which a job ended is new in this version.
     let done = storage::to_value(&storage::JobRecord::Done { at_ms: Some(7) });
-    let read: previous_version::Job = serde_json::from_value(done).unwrap();
-    assert_eq!(read, previous_version::Job::Done);
+    let reread: previous_version::Job = serde_json::from_value(done).unwrap();
+    assert_eq!(reread, previous_version::Job::Done);
 }
 
 /// Snapshots of 9 tasks and of 99 never have the same key. The previous version, which only numbered snapshots, can
@@ -491,28 +494,34 @@
     let lengths = || prop_oneof![Just(9u32), Just(99), 1..=128u32];
     check_property(
         (lengths(), lengths(), 0..100_000u32, 0..100_000u32),
-        |(a, b, i, j)| {
+        |(length, other_length, task, other_task)| {
             let key = |length: u32, task: u32| {
                 let snapshot = storage::SnapshotNumber::new(length, task / length);
                 storage::snapshot_key(JobId(412), snapshot)
             };
-            prop_assert_eq!(key(a, i) == key(b, j), a == b && i / a == j / b);
-            let read = storage::parse_snapshot_key(&key(a, i));
-            let (id, snapshot) = read.expect("a snapshot's key");
-            prop_assert_eq!((id, snapshot.range_index(a)), (JobId(412), Some(i / a)));
-            prop_assert!(a == b || snapshot.range_index(b).is_none());
+            prop_assert_eq!(
+                key(length, task) == key(other_length, other_task),
+                length == other_length && task / length == other_task / other_length
+            );
+            let parsed = storage::parse_snapshot_key(&key(length, task));
+            let (id, snapshot) = parsed.expect("a snapshot's key");
+            prop_assert_eq!(
+                (id, snapshot.range_index(length)),
+                (JobId(412), Some(task / length))
+            );
+            prop_assert!(length == other_length || snapshot.range_index(other_length).is_none());
             // Keys of the previous version are parsed, are not taken for this version's own, and are never
             // written by this version.
             let previous_key = format!(
                 "books/task/j-000412/{:05}",
-                i / previous_version::TASKS_PER_SNAPSHOT
+                task / previous_version::TASKS_PER_SNAPSHOT
             );
             let (_, snapshot) =
                 storage::parse_snapshot_key(&previous_key).expect("a snapshot's key");
-            prop_assert_eq!(snapshot.range_index(a), None);
-            prop_assert!(previous_key != key(a, i));
+            prop_assert_eq!(snapshot.range_index(length), None);
+            prop_assert!(previous_key != key(length, task));
             let (_, number) =
-                previous_version::parse_snapshot_key(&key(a, i)).expect("a snapshot's key");
+                previous_version::parse_snapshot_key(&key(length, task)).expect("a snapshot's key");
             prop_assert!(
                 number > 100_000 / previous_version::TASKS_PER_SNAPSHOT,
                 "taken for snapshot {}",
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Formats as the version before the code was reworded wrote them, from files that it wrote (`tests/golden`, by
-//! `tests/histories/golden.rs` and `tests/cells.rs`): this version reads them and writes the same bytes.
+//! Compatibility with stored records and messages that an earlier version wrote to `tests/golden` (with
+//! `tests/histories/golden.rs` and `tests/cells.rs`): this version must read them and write the same bytes.
 
 use std::{collections::BTreeSet, path::PathBuf};
 
@@ -24,7 +24,7 @@
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::Value;
 
-fn read(name: &str) -> String {
+fn read_golden(name: &str) -> String {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden");
     std::fs::read_to_string(path.join(name)).unwrap_or_else(|error| panic!("{name}: {error}"))
 }
@@ -34,17 +34,17 @@
     storage::to_value(&record)
 }
 
-/// A stored value, read as what its key says that it is and written again.
+/// Reads a stored value as the type that its key implies and serializes it again. Returns the kind of record too.
 fn round_trip_record(key: &str, value: &Value) -> (&'static str, Value) {
     if storage::parse_job_key(key).is_some() {
         return ("job", round_trip_json::<storage::JobRecord>(value));
     }
     if storage::parse_job_part_key(key).is_some() {
-        return ("part", round_trip_json::<String>(value));
+        return ("job part", round_trip_json::<String>(value));
     }
     if storage::parse_lease_renewer_key(key).is_some() {
         return (
-            "deputy",
+            "lease renewer",
             round_trip_json::<storage::LeaseRenewerRecord>(value),
         );
     }
@@ -52,26 +52,41 @@
         return ("log", round_trip_json::<storage::LogRecord>(value));
     }
     if storage::parse_snapshot_key(key).is_some() {
-        return ("page", round_trip_json::<storage::SnapshotRecord>(value));
+        return (
+            "snapshot",
+            round_trip_json::<storage::SnapshotRecord>(value),
+        );
     }
     if storage::is_images_key(key) {
         return ("images", round_trip_json::<storage::ImagesRecord>(value));
     }
     if storage::parse_quota_coordinator_key(key).is_some() {
-        return ("home", round_trip_json::<CoordinatorRecord>(value));
+        return (
+            "quota coordinator",
+            round_trip_json::<CoordinatorRecord>(value),
+        );
     }
     if storage::parse_quota_participant_key(key).is_some() {
-        return ("hold", round_trip_json::<ParticipantRecord>(value));
+        return (
+            "quota participant",
+            round_trip_json::<ParticipantRecord>(value),
+        );
     }
     match key {
         storage::LEADER_KEY => ("leader", round_trip_json::<storage::LeaderRecord>(value)),
         storage::TERM_KEY => ("term", round_trip_json::<storage::TermRecord>(value)),
-        storage::ADMISSION_QUOTAS_KEY => ("table", round_trip_json::<AdmissionQuotas>(value)),
-        storage::QUOTA_CELLS_KEY => ("cells", round_trip_json::<CellMembershipRecord>(value)),
+        storage::ADMISSION_QUOTAS_KEY => (
+            "admission quotas",
+            round_trip_json::<AdmissionQuotas>(value),
+        ),
+        storage::QUOTA_CELLS_KEY => (
+            "quota cells",
+            round_trip_json::<CellMembershipRecord>(value),
+        ),
         _ if key.starts_with(storage::MACHINE_TYPES_KEY) => {
-            ("types", round_trip_json::<MachineTypes>(value))
+            ("machine types", round_trip_json::<MachineTypes>(value))
         }
-        _ => panic!("{key} is no key of ours"),
+        _ => panic!("unknown key {key}"),
     }
 }
 
@@ -80,7 +95,7 @@
     let mut kinds = BTreeSet::new();
     let mut statuses = BTreeSet::new();
     for name in ["store.jsonl", "pages.jsonl", "quota.jsonl"] {
-        for line in read(name).lines() {
+        for line in read_golden(name).lines() {
             let row: Value = serde_json::from_str(line).expect("a row");
             let key = row["key"].as_str().expect("a key");
             let (kind, value) = round_trip_record(key, &row["value"]);
@@ -91,18 +106,29 @@
             }
         }
     }
-    let all = [
-        "cells", "deputy", "hold", "home", "images", "job", "leader", "log", "page", "part",
-        "table", "term", "types",
+    let expected = [
+        "admission quotas",
+        "images",
+        "job",
+        "job part",
+        "leader",
+        "lease renewer",
+        "log",
+        "machine types",
+        "quota cells",
+        "quota coordinator",
+        "quota participant",
+        "snapshot",
+        "term",
     ];
-    assert_eq!(kinds, BTreeSet::from(all));
-    let all = ["cancelled", "done", "live", "split"].map(str::to_owned);
-    assert_eq!(statuses, BTreeSet::from(all));
+    assert_eq!(kinds, BTreeSet::from(expected));
+    let expected = ["cancelled", "done", "live", "split"].map(str::to_owned);
+    assert_eq!(statuses, BTreeSet::from(expected));
 }
 
-fn bytes(hex: &str) -> Vec<u8> {
-    let digits = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex digits");
-    (0..hex.len()).step_by(2).map(digits).collect()
+fn decode_hex(hex: &str) -> Vec<u8> {
+    let byte_at = |start| u8::from_str_radix(&hex[start..start + 2], 16).expect("hex digits");
+    (0..hex.len()).step_by(2).map(byte_at).collect()
 }
 
 fn round_trip_msgpack<T: Serialize + DeserializeOwned>(body: &[u8]) -> Vec<u8> {
@@ -110,7 +136,7 @@
     protocol::encode(&message)
 }
 
-/// A mesh message to this version's own type and back.
+/// Decodes a mesh message, converts it to this version's own type and back, and encodes it again.
 fn round_trip_mesh<M, T>(body: &[u8]) -> Vec<u8>
 where
     M: Message + Default,
@@ -121,6 +147,7 @@
     M::from(&T::from(message)).encode_to_vec()
 }
 
+/// As [`round_trip_mesh`], for types that are converted by value.
 fn round_trip_mesh_owned<M, T>(body: &[u8]) -> Vec<u8>
 where
     M: Message + Default + From<T>,
@@ -130,10 +157,10 @@
     M::from(T::from(message)).encode_to_vec()
 }
 
-/// A message, read as what was sent to where, and written again.
+/// Decodes a message as the type that its channel and head imply, and encodes it again.
 fn round_trip_message(channel: &str, head: &str, body: &[u8]) -> Vec<u8> {
-    let words: Vec<&str> = head.split(' ').collect();
-    match (channel, words.get(1).copied().unwrap_or_default()) {
+    let head_fields: Vec<&str> = head.split(' ').collect();
+    match (channel, head_fields.get(1).copied().unwrap_or_default()) {
         ("report", _) => round_trip_msgpack::<Report>(body),
         ("submission", _) => {
             let submission = Submission::from_body(body).expect("a submission");
@@ -163,7 +190,7 @@
             .encode_to_vec(),
         ("cell-statement", _) => round_trip_mesh_owned::<proto::CellStatement, CellReport>(body),
         ("cell-answer", _) => round_trip_mesh_owned::<proto::CellAnswer, CellGrants>(body),
-        other => panic!("{other:?} is not known"),
+        other => panic!("unknown kind of message {other:?}"),
     }
 }
 
@@ -171,20 +198,20 @@
 fn messages_round_trip_byte_for_byte() {
     let mut channels = BTreeSet::new();
     let mut paths = BTreeSet::new();
-    let text = read("messages.tsv") + &read("cell-messages.tsv");
+    let text = read_golden("messages.tsv") + &read_golden("cell-messages.tsv");
     for line in text.lines() {
         let fields: Vec<&str> = line.split('\t').collect();
         let [channel, head, hex] = fields[..] else {
-            panic!("{line} has other fields");
+            panic!("not three fields: {line}");
         };
-        let body = bytes(hex);
+        let body = decode_hex(hex);
         assert_eq!(round_trip_message(channel, head, &body), body, "{line}");
         channels.insert(channel);
         if ["state", "cloud", "worker"].contains(&channel) {
             paths.insert(head.split(' ').nth(1).expect("a path"));
         }
     }
-    let all = [
+    let expected = [
         "cell-answer",
         "cell-statement",
         "cloud",
@@ -199,27 +226,31 @@
         "user",
         "worker",
     ];
-    assert_eq!(channels, BTreeSet::from(all));
+    assert_eq!(channels, BTreeSet::from(expected));
     for path in ["/txn", "/holds", "/machines", "/commands"] {
         assert!(paths.contains(path), "no message to {path}: {paths:?}");
     }
 }
 
-/// The mesh's service, methods and field numbers: versions side by side know each other by them.
+/// Guards against a changed name or field number in the mesh's schema: versions that run side by side could then no
+/// longer decode each other's messages.
 #[test]
 fn mesh_schema_keeps_names_and_field_numbers() {
-    let now = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/proto/mesh.proto"));
+    let schema = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/proto/mesh.proto"));
     let lines = |text: &str| -> Vec<String> {
         let lines = text.lines().map(str::trim);
         let lines = lines.filter(|line| !line.is_empty() && !line.starts_with("//"));
         lines.map(str::to_owned).collect()
     };
-    assert_eq!(lines(&now.expect("mesh.proto")), lines(&read("mesh.proto")));
+    assert_eq!(
+        lines(&schema.expect("mesh.proto")),
+        lines(&read_golden("mesh.proto"))
+    );
 }
 
 #[test]
 fn settings_with_every_field_are_parsed() {
-    let config: Config = serde_json::from_str(&read("settings.json")).expect("settings");
+    let config: Config = serde_json::from_str(&read_golden("settings.json")).expect("settings");
     assert_eq!(config.validation_errors(), Vec::<String>::new());
     assert_eq!((&config.label[..], &config.zone[..]), ("n0", "zone-a"));
     assert_eq!(config.listen.to_string(), "10.0.0.1:8080");
@@ -237,8 +268,8 @@
     let objective = &settings.objectives[0];
     assert_eq!(objective.kind, "deadline");
     assert_eq!(objective.class.as_deref(), Some("batch"));
-    let numbers = (objective.target_s, objective.times, objective.share);
-    assert_eq!(numbers, (Some(8.0), Some(1.5), Some(0.9)));
+    let bounds = (objective.target_s, objective.times, objective.share);
+    assert_eq!(bounds, (Some(8.0), Some(1.5), Some(0.9)));
     let workers = &settings.workers;
     let times = (
         workers.report_interval_s,
@@ -254,12 +285,12 @@
         state.max_txn_ops,
     );
     assert_eq!(limits, (150.0, 60.0, 16.0, 48));
-    let next = state.upcoming.expect("limits to come");
+    let upcoming = state.upcoming.expect("upcoming limits");
     let limits = (
-        next.rps,
-        next.write_rps,
-        next.max_value_kb,
-        next.max_txn_ops,
+        upcoming.rps,
+        upcoming.write_rps,
+        upcoming.max_value_kb,
+        upcoming.max_txn_ops,
     );
     assert_eq!(limits, (Some(100.0), Some(50.0), Some(2.0), Some(4)));
     let cloud = (settings.cloud.rps, settings.cloud.list_lag_s);
--- a/tests/wire/mod.rs
+++ b/tests/wire/mod.rs
@@ -1,5 +1,5 @@
-//! What leaves a node, in the bytes that it has on the wire: a digest of all of it, in order, tells whether two
-//! versions of the code behave the same.
+//! The messages that a node sends, in their wire format. A digest of all of them, in order, shows whether two versions
+//! of the code behave the same.
 
 use std::hash::{DefaultHasher, Hasher};
 
@@ -13,7 +13,7 @@
 };
 use prost::Message;
 
-/// Where a message goes.
+/// The kind of receiver of a message, and of message for messages between nodes and cells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Channel {
     User,
@@ -27,11 +27,12 @@
     MeshRelay,
     CellStatement,
     CellAnswer,
-    /// To nobody: the node's rates change.
+    /// Not a message: the node switches between the rates of a leader and of a follower.
     Rates,
 }
 
 impl Channel {
+    /// The name of the channel in the golden files.
     pub const fn name(self) -> &'static str {
         match self {
             Channel::User => "user",
@@ -50,7 +51,7 @@
     }
 }
 
-/// A message as it leaves a node: where it goes, what is sent beside the body (a path, an address, a number),
+/// A message as a node sends it: its channel, what is sent besides the body (such as a path, an address or a number),
 /// and the body.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sent {
@@ -68,18 +69,19 @@
         }
     }
 
-    fn http(channel: Channel, request: HttpRequest, rest: String) -> Self {
-        let head = format!("{} {} {rest}", request.method, request.path);
+    fn http(channel: Channel, request: HttpRequest, details: String) -> Self {
+        let head = format!("{} {} {details}", request.method, request.path);
         Sent::new(channel, head, request.body)
     }
 
+    /// The message that an effect sends.
     #[expect(clippy::too_many_lines, reason = "still to be split")]
     pub fn of(effect: &Effect) -> Self {
         match effect {
-            Effect::Respond(id, answer) => {
-                let retry_after_s = answer.retry_after_s.unwrap_or(0);
-                let head = format!("{id} {} {retry_after_s}", answer.status);
-                Sent::new(Channel::User, head, answer.body.clone())
+            Effect::Respond(id, response) => {
+                let retry_after_s = response.retry_after_s.unwrap_or(0);
+                let head = format!("{id} {} {retry_after_s}", response.status);
+                Sent::new(Channel::User, head, response.body.clone())
             }
             Effect::CallStateService {
                 request,
@@ -92,8 +94,8 @@
                     Urgency::Prompt => 1,
                     Urgency::Normal => 2,
                 };
-                let rest = format!("{urgency} {timeout_ms}");
-                Sent::http(Channel::State, state_request(request), rest)
+                let details = format!("{urgency} {timeout_ms}");
+                Sent::http(Channel::State, state_request(request), details)
             }
             Effect::CallCloud {
                 request,
@@ -110,8 +112,8 @@
                 orders,
                 timeout_ms,
             } => {
-                let rest = format!("{} {addr} {timeout_ms}", tag.machine);
-                Sent::http(Channel::Worker, worker_request(orders.as_ref()), rest)
+                let details = format!("{} {addr} {timeout_ms}", tag.machine);
+                Sent::http(Channel::Worker, worker_request(orders.as_ref()), details)
             }
             Effect::AnnounceProgress(progress) => {
                 let message = proto::Progress::from(progress);
@@ -121,8 +123,8 @@
                     message.encode_to_vec(),
                 )
             }
-            Effect::PublishMemberStatus(news) => {
-                let message = proto::Told::from(&**news);
+            Effect::PublishMemberStatus(status) => {
+                let message = proto::Told::from(&**status);
                 Sent::new(Channel::MeshStatus, String::new(), message.encode_to_vec())
             }
             Effect::RequestRevocation {
@@ -132,53 +134,53 @@
                 let body = message.encode_to_vec();
                 Sent::new(Channel::MeshRevocation, label.clone(), body)
             }
-            Effect::RespondRevocation(id, word) => {
-                let message = proto::Renewals::from(word.clone());
+            Effect::RespondRevocation(id, reply) => {
+                let message = proto::Renewals::from(reply.clone());
                 let body = message.encode_to_vec();
                 Sent::new(Channel::MeshRenewals, id.to_string(), body)
             }
             Effect::RelayRequest {
                 id,
                 label,
-                request: ask,
+                request: relayed,
             } => {
                 let message =
-                    encode_relayed_request(ask).expect("only users' requests are relayed");
+                    encode_relayed_request(relayed).expect("only users' requests are relayed");
                 let head = format!("{id} {label}");
                 Sent::new(Channel::MeshRelay, head, message.encode_to_vec())
             }
             Effect::SendCellReport {
                 cell,
-                report: statement,
+                report: cell_report,
                 ..
             } => {
-                let message = proto::CellStatement::from((**statement).clone());
+                let message = proto::CellStatement::from((**cell_report).clone());
                 let body = message.encode_to_vec();
                 Sent::new(Channel::CellStatement, cell.clone(), body)
             }
-            Effect::RespondCellReport(id, answer) => {
-                let answer = answer.clone().map(proto::CellAnswer::from);
-                let body = answer.map(|answer| answer.encode_to_vec());
+            Effect::RespondCellReport(id, grants) => {
+                let message = grants.clone().map(proto::CellAnswer::from);
+                let body = message.map(|message| message.encode_to_vec());
                 let head = format!("{id} {}", body.is_some());
                 Sent::new(Channel::CellAnswer, head, body.unwrap_or_default())
             }
-            Effect::SetLeadership(leads) => {
-                Sent::new(Channel::Rates, leads.to_string(), Vec::new())
+            Effect::SetLeadership(is_leader) => {
+                Sent::new(Channel::Rates, is_leader.to_string(), Vec::new())
             }
         }
     }
 }
 
-/// A digest over all that the nodes of a history sent, in order.
+/// A digest of all messages that the nodes of a simulation sent, in order.
 #[derive(Default)]
 pub struct Trace {
     hasher: DefaultHasher,
 }
 
 impl Trace {
-    /// A node sends something at a time of the history's clock.
-    pub fn add(&mut self, now: u64, node: usize, life: u64, sent: &Sent) {
-        for number in [now, node as u64, life, sent.channel as u64] {
+    /// Adds a message that a node's process of the given incarnation sent at the simulated time `now`, in milliseconds.
+    pub fn add(&mut self, now: u64, node: usize, incarnation: u64, sent: &Sent) {
+        for number in [now, node as u64, incarnation, sent.channel as u64] {
             self.hasher.write_u64(number);
         }
         for bytes in [sent.head.as_bytes(), &sent.body] {
@@ -187,6 +189,7 @@
         }
     }
 
+    /// The digest of the messages so far.
     pub fn digest(&self) -> u64 {
         self.hasher.finish()
     }
