--- a/tests/wire/mod.rs
+++ b/tests/wire/mod.rs
@@ -13,7 +13,7 @@
 };
 use prost::Message;
 
-/// The kind of receiver of a message, and of message for messages between nodes and cells.
+/// The kind of receiver of a message; between nodes and between cells, the type of the message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Channel {
     User,
