--- a/crates/load-test/src/controller_process.rs
+++ b/crates/load-test/src/controller_process.rs
@@ -1,4 +1,4 @@
-//! Controller processes: started, watched through `/proc`, ended by their ids.
+//! Controller processes: starts and kills them and reads their resource usage from `/proc`.
 
 use std::{
     fs::{self, File},
@@ -11,42 +11,43 @@
 use serde::{Deserialize, Serialize};
 use tokio::process::{Child, Command};
 
-/// Where a controller listens, and who it is.
+/// Identity and addresses of a controller.
 #[derive(Clone, Debug)]
 pub struct Address {
-    /// Its label.
+    /// The node label.
     pub label: String,
-    /// Its zone.
+    /// The zone.
     pub zone: String,
-    /// For users and workers.
+    /// Listen address for users and workers.
     pub listen: SocketAddr,
-    /// For other controllers.
+    /// Listen address for other controllers.
     pub mesh: SocketAddr,
 }
 
 /// A running controller; it is killed when this is dropped.
 pub struct Controller {
-    /// Who it is.
+    /// Identity and addresses.
     pub address: Address,
-    /// What it says.
+    /// Path of the log file (its standard error).
     pub log: PathBuf,
     child: Child,
     pid: u32,
 }
 
-/// What a process has used since it began, and what it holds now.
+/// Resource usage of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Processor time in milliseconds.
+    /// CPU time since the start of the process, in milliseconds.
     pub cpu_ms: f64,
-    /// Resident memory in bytes.
+    /// Current resident memory, in bytes.
     pub memory: u64,
-    /// Open sockets.
+    /// Currently open sockets.
     pub sockets: u64,
 }
 
 impl Controller {
-    /// Starts `program` with this settings file and further arguments; what it says goes to a file beside that.
+    /// Starts `program` with a settings file and further arguments. Its standard error is appended to a log file in the
+    /// same directory.
     pub fn start(
         program: &Path,
         address: Address,
@@ -73,25 +74,25 @@
         })
     }
 
-    /// How it ended, if it did.
+    /// The exit status, if the process has exited.
     pub fn ended(&mut self) -> Option<String> {
         let status = self.child.try_wait().ok().flatten()?;
         Some(status.to_string())
     }
 
-    /// Ends it without a signal that it could handle, and waits until it is gone.
+    /// Kills the process with SIGKILL and waits until it has exited.
     pub async fn kill(&mut self) -> io::Result<()> {
         self.child.kill().await
     }
 
-    /// What it has used; zeros if it is gone.
+    /// Resource usage; all zeros if the process has exited.
     pub fn usage(&self) -> Usage {
         Usage::of(&format!("/proc/{}", self.pid)).unwrap_or_default()
     }
 }
 
 impl Usage {
-    /// Of the process that runs this.
+    /// Resource usage of the current process.
     pub fn own() -> Self {
         Usage::of("/proc/self").unwrap_or_default()
     }
--- a/crates/load-test/src/drill.rs
+++ b/crates/load-test/src/drill.rs
@@ -1,4 +1,5 @@
-//! Regions as cells under load while limits change all along: steady, a region cut off, a leader's end, a rack gone.
+//! Drill: the regions are cells under load whose team limits change continually, while a network partition, a leader
+//! failure and the loss of a rack are injected one after another.
 
 use std::{
     collections::HashMap,
@@ -24,74 +25,75 @@
     settings::{Drill, Experiment},
 };
 
-/// How a controller tells of a change that is in force.
+/// Message of the log record that a controller writes when a quota change is in force in all cells.
 const IN_FORCE_LOG_PREFIX: &str = "a quota's change is in force ";
 
-/// What a drill came to.
+/// Figures of a drill.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DrillFigures {
-    /// Workers of all regions.
+    /// Number of workers in all regions.
     pub workers: usize,
-    /// Its parts, in their order.
+    /// The phases in execution order.
     pub phases: Vec<Phase>,
-    /// Changes that were made.
+    /// Number of limit changes that were made.
     pub changes: u64,
-    /// Seconds from the leader's end until its successor knew most workers.
+    /// Time from the end of the leader until most workers were registered with its successor, in seconds.
     pub takeover_s: Option<f64>,
-    /// Teams whose latest quota was not in force somewhere at the end.
+    /// Teams whose latest quota was not in force in some region at the end, summed over regions.
     pub behind_at_end: f64,
 }
 
-/// One part of a drill, over all regions.
+/// Figures of one phase of a drill, over all regions.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Phase {
-    /// What went on.
+    /// Name of the phase.
     pub name: String,
-    /// How long it was.
+    /// Duration in seconds.
     pub seconds: f64,
-    /// Tasks that started each second.
+    /// Task starts per second.
     pub starts: f64,
-    /// From acceptance to the start command, urgent work.
+    /// Time from the acceptance of a job to the start command for its task, high priority.
     pub urgent: StartLatencies,
-    /// The same for other work.
+    /// The same for all other jobs.
     pub other: StartLatencies,
-    /// The busiest controller's processor time, in milliseconds a second.
+    /// CPU time of the busiest controller, in milliseconds per second.
     pub busiest_cpu_ms: f64,
-    /// Memory of all controllers and of the tool, in megabytes.
+    /// Resident memory of all controllers and of the tool, in megabytes.
     pub memory_mb: f64,
-    /// Reports and commands of a worker, each second.
+    /// Heartbeats and commands per worker and second.
     pub messages_per_worker: f64,
-    /// Bytes of them.
+    /// Bytes of these messages and their responses per worker and second.
     pub bytes_per_worker: f64,
-    /// Bytes that crossed between regions, each second.
+    /// Bytes sent between regions per second.
     pub far_bytes: f64,
-    /// Changes that came to be in force everywhere meanwhile, and how long they took from when their home had stored
-    /// them, in milliseconds.
+    /// Number of quota changes that took effect in all regions during the phase.
     pub in_force: u64,
-    /// See `in_force`.
+    /// Median time from the commit of a quota change by its coordinator until it was in force in all regions, in
+    /// milliseconds.
     pub in_force_median_ms: u64,
-    /// See `in_force`.
+    /// 99th percentile of that time, in milliseconds.
     pub in_force_p99_ms: u64,
-    /// See `in_force`.
+    /// Maximum of that time, in milliseconds.
     pub in_force_worst_ms: u64,
-    /// Teams whose latest quota is not in force in some region at the end, summed over regions.
+    /// Teams whose latest quota is not in force in some region at the end of the phase, summed over regions.
     pub behind: f64,
-    /// InvariantChecker broken so far.
+    /// Number of invariant violations since the start of the run.
     pub broken: u64,
 }
 
-/// The teams' limits, and those that may still be in force.
+/// The current limits of the teams and replaced ones that may still be in force, in CPUs by team index.
 struct LimitHistory {
     current: Vec<f64>,
     replaced: Vec<Vec<(Instant, f64)>>,
-    /// How long a limit that was replaced may still be in force, where all regions are reached.
+    /// How long a replaced limit may remain in force while no region is partitioned.
     grace_period: Duration,
-    /// A region is cut off since then, or was until shortly before: what was in force stays so there.
+    /// Start of the partition; set until `grace_period` after its end. The partitioned region keeps applying the limits
+    /// that were in force there when the partition began.
     partitioned_since: Option<Instant>,
 }
 
 impl LimitHistory {
-    /// The most that a team may use now.
+    /// Upper bound on the CPUs that a team may use now: its highest limit that may be in force in any region.
     fn max_allowed(&mut self, team: usize) -> f64 {
         let (kept_since, stays) = (self.partitioned_since, self.grace_period);
         let counts = |at: &Instant| {
@@ -104,7 +106,7 @@
     }
 }
 
-/// Changes limits all along.
+/// Changes team limits at a fixed rate until it is stopped.
 #[derive(Clone)]
 struct QuotaChanger {
     limits: Arc<Mutex<LimitHistory>>,
@@ -142,10 +144,10 @@
     }
 
     fn limits(&self) -> MutexGuard<'_, LimitHistory> {
-        self.limits.lock().expect("the limits' lock")
+        self.limits.lock().expect("lock of the limits poisoned")
     }
 
-    /// Writes all settings files anew.
+    /// Rewrites the settings files of all controllers with the current limits.
     fn write(&self) -> Result<(), RunError> {
         let limits = self.limits().current.clone();
         let teams = limits.iter().enumerate();
@@ -160,7 +162,7 @@
         Ok(())
     }
 
-    /// Tells the rules what each team may use now.
+    /// Updates the limit of each team in the invariant checker.
     fn update_checker(&self) {
         let mut limits = self.limits();
         for team in 0..limits.current.len() {
@@ -194,7 +196,8 @@
         }
     }
 
-    /// Limits that were in force when a region was cut off may stay so there until it is back, and a moment longer.
+    /// Records the start or the end of a partition. Limits that were in force at its start may remain in force in the
+    /// partitioned region until `grace_period` after its end.
     fn mark_partitioned(&self, cut: bool) {
         if cut {
             self.limits().partitioned_since = Some(Instant::now());
@@ -209,7 +212,7 @@
     }
 }
 
-/// CounterTotals over all regions at one moment.
+/// Counters summed over all regions at one point in time.
 struct CounterTotals {
     at: Instant,
     usages: Vec<Usage>,
@@ -245,14 +248,14 @@
     }
 }
 
-/// What controllers say in their logs, from where they were read last.
+/// Reads the log files of the controllers incrementally; holds the offset up to which each was read.
 #[derive(Default)]
 struct LogReader {
     read_offsets: HashMap<PathBuf, usize>,
 }
 
 impl LogReader {
-    /// How long each change took that has come to be in force since.
+    /// Propagation delays in milliseconds of the quota changes logged as in force since the last call.
     fn propagation_delays(&mut self, run: &Run) -> Histogram<u64> {
         let mut took = Histogram::new(3).expect("three digits are allowed");
         for controller in run.regions.iter().flat_map(|region| &region.controllers) {
@@ -288,7 +291,7 @@
     sum
 }
 
-/// Passes the time and tells what went on.
+/// Runs the load for `length` and returns the figures of the phase.
 async fn run_phase(
     run: &mut Run,
     changes: &QuotaChanger,
@@ -332,7 +335,7 @@
     })
 }
 
-/// Cuts or mends all links of a region.
+/// Starts or ends the partition of a region by cutting or restoring all its inter-region links.
 fn set_partitioned(run: &Run, region: usize, cut: bool) {
     for other in &run.regions {
         for (to, link) in &other.inter_region_links {
@@ -343,13 +346,13 @@
     }
 }
 
-/// Plays the drill on a run that is loaded and at rest.
+/// Runs the drill on a run whose load is in a steady state.
 pub async fn run_drill(run: &mut Run, drill: &Drill) -> Result<DrillFigures, RunError> {
     let changes = QuotaChanger::new(run, drill);
     changes.write()?;
     let mut logs = LogReader::default();
     let steady = Duration::from_secs_f64(drill.steady_s);
-    // The first limits have to be in force before any is held to them.
+    // The initial limits have to be in force everywhere before usage is checked against them.
     run.run_for(Duration::from_secs_f64(drill.replaced_s))
         .await?;
     logs.propagation_delays(run);
--- a/crates/load-test/src/drill/tests.rs
+++ b/crates/load-test/src/drill/tests.rs
@@ -12,17 +12,21 @@
 fn ago(seconds: u64) -> Instant {
     let now = Instant::now();
     now.checked_sub(Duration::from_secs(seconds))
-        .expect("the clock has run for longer")
+        .expect("the system has been up for longer")
 }
 
 #[test]
 fn replaced_limit_expires_after_grace_period() {
     let mut limits = limits(&[(ago(10), 300.0), (ago(30), 500.0)], None);
     assert_eq!(limits.max_allowed(0), 300.0);
-    assert_eq!(limits.replaced[0].len(), 1, "the older one counts no more");
+    assert_eq!(
+        limits.replaced[0].len(),
+        1,
+        "the limit replaced 30 s ago has expired"
+    );
 }
 
-/// The region holds what it held when it was cut off, whatever was set since.
+/// The partitioned region keeps applying the limits that were in force when the partition began.
 #[test]
 fn limits_stay_in_force_in_a_partitioned_region() {
     let replaced = [(ago(10), 300.0), (ago(30), 500.0), (ago(50), 700.0)];
@@ -30,7 +34,7 @@
     assert_eq!(
         limits.max_allowed(0),
         700.0,
-        "it may have been in force when the cut began"
+        "it may have been in force when the partition began"
     );
     let mut later = self::limits(&replaced, Some(ago(25)));
     assert_eq!(later.max_allowed(0), 500.0);
--- a/crates/load-test/src/experiment.rs
+++ b/crates/load-test/src/experiment.rs
@@ -1,4 +1,4 @@
-//! Runs one experiment: starts the regions, loads them, measures, ends the leader.
+//! Runs one experiment: starts the regions, applies the load, measures, and optionally kills the leader.
 
 use std::{
     path::{Path, PathBuf},
@@ -21,33 +21,34 @@
 const FAILOVER_TIMEOUT: Duration = Duration::from_secs(60);
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 const SECOND: Duration = Duration::from_secs(1);
-/// The part of the workers that have to be known, or of the replicas that have to run.
+/// Fraction of the workers that must be registered with the leader, or of the replicas that must run.
 const FILLED_FRACTION: f64 = 0.98;
+/// Fraction of the workers that must be registered with the new leader after a failover.
 const RECOVERED_FRACTION: f64 = 0.9;
 
 /// A running experiment.
 pub struct Run {
-    /// Its regions.
+    /// The regions, by index.
     pub regions: Vec<Region>,
-    /// The users of each.
+    /// The users of each region.
     pub users: Vec<UserLoad>,
-    /// All jobs, and the rules.
+    /// The submitted jobs of all regions and the invariants that are checked on them.
     pub rules: Arc<InvariantChecker>,
-    /// What is run.
+    /// The deployment and its load.
     pub experiment: Experiment,
     ready_s: f64,
 }
 
-/// Where programs and files are.
+/// The controller program and the working directory of a run.
 pub struct RunPaths {
     /// The `dalelb` program.
     pub program: PathBuf,
-    /// For settings and logs of controllers.
+    /// Directory for the settings files and logs of the controllers.
     pub directory: PathBuf,
 }
 
 impl Run {
-    /// Starts all regions and waits until each has a leader that knows the workers.
+    /// Starts all regions and waits until each has a leader with which the workers are registered.
     pub async fn start(experiment: &Experiment, places: &RunPaths) -> Result<Self, RunError> {
         let cancel = Duration::from_secs_f64(experiment.cancel_s);
         let rules = Arc::new(InvariantChecker::new(cancel));
@@ -68,7 +69,7 @@
         for region in 0..run.regions.len() {
             for node in 0..experiment.nodes {
                 while !run.regions[region].ready(node).await {
-                    run.alive(began, READY_TIMEOUT, "a controller is ready")
+                    run.alive(began, READY_TIMEOUT, "all controllers are ready")
                         .await?;
                 }
                 if region == 0 && node == 0 {
@@ -78,14 +79,18 @@
         }
         for region in 0..run.regions.len() {
             while !run.knows_workers(region, FILLED_FRACTION).await {
-                run.alive(began, READY_TIMEOUT, "a leader knows the workers")
-                    .await?;
+                run.alive(
+                    began,
+                    READY_TIMEOUT,
+                    "the workers are registered with the leader",
+                )
+                .await?;
             }
         }
         Ok(run)
     }
 
-    /// Whether a region's leader knows that part of its workers.
+    /// Whether at least this fraction of a region's workers is registered with its leader.
     pub async fn knows_workers(&self, region: usize, part: f64) -> bool {
         let region = &self.regions[region];
         let Some(leader) = region.leader().await else {
@@ -98,7 +103,7 @@
         up.unwrap_or(0.0) >= part * region.cloud.instance_count() as f64
     }
 
-    /// Waits a step; an error if a controller has ended, memory is short, or `within` has passed.
+    /// Waits one polling interval. Fails if a controller has exited, too much memory is in use or `within` has passed.
     async fn alive(
         &mut self,
         since: Instant,
@@ -116,7 +121,7 @@
         Ok(())
     }
 
-    /// An error if a controller has ended by itself or too much memory is in use.
+    /// Fails if a controller has exited or too much memory is in use.
     pub fn check(&mut self) -> Result<(), RunError> {
         let mut held = Usage::own().memory;
         for region in &mut self.regions {
@@ -133,7 +138,7 @@
         Ok(())
     }
 
-    /// Waits that long, checking all the while.
+    /// Waits for `length` while checking the controllers, the memory usage and cancelled jobs.
     pub async fn run_for(&mut self, length: Duration) -> Result<(), RunError> {
         let until = Instant::now() + length;
         while Instant::now() < until {
@@ -145,7 +150,7 @@
         Ok(())
     }
 
-    /// Gives each worker its replica, and begins the load.
+    /// Submits the services, waits until a replica runs on each worker, and starts the array load.
     pub async fn load(&mut self) -> Result<(), RunError> {
         let fills = self.users.iter().cloned();
         let fills: Vec<_> = fills
@@ -158,7 +163,7 @@
             0
         };
         while (self.rules.running_count() as f64) < FILLED_FRACTION * filled as f64 {
-            self.alive(began, FILL_TIMEOUT, "each worker has its replica")
+            self.alive(began, FILL_TIMEOUT, "a replica runs on each worker")
                 .await?;
         }
         for fill in fills {
@@ -170,7 +175,7 @@
         Ok(())
     }
 
-    /// Measures the first region for a while.
+    /// Measures the first region for `length`.
     pub async fn measure(&mut self, length: Duration) -> Result<Figures, RunError> {
         let began = Instant::now();
         let leader = loop {
@@ -190,7 +195,8 @@
         Ok(figures)
     }
 
-    /// Ends a region's leader; seconds until a successor knew most workers.
+    /// Kills a region's leader and returns the seconds until most workers are registered with a successor; `None`: there
+    /// was no leader, or no successor within the timeout.
     pub async fn kill_leader(&mut self, region: usize) -> Result<Option<f64>, RunError> {
         let Some(leader) = self.regions[region].leader().await else {
             return Ok(None);
@@ -213,21 +219,21 @@
         Ok(None)
     }
 
-    /// Ends all controllers.
+    /// Stops the users and kills all controllers.
     pub async fn shut_down(mut self) {
         for users in &self.users {
             users.stop();
         }
         for region in &mut self.regions {
             for controller in &mut region.controllers {
-                // One that is gone already needs no end.
+                // An error means that the controller has exited already.
                 let _ = controller.kill().await;
             }
         }
     }
 }
 
-/// Runs a plan from its start to its end.
+/// Runs a plan from start to shutdown.
 pub async fn run_plan(plan: &Plan, places: &RunPaths) -> Result<Point, RunError> {
     let mut run = Run::start(&plan.experiment, places).await?;
     let measured = load_and_measure(&mut run).await;
@@ -257,7 +263,7 @@
 async fn load_and_measure(run: &mut Run) -> Result<Measurement, RunError> {
     run.load().await?;
     let warm_up = Duration::from_secs_f64(run.experiment.warm_up_s);
-    // Tasks have to end as often as they start before anything is at rest.
+    // The load is in a steady state once tasks complete at the rate at which they start.
     let first_ends = Duration::from_secs_f64(run.experiment.run_s);
     run.run_for(warm_up + first_ends).await?;
     let reference_ms = tokio::task::spawn_blocking(measure::reference);
@@ -274,7 +280,7 @@
     Ok((figures, reference_ms, None))
 }
 
-/// A directory for settings and logs, new for each run of the tool.
+/// Creates the directory for settings and logs; its name contains the process id of this run of the tool.
 pub fn work_directory(parent: &Path) -> Result<PathBuf, RunError> {
     let directory = parent.join(format!("dalelb-load-test-{}", std::process::id()));
     std::fs::create_dir_all(&directory).map_err(|source| RunError::Write {
--- a/crates/load-test/src/invariants.rs
+++ b/crates/load-test/src/invariants.rs
@@ -1,5 +1,5 @@
-//! What is known of all jobs of all regions: what workers look up, when tasks started, and whether a rule
-//! of the protocol was broken.
+//! The jobs of all regions: what workers look up, when tasks started, and whether an invariant of the protocol was
+//! violated.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -12,34 +12,34 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-/// InvariantChecker that are told of by name; more are only counted.
+/// Number of violations that are reported with a description; further ones are only counted.
 const MAX_REPORTED_VIOLATIONS: usize = 20;
-/// Sums of decimal amounts may miss a whole by a rounding error.
+/// Tolerance for rounding errors in sums of CPU amounts.
 const EPSILON: f64 = 1e-6;
 
-/// A job as its user knows it.
+/// A job as its user submitted it.
 #[derive(Clone, Debug)]
 pub struct ExpectedJob {
-    /// Its team.
+    /// The team.
     pub team: String,
-    /// What each of its tasks takes, and how long it runs.
+    /// CPUs and run time of each task.
     pub spec: TaskSpec,
-    /// Work of high priority.
+    /// Whether the priority is high or production.
     pub urgent: bool,
-    /// Whether its starts count for the times from acceptance to start.
+    /// Whether the starts of its tasks are included in the start latencies.
     pub measured: bool,
 }
 
-/// How long tasks took from their job's acceptance to the start command at the worker.
+/// Times from the acceptance of a job to the arrival of the start command for a task at the worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StartLatencies {
-    /// Tasks.
+    /// Number of tasks.
     pub count: u64,
-    /// Milliseconds.
+    /// Median in milliseconds.
     pub median_ms: u64,
-    /// Milliseconds.
+    /// 99th percentile in milliseconds.
     pub p99_ms: u64,
-    /// Milliseconds.
+    /// Maximum in milliseconds.
     pub worst_ms: u64,
 }
 
@@ -58,13 +58,13 @@
     facts: ExpectedJob,
     accepted: Option<Instant>,
     cancelled: Option<Instant>,
-    /// Tasks that are on a machine.
+    /// Number of its tasks that run on a machine.
     running_tasks: u32,
 }
 
 struct CheckerState {
     jobs: HashMap<JobId, TrackedJob>,
-    /// Where each task is that is on a machine.
+    /// The machine of each running task.
     placements: HashMap<TaskId, String>,
     started: HashMap<TaskId, ()>,
     used: BTreeMap<String, f64>,
@@ -76,13 +76,14 @@
     violation_count: u64,
 }
 
-/// Records a value of any size.
+/// Records a value; the histogram resizes itself to fit it.
 pub fn record(histogram: &mut Histogram<u64>, value: u64) {
     let recorded = histogram.record(value);
-    recorded.expect("the histogram grows as it needs");
+    recorded.expect("the histogram resizes itself");
 }
 
-/// All jobs, and the rules that are checked at every start.
+/// Tracks all submitted jobs and checks the invariants at each task event: no task runs on two machines, no team exceeds
+/// its limit, and no task of a cancelled job runs beyond the cancellation bound.
 pub struct InvariantChecker {
     inner: Mutex<CheckerState>,
     cancellation_bound: Duration,
@@ -102,7 +103,7 @@
             self.record_violation(format!("ran_twice: {task} on {machine} and {other}"));
         }
         let Some(job) = self.jobs.get_mut(&task.job) else {
-            return self.record_violation(format!("{task}: nobody submitted it"));
+            return self.record_violation(format!("{task}: started but never submitted"));
         };
         job.running_tasks += 1;
         let late = job.cancelled.is_some_and(|at| at.elapsed() > cancel);
@@ -140,7 +141,7 @@
 }
 
 impl InvariantChecker {
-    /// Cancelled tasks have to be gone after `cancel`.
+    /// Creates a checker. All tasks of a cancelled job have to stop within `cancel` of the confirmed cancellation.
     pub fn new(cancel: Duration) -> Self {
         let histogram = || Histogram::new(3).expect("three digits are allowed");
         InvariantChecker {
@@ -161,15 +162,15 @@
     }
 
     fn lock_state(&self) -> MutexGuard<'_, CheckerState> {
-        self.inner.lock().expect("the rules' lock")
+        self.inner.lock().expect("lock of the checker poisoned")
     }
 
-    /// From now on the team may use that many CPUs at once; 0: any number.
+    /// Sets the number of CPUs that a team may use concurrently; 0: unlimited.
     pub fn set_limit(&self, team: &str, cpus: f64) {
         self.lock_state().limits.insert(team.to_owned(), cpus);
     }
 
-    /// A user is about to submit the job.
+    /// Registers a job before its first submission attempt.
     pub fn on_submitted(&self, id: JobId, facts: ExpectedJob) {
         let job = TrackedJob {
             facts,
@@ -180,21 +181,21 @@
         self.lock_state().jobs.insert(id, job);
     }
 
-    /// A user was told that the job is accepted.
+    /// Records that a user received the acceptance of the job.
     pub fn on_accepted(&self, id: JobId) {
         if let Some(job) = self.lock_state().jobs.get_mut(&id) {
             job.accepted.get_or_insert_with(Instant::now);
         }
     }
 
-    /// A user was told that the job is cancelled.
+    /// Records that a user received the confirmation of the cancellation.
     pub fn on_cancelled(&self, id: JobId) {
         if let Some(job) = self.lock_state().jobs.get_mut(&id) {
             job.cancelled.get_or_insert_with(Instant::now);
         }
     }
 
-    /// Looks for tasks of cancelled jobs that go on for too long.
+    /// Checks that no tasks of cancelled jobs still run after the cancellation bound.
     pub fn check_cancellations(&self) {
         let mut inner = self.lock_state();
         let jobs = inner.jobs.iter();
@@ -206,28 +207,28 @@
         });
         let late: Vec<JobId> = late.map(|(id, _)| *id).collect();
         for id in late {
-            inner.record_violation(format!("ran_cancelled: tasks of {id} go on"));
+            inner.record_violation(format!("ran_cancelled: tasks of {id} still run"));
         }
     }
 
-    /// Starts so far.
+    /// Number of task starts so far.
     pub fn start_count(&self) -> u64 {
         self.lock_state().starts
     }
 
-    /// Tasks that are on machines.
+    /// Number of running tasks.
     pub fn running_count(&self) -> usize {
         self.lock_state().placements.len()
     }
 
-    /// Forgets the times taken so far.
+    /// Clears the start latencies.
     pub fn reset_latencies(&self) {
         let mut inner = self.lock_state();
         inner.urgent.reset();
         inner.other.reset();
     }
 
-    /// Timeouts of urgent work and of other work.
+    /// Start latencies of high-priority jobs and of all other jobs since the last reset.
     pub fn start_latencies(&self) -> (StartLatencies, StartLatencies) {
         let inner = self.lock_state();
         (
@@ -236,7 +237,7 @@
         )
     }
 
-    /// Which rules were broken, and how often.
+    /// The number of violations and the descriptions of the first ones.
     pub fn violations(&self) -> (u64, Vec<String>) {
         let inner = self.lock_state();
         (inner.violation_count, inner.violations.clone())
--- a/crates/load-test/src/invariants/tests.rs
+++ b/crates/load-test/src/invariants/tests.rs
@@ -61,7 +61,7 @@
     rules.on_cancelled(JobId(1));
     std::thread::sleep(Duration::from_millis(2));
     rules.check_cancellations();
-    assert!(broken(&rules, "go on"));
+    assert!(broken(&rules, "still run"));
     rules.on_task_event("a", task(1, 1), TaskEvent::Started);
     assert!(broken(&rules, "starts"));
 }
--- a/crates/load-test/src/linear_fit.rs
+++ b/crates/load-test/src/linear_fit.rs
@@ -1,21 +1,21 @@
-//! Lines through points, and how far the points are from them.
+//! Least-squares lines and the deviation of points from them.
 
-/// A least-squares line through points.
+/// A least-squares line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinearFit {
-    /// FittedGrowth for each unit of what was varied.
+    /// Increase per unit of x.
     pub slope: f64,
-    /// The value at 0.
+    /// The value at x = 0.
     pub intercept: f64,
-    /// The largest distance of a point from the line, as a part of the largest value.
+    /// The largest distance of a point from the line, as a fraction of the largest absolute y.
     pub residual: f64,
 }
 
-/// A residual beyond this part of the largest value says that the points are no line.
+/// Points with a larger residual do not count as linear.
 const MAX_RELATIVE_RESIDUAL: f64 = 0.1;
 
 impl LinearFit {
-    /// `None`: fewer than two different places.
+    /// Fits a line to points (x, y); `None` for fewer than two different x.
     pub fn fit(points: &[(f64, f64)]) -> Option<Self> {
         let count = points.len() as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
@@ -42,18 +42,18 @@
         Some(LinearFit { residual, ..line })
     }
 
-    /// The line's value at `x`.
+    /// The value of the line at `x`.
     pub fn evaluate(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
 
-    /// Whether the points lie on it, given that runs alike differ by `spread` of their mean.
+    /// Whether the points lie on the line, given that identical runs differ by the fraction `spread` of their mean.
     pub fn is_linear(&self, spread: f64) -> bool {
         self.residual <= MAX_RELATIVE_RESIDUAL.max(spread)
     }
 }
 
-/// How far runs alike differ: the largest less the smallest, as a part of their mean.
+/// The difference of the largest and the smallest value, as a fraction of the mean; 0 for fewer than two values.
 pub fn spread(values: &[f64]) -> f64 {
     let mean = values.iter().sum::<f64>() / values.len().max(1) as f64;
     let largest = values.iter().copied().fold(f64::MIN, f64::max);
--- a/crates/load-test/src/linear_fit/tests.rs
+++ b/crates/load-test/src/linear_fit/tests.rs
@@ -16,7 +16,10 @@
     let points = places.map(|x: f64| (x, x * x));
     let line = LinearFit::fit(&points).unwrap();
     assert!(!line.is_linear(0.05), "{line:?}");
-    assert!(line.is_linear(0.5), "runs that differ by half hide it");
+    assert!(
+        line.is_linear(0.5),
+        "a spread of one half exceeds the residual"
+    );
 }
 
 #[test]
--- a/crates/load-test/src/main.rs
+++ b/crates/load-test/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs real dalelb controllers on loopback against hollow workers, users, a state service and a cloud, and
-//! measures how what they use grows with what is varied.
+//! Load test: runs real dalelb controllers on loopback against emulated workers, users, a state service and a cloud,
+//! and measures how their resource usage grows with the load.
 
 mod controller_process;
 mod drill;
@@ -26,26 +26,26 @@
 use serde::{Deserialize, Serialize};
 use settings::{Plan, Settings};
 
-/// The arguments, the settings file or a result can't be used.
+/// The arguments, the settings file or a result file is invalid.
 const EXIT_BAD_INPUT: u8 = 2;
-/// An experiment could not be run to its end.
+/// An experiment failed before its end.
 const EXIT_FAILED: u8 = 3;
-/// A rule of the protocol was broken.
+/// A protocol invariant was violated.
 const EXIT_INVARIANT_VIOLATED: u8 = 4;
-/// The page does not show what was measured.
+/// The page does not match the results.
 const EXIT_OUTDATED_PAGE: u8 = 5;
-/// Stopped by the user.
+/// Interrupted by SIGINT or SIGTERM.
 const EXIT_INTERRUPTED: u8 = 130;
 
-/// How long hollow workers have to come to a point at which they can be dropped.
+/// Upper bound on the wait for the tasks of a runtime to reach a point at which they can be dropped.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Measures how dalelb's controllers grow.
+/// Measures how the resource usage of dalelb's controllers grows with the load.
 ///
-/// Starts real controllers (`dalelb serve`) on addresses of 127.0.0.0/8 and plays the rest in this process:
-/// a state service and a cloud with their limits, hollow workers that run no tasks but report them, and users.
-/// Exit codes: 0 done; 2 bad arguments or files; 3 an experiment failed; 4 a rule was broken; 5 the page is
-/// outdated; 130 interrupted. What was measured until then is kept in every case.
+/// Starts real controllers (`dalelb serve`) on addresses in 127.0.0.0/8 and emulates everything else in this process:
+/// a state service and a cloud with rate limits, users, and workers that report tasks as running without executing
+/// anything. Exit codes: 0 success; 2 invalid arguments or files; 3 an experiment failed; 4 a protocol invariant was
+/// violated; 5 the page is outdated; 130 interrupted. The results of completed experiments are kept in every case.
 #[derive(Parser)]
 #[command(name = "dalelb-load-test", version, about, long_about)]
 struct Cli {
@@ -55,40 +55,40 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run the experiments of a settings file, one after the other.
+    /// Run the experiments of a settings file one after another.
     Run {
-        /// What to run (TOML): a table `base` with one deployment and its load, and tables `sweep`, each with
-        /// `vary` (workers, starts_per_s, run_s, teams or finished_jobs) and `values`.
+        /// Settings file (TOML): a table `base` with a deployment and its load, and any number of `sweep` tables,
+        /// each with `vary` (workers, starts_per_s, run_s, teams or finished_jobs) and `values`.
         #[arg(long, value_name = "FILE")]
         settings: PathBuf,
-        /// Where the results go (JSON), anew after each experiment.
+        /// Result file (JSON); rewritten after each experiment.
         #[arg(long, value_name = "FILE")]
         result: PathBuf,
-        /// The controller to run [default: dalelb beside this program].
+        /// The controller program [default: `dalelb` in this program's directory].
         #[arg(long, value_name = "PROGRAM")]
         dalelb: Option<PathBuf>,
-        /// Only say what would be run, and what it is expected to take.
+        /// Only print the planned experiments and their estimated memory usage.
         #[arg(long)]
         dry_run: bool,
     },
-    /// Work out the figures of the capacity page from results.
+    /// Update the measurements on the capacity page from result files.
     Page {
-        /// Files that `run` has written.
+        /// Result files written by `run`.
         #[arg(required = true, value_name = "RESULT")]
         results: Vec<PathBuf>,
-        /// The page, whose part between the two marks is made anew.
+        /// The page; the section between its two marker lines is regenerated.
         #[arg(long, value_name = "FILE")]
         page: PathBuf,
-        /// RegistryChange nothing; fail if the page shows something else.
+        /// Write nothing; fail if the page does not match the results.
         #[arg(long)]
         check: bool,
     },
 }
 
-/// A result file.
+/// The content of a result file.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Results {
-    /// Runs, in their order.
+    /// The completed runs in execution order.
     pub points: Vec<Point>,
 }
 
@@ -100,7 +100,7 @@
         serde_json::from_str(&text).map_err(|error| format!("{shown}: {error}"))
     }
 
-    /// Replaces the file at once, so that a run that is stopped leaves a whole one.
+    /// Replaces the file atomically, so that an interrupted run leaves a complete file.
     fn save(&self, path: &Path) -> Result<(), RunError> {
         let beside = path.with_extension("tmp");
         let text = serde_json::to_string_pretty(self).expect("results are plain data");
@@ -129,7 +129,7 @@
     }
 }
 
-/// One clear line, and the code.
+/// Prints the error on one line of standard error and returns the exit code.
 fn fail(error: &dyn std::fmt::Display, code: u8) -> ExitCode {
     eprintln!("dalelb-load-test: {error}");
     ExitCode::from(code)
@@ -150,13 +150,13 @@
     let beside = std::env::current_exe().map(|own| own.with_file_name("dalelb"));
     let program = dalelb.unwrap_or(beside.unwrap_or_default());
     if !program.is_file() {
-        let missing = format!("{}: no such program", program.display());
+        let missing = format!("{}: controller program not found", program.display());
         return fail(&missing, EXIT_BAD_INPUT);
     }
     match run_all(&plans, result, program) {
         Ok(0) => ExitCode::SUCCESS,
         Ok(broken) => fail(
-            &format!("{broken} rules broken, see the result"),
+            &format!("{broken} invariant violations, see the result file"),
             EXIT_INVARIANT_VIOLATED,
         ),
         Err(RunError::Interrupted) => fail(&RunError::Interrupted, EXIT_INTERRUPTED),
@@ -180,7 +180,7 @@
     )
 }
 
-/// Runs the plans; how many rules were broken.
+/// Runs the plans and returns the number of invariant violations.
 fn run_all(plans: &[Plan], result: &Path, program: PathBuf) -> Result<u64, RunError> {
     let mut results = Results::default();
     results.save(result)?;
@@ -203,11 +203,11 @@
     Ok(broken)
 }
 
-/// Runs one plan on a runtime of its own: with that its listeners and workers are gone.
+/// Runs one plan on its own runtime; shutting the runtime down drops the plan's listeners and workers.
 fn play(plan: &Plan, places: &RunPaths) -> Result<Point, RunError> {
     let runtime = tokio::runtime::Runtime::new().map_err(RunError::Runtime)?;
     let played = runtime.block_on(async {
-        // Dropped when the user stops it: that ends the controllers.
+        // An interrupt drops this future, which kills the controllers.
         tokio::select! {
             played = experiment::run_plan(plan, places) => played,
             () = stopped() => Err(RunError::Interrupted),
@@ -217,7 +217,7 @@
     played
 }
 
-/// Returns when the user or the system asks to stop.
+/// Completes on SIGINT or SIGTERM.
 async fn stopped() {
     use tokio::signal::unix::{SignalKind, signal};
     let Ok(mut terminate) = signal(SignalKind::terminate()) else {
@@ -230,7 +230,7 @@
     }
 }
 
-/// One line that is written over on a terminal.
+/// Prints a progress line; on a terminal it overwrites the previous one.
 fn progress(done: usize, all: usize, began: Instant, what: &str) {
     let seconds = began.elapsed().as_secs();
     let line = format!("[{done}/{all}] {seconds} s  {what}");
@@ -263,7 +263,7 @@
     }
     if check {
         return fail(
-            &format!("{shown} does not show these results"),
+            &format!("{shown} does not match these results"),
             EXIT_OUTDATED_PAGE,
         );
     }
--- a/crates/load-test/src/measure.rs
+++ b/crates/load-test/src/measure.rs
@@ -1,4 +1,4 @@
-//! What is measured of one run, and the figures that are worked out from it.
+//! Measurements of one run and the figures derived from them.
 
 use std::{sync::atomic::Ordering, time::Instant};
 
@@ -18,100 +18,100 @@
     settings::{Experiment, SweepParameter},
 };
 
-/// Reports that the reference work encodes and decodes.
+/// Number of heartbeats that the reference work encodes and decodes.
 const REFERENCE_REPORTS: usize = 4000;
-/// Tasks of each of them.
+/// Tasks in each of these heartbeats.
 const REFERENCE_TASKS: u32 = 8;
 
-/// One run of one experiment.
+/// The result of one run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Point {
-    /// What was varied; none: nothing.
+    /// The varied parameter; `None`: the base was run.
     pub vary: Option<SweepParameter>,
-    /// Its value.
+    /// The value of the varied parameter.
     pub value: f64,
-    /// Its value in the base of the settings file.
+    /// Base value of the varied parameter.
     pub base: f64,
-    /// The number of the run at that value.
+    /// Number of the run at this value, from 1.
     pub run: usize,
-    /// What was run.
+    /// The deployment and its load.
     pub experiment: Experiment,
-    /// Milliseconds of processor time that a fixed piece of work took beside the run.
+    /// CPU time of the reference work that was executed during the run, in milliseconds.
     pub reference_ms: f64,
-    /// What the first region did.
+    /// Figures of the first region.
     pub figures: Figures,
-    /// What a drill came to, if there was one.
+    /// Figures of the drill, if the experiment has one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub drill: Option<DrillFigures>,
-    /// InvariantChecker that were broken, in all regions.
+    /// Number of invariant violations in all regions.
     pub broken: u64,
-    /// The first of them.
+    /// Descriptions of the first violations.
     pub broken_first: Vec<String>,
 }
 
-/// What the first region did while it was measured. Rates are per second.
+/// Figures of the first region over the measurement. Counts without another unit are rates per second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Figures {
-    /// Seconds that were measured.
+    /// Duration of the measurement, in seconds.
     pub seconds: f64,
-    /// The leader's processor time, in milliseconds a second.
+    /// CPU time of the leader, in milliseconds per second.
     pub leader_cpu_ms: f64,
-    /// A follower's, the mean of all.
+    /// Mean CPU time of a follower, in milliseconds per second.
     pub follower_cpu_ms: f64,
-    /// The leader's resident memory at the end, in megabytes.
+    /// Resident memory of the leader at the end, in megabytes.
     pub leader_mb: f64,
-    /// A follower's.
+    /// Mean resident memory of a follower at the end, in megabytes.
     pub follower_mb: f64,
-    /// The leader's sockets.
+    /// Open sockets of the leader at the end.
     pub leader_sockets: f64,
-    /// A follower's.
+    /// Mean open sockets of a follower at the end.
     pub follower_sockets: f64,
-    /// Reports.
+    /// Heartbeats of workers.
     pub reports: f64,
-    /// Bytes of reports and their answers, headers included.
+    /// Bytes of heartbeats and their responses, including headers.
     pub report_bytes: f64,
-    /// Direct commands.
+    /// Requests to workers.
     pub commands: f64,
-    /// Bytes of commands and their answers.
+    /// Bytes of these requests and their responses.
     pub command_bytes: f64,
     /// Requests to the state service.
     pub state_requests: f64,
-    /// Puts and deletes.
+    /// Puts and deletes in the state service.
     pub state_writes: f64,
-    /// Bytes of transactions.
+    /// Bytes of transactions sent to the state service.
     pub state_txn_bytes: f64,
-    /// Requests that the state service refused.
+    /// Requests that the state service rejected because of its rate limits.
     pub state_refused: f64,
     /// Keys in the state service at the end.
     pub state_keys: f64,
-    /// Bytes of keys and values there.
+    /// Bytes of keys and values in the state service at the end.
     pub state_bytes: f64,
-    /// Bytes between the region's controllers.
+    /// Bytes between the controllers of the region.
     pub mesh_bytes: f64,
-    /// Bytes of users' connections.
+    /// Bytes on the connections of users.
     pub user_bytes: f64,
-    /// Tasks that started.
+    /// Task starts.
     pub starts: f64,
-    /// Tasks that ran at the end.
+    /// Tasks running at the end.
     pub running: f64,
-    /// Submissions that were accepted.
+    /// Accepted submissions.
     pub accepted: f64,
-    /// Timeouts that a user was sent away for a while.
+    /// Submission attempts without an acceptance, which the user retries.
     pub sent_away: f64,
-    /// Sessions of workers that ended for want of an answer, in the whole run.
+    /// Worker leases that expired since the start of the run (a count, not a rate).
     pub sessions_lost: f64,
-    /// From acceptance to the start command, urgent work.
+    /// Time from the acceptance of a job to the start command for its task, high priority.
     pub urgent: StartLatencies,
-    /// The same for other work.
+    /// The same for all other jobs.
     pub other: StartLatencies,
-    /// Seconds from the first controller's start until it was ready.
+    /// Time from the start of the controllers until the first one was ready, in seconds.
     pub ready_s: f64,
-    /// Seconds from the leader's end until a successor knew nine tenths of the workers; none: not tried, or not
-    /// within the time.
+    /// Time from the end of the leader until nine tenths of the workers were registered with a successor, in seconds;
+    /// `None`: not tried, or not within the timeout.
     pub takeover_s: Option<f64>,
 }
 
-/// CounterTotals at one moment.
+/// The counters of a region at one point in time.
 pub struct Snapshot {
     at: Instant,
     leader: usize,
@@ -127,7 +127,7 @@
 }
 
 impl Snapshot {
-    /// Of this region now.
+    /// Reads the current counters of the region.
     pub fn of(
         region: &Region,
         leader: usize,
@@ -154,7 +154,7 @@
         }
     }
 
-    /// What was done from `self` to `end`.
+    /// The figures of the interval from `self` to `end`.
     pub fn until(&self, end: &Snapshot, region: &Region, rules: &InvariantChecker) -> Figures {
         let seconds = end.at.duration_since(self.at).as_secs_f64();
         let rate = |from: u64, to: u64| to.saturating_sub(from) as f64 / seconds;
@@ -204,8 +204,8 @@
     }
 }
 
-/// Does a fixed piece of work and tells the processor time that it took, in milliseconds: how fast this
-/// machine is just now.
+/// Executes a fixed amount of work and returns the CPU time that it took, in milliseconds. It shows how fast the
+/// machine is during the run.
 pub fn reference() -> f64 {
     let tasks = (0..REFERENCE_TASKS).map(|index| TaskReport {
         task: TaskId {
@@ -238,7 +238,7 @@
     thread_cpu_ms() - before
 }
 
-/// Processor time of the calling thread; 0 where the system does not tell.
+/// CPU time of the calling thread in milliseconds; 0 if `/proc` does not provide it.
 fn thread_cpu_ms() -> f64 {
     let times = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let on_processor = times.split_whitespace().next();
--- a/crates/load-test/src/region.rs
+++ b/crates/load-test/src/region.rs
@@ -1,4 +1,4 @@
-//! One region: a state service, a cloud, hollow workers, and real controllers.
+//! One region: an emulated state service, cloud and workers, and real controllers.
 
 use std::{
     net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener},
@@ -29,111 +29,113 @@
     settings::Experiment,
 };
 
-/// Offsets from the experiment's port.
+/// Port numbers as offsets from the port of the experiment.
 const STATE_PORT: u16 = 0;
 const CLOUD_PORT: u16 = 1;
 const LISTEN_PORT: u16 = 2;
 const MESH_PORT: u16 = 3;
 const FLEET_PORT: u16 = 4;
-/// The first of the last numbers of controllers' addresses, and of the relays to them.
+/// Last octet of the address of the first controller, and of the first link to a controller.
 const FIRST_NODE_OCTET: u8 = 10;
 const FIRST_LINK_OCTET: u8 = 100;
-/// The second number of the first region's workers' addresses.
+/// Second octet of the addresses of the first region's workers.
 const FIRST_SUBNET: u8 = 100;
-/// The second number of the addresses of links between regions is this and the number of the region they lead to.
+/// The second octet of the address of an inter-region link is this plus the index of its target region.
 const INTER_REGION_SUBNET: u8 = 50;
-/// The limits of a transaction.
+/// Limits of the state service on writes per transaction and on value size.
 const TXN_OPS: u32 = 48;
 const VALUE_KB: f64 = 16.0;
 const CLOUD_RPS: f64 = 20.0;
-/// Ids of jobs that had ended before.
+/// Id of the first finished job in the state service.
 const FIRST_FINISHED_JOB_ID: u64 = 900_000_000;
-/// Guarantees are a part of this many CPUs for each worker's one.
+/// Fraction of all CPUs that the guarantees of all teams add up to.
 const GUARANTEED_FRACTION: f64 = 0.3;
 
-/// Something that an experiment can't begin or go on without.
+/// Error that ends an experiment.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// Somebody else has the address.
+    /// A listener cannot be opened, for example because the address is in use.
     #[error("cannot listen on {addr}: {source}")]
     Listen {
         /// The address.
         addr: String,
-        /// What the system said.
+        /// The underlying error.
         source: std::io::Error,
     },
-    /// A controller can't be started.
+    /// A controller cannot be started or killed.
     #[error("cannot start {program}: {source}")]
     Start {
         /// The program.
         program: String,
-        /// What the system said.
+        /// The underlying error.
         source: std::io::Error,
     },
-    /// A controller ended by itself.
-    #[error("controller {label} of region {region} ended by itself ({status}); it said: {said}")]
+    /// A controller exited unexpectedly.
+    #[error(
+        "controller {label} of region {region} exited unexpectedly ({status}); last log line: {said}"
+    )]
     ControllerExited {
-        /// Its label.
+        /// Label of the controller.
         label: String,
-        /// Its region, from 0.
+        /// Index of its region.
         region: usize,
-        /// Its exit status.
+        /// The exit status.
         status: String,
-        /// The last line of its log.
+        /// The last line of the log.
         said: String,
     },
-    /// Something took too long.
-    #[error("not within {seconds} s: {what}")]
+    /// A condition was not met in time.
+    #[error("timed out after {seconds} s; waited until {what}")]
     TimedOut {
-        /// What was waited for.
+        /// The condition that was waited for.
         what: String,
-        /// For how long.
+        /// The timeout in seconds.
         seconds: u64,
     },
-    /// The tool itself can't start.
-    #[error("cannot start: {0}")]
+    /// The asynchronous runtime cannot be created.
+    #[error("cannot create the runtime: {0}")]
     Runtime(std::io::Error),
-    /// Too much memory is in use.
-    #[error("the tool and the controllers hold {held_mb} MB, {most_mb} at most")]
+    /// The tool and the controllers use too much memory.
+    #[error("the tool and the controllers use {held_mb} MB of memory, {most_mb} MB are allowed")]
     Memory {
-        /// What they hold.
+        /// Resident memory in use, in megabytes.
         held_mb: u64,
-        /// What they may.
+        /// The limit, in megabytes.
         most_mb: u64,
     },
-    /// A file can't be written.
+    /// A file or directory cannot be written.
     #[error("cannot write {path}: {source}")]
     Write {
         /// The file.
         path: String,
-        /// What the system said.
+        /// The underlying error.
         source: std::io::Error,
     },
-    /// The user asked to stop.
+    /// The tool received SIGINT or SIGTERM.
     #[error("interrupted")]
     Interrupted,
 }
 
 /// A running region.
 pub struct Region {
-    /// Its number, from 0.
+    /// Index of the region.
     pub index: usize,
-    /// Its controllers.
+    /// The controllers, by node index.
     pub controllers: Vec<Controller>,
-    /// Its workers.
+    /// The emulated workers.
     pub fleet: Fleet,
-    /// Its state service.
+    /// The emulated state service.
     pub state: StateService,
-    /// Its cloud.
+    /// The emulated cloud.
     pub cloud: Cloud,
-    /// Bytes of users' connections.
+    /// Traffic on the connections of users.
     pub user_traffic: Arc<Traffic>,
-    /// Links from other controllers of the region to each.
+    /// Links to the controllers from the other controllers of the region, by node index.
     pub links: Vec<EmulatedLink>,
-    /// Links from this region's controllers to those of each other region.
+    /// Links from this region's controllers to those of other regions, each with the index of the target region.
     pub inter_region_links: Vec<(usize, EmulatedLink)>,
     arguments: Vec<String>,
-    /// Its controllers' settings files.
+    /// The settings files of the controllers.
     pub files: SettingsFiles,
     program: PathBuf,
 }
@@ -153,7 +155,7 @@
     format!("team-{index:04}")
 }
 
-/// CPUs that a team is guaranteed, and that it may use at most, in each region.
+/// Guarantee and limit of a team in CPUs. In a drill they apply to all regions together, otherwise to each region.
 pub fn team_cpus(experiment: &Experiment) -> (f64, f64) {
     let regions = if experiment.drill.is_some() {
         experiment.regions
@@ -178,7 +180,7 @@
             .join(format!("r{}-{label}.json", self.region))
     }
 
-    /// Writes a controller's file anew, at once.
+    /// Writes or atomically replaces the settings file of a controller and returns its path.
     pub fn write(
         &self,
         node: usize,
@@ -226,7 +228,7 @@
 }
 
 impl Region {
-    /// Starts everything but waits for nothing.
+    /// Starts all parts of the region without waiting until the controllers are ready.
     pub fn start(
         index: usize,
         experiment: &Experiment,
@@ -276,7 +278,7 @@
         Ok(region)
     }
 
-    /// Starts a controller that was killed once more.
+    /// Restarts a controller that was killed.
     pub fn restart(&mut self, node: usize) -> Result<(), RunError> {
         let address = self.controllers[node].address.clone();
         let settings = self.files.path(&address.label);
@@ -288,7 +290,7 @@
         Ok(())
     }
 
-    /// An error if a controller has ended by itself.
+    /// Fails if a controller has exited.
     pub fn check_controllers_alive(&mut self) -> Result<(), RunError> {
         let region = self.index;
         for controller in &mut self.controllers {
@@ -307,7 +309,7 @@
         Ok(())
     }
 
-    /// What a controller's metrics say; `None`: it does not answer.
+    /// The metrics of a controller; `None` if it does not answer.
     pub async fn metrics(&self, node: usize) -> Option<Metrics> {
         let traffic = Arc::new(Traffic::default());
         let mut link = HttpConnection::new(self.controllers[node].address.listen, traffic);
@@ -318,7 +320,7 @@
         (status == 200).then_some(Metrics { text })
     }
 
-    /// Whether a controller takes users' requests.
+    /// Whether a controller is ready to serve users' requests.
     pub async fn ready(&self, node: usize) -> bool {
         let traffic = Arc::new(Traffic::default());
         let mut link = HttpConnection::new(self.controllers[node].address.listen, traffic);
@@ -327,7 +329,7 @@
         answer.await.is_some_and(|(status, _)| status == 200)
     }
 
-    /// The controller that says it leads.
+    /// The controller whose metrics report that it is the leader.
     pub async fn leader(&self) -> Option<usize> {
         for node in 0..self.controllers.len() {
             let metrics = self.metrics(node).await;
@@ -338,14 +340,14 @@
         None
     }
 
-    /// Where users reach the controllers.
+    /// Listen addresses of the controllers for users.
     pub fn listen_addrs(&self) -> Vec<SocketAddr> {
         let controllers = self.controllers.iter();
         controllers.map(|each| each.address.listen).collect()
     }
 }
 
-/// Teams as the settings files name them at first.
+/// The teams of the initial settings files.
 pub fn initial_teams(experiment: &Experiment) -> Vec<Value> {
     let (guarantee, limit) = team_cpus(experiment);
     let teams = 0..experiment.teams;
@@ -354,30 +356,30 @@
         .collect()
 }
 
-/// A team in a settings file.
+/// The settings of one team; guarantee and limit in CPUs.
 pub fn team_settings(team: usize, guarantee: f64, limit: f64) -> Value {
     json!({"name": team_name(team), "cpus": guarantee, "cpus_max": limit})
 }
 
-/// The name of a region as a cell.
+/// The cell name of a region.
 pub fn cell_name(region: usize) -> String {
     format!("region-{region}")
 }
 
-/// A controller's metrics as text.
+/// The metrics of a controller in the text exposition format.
 pub struct Metrics {
     text: String,
 }
 
 impl Metrics {
-    /// The sum of all values whose lines begin so.
+    /// The sum of the values on all lines that start with this prefix.
     pub fn sum(&self, begin: &str) -> f64 {
         let lines = self.text.lines().filter(|line| line.starts_with(begin));
         let values = lines.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok());
         values.sum()
     }
 
-    /// The value of a metric, with its labels as they are written.
+    /// The value of a metric; `name` includes the labels exactly as the controller writes them.
     pub fn value(&self, name: &str) -> Option<f64> {
         let mut lines = self.text.lines();
         lines.find_map(|line| {
@@ -407,7 +409,7 @@
     RunError::Listen { addr, source }
 }
 
-/// An error if somebody listens there.
+/// Fails if the address is in use.
 fn check_addr_free(addr: SocketAddr) -> Result<(), RunError> {
     let listener = TcpListener::bind(addr);
     listener
@@ -469,7 +471,7 @@
     })
 }
 
-/// The cloud ends the workers that are deleted.
+/// Starts the cloud; a deletion of machines removes the emulated workers of that name.
 fn start_cloud(
     region: usize,
     experiment: &Experiment,
@@ -502,10 +504,10 @@
     links.collect()
 }
 
-/// Links to other regions, by the region that they lead to, and a controller's arguments that name them.
+/// Links to other regions, each with the index of its target region, and the controller arguments that name them.
 type InterRegionLinks = (Vec<(usize, EmulatedLink)>, Vec<String>);
 
-/// Links to all other regions' controllers, and the arguments that name them; nothing where regions stand alone.
+/// Starts the links to the controllers of all other regions; without a drill regions are independent and there are none.
 fn start_inter_region_links(
     region: usize,
     experiment: &Experiment,
--- a/crates/load-test/src/report_page.rs
+++ b/crates/load-test/src/report_page.rs
@@ -1,4 +1,5 @@
-//! The measured part of the capacity page: slopes, and what a region at the target needs by them.
+//! The measurements on the capacity page: the growth of each figure along the sweeps, and extrapolations to the target
+//! load.
 
 use std::{collections::BTreeMap, fmt::Write};
 
@@ -9,13 +10,13 @@
     settings::SweepParameter,
 };
 
-/// The part of the page between these lines is made from results.
+/// The section of the page between these lines is generated from result files.
 const BEGIN: &str = "<!-- measured: begin -->";
 const END: &str = "<!-- measured: end -->";
 
-/// A region at the target, in the terms of the sweeps: 29,000 workers, 6,800 starts a second and 160,000
-/// running tasks over 7 regions (18,714 of a region's tasks in arrays, at 971 starts a second), all 330 teams
-/// in each, and the finished jobs of 30 days (280,000 jobs a day over 7 regions).
+/// The target load of one region, by sweep parameter: 29,000 workers, 6,800 starts per second and 160,000 running
+/// tasks over 7 regions (of them 18,714 array tasks per region, at 971 starts per second), all 330 teams in each
+/// region, and the finished jobs of 30 days (280,000 jobs per day over 7 regions).
 const TARGET_LOAD: [(SweepParameter, f64); 5] = [
     (SweepParameter::Workers, 4143.0),
     (SweepParameter::StartsPerS, 971.0),
@@ -24,7 +25,7 @@
     (SweepParameter::FinishedJobs, 1_200_000.0),
 ];
 
-/// The same of today's largest site, 1,367 machines and 27 starts a second, its jobs of one day.
+/// The load of the largest site today: 1,367 machines, 27 starts per second and the finished jobs of one day.
 const CURRENT_LOAD: [(SweepParameter, f64); 5] = [
     (SweepParameter::Workers, 1367.0),
     (SweepParameter::StartsPerS, 27.0),
@@ -33,32 +34,32 @@
     (SweepParameter::FinishedJobs, 86_400.0),
 ];
 
-/// FittedGrowth that is less than this part of the figure over the whole sweep is not told of.
+/// Growth over a whole sweep that is below this fraction of the figure is not reported.
 const GROWTH_THRESHOLD: f64 = 0.15;
 
-/// A figure that is followed.
+/// A figure that the page shows.
 struct TrackedFigure {
     name: &'static str,
     unit: &'static str,
     extract: fn(&Point) -> Option<f64>,
-    /// What carries it.
+    /// What determines the figure.
     driver: &'static str,
 }
 
 const TRACKED_FIGURES: [TrackedFigure; 24] = [
     tracked_figure(
-        "leader, processor",
+        "leader, CPU time",
         "ms/s",
-        "one thread; a leader for each cell",
+        "one thread; one leader per cell",
         |p| Some(p.figures.leader_cpu_ms),
     ),
     tracked_figure(
-        "follower, processor",
+        "follower, CPU time",
         "ms/s",
-        "followers take users only",
+        "followers serve only users",
         |p| Some(p.figures.follower_cpu_ms),
     ),
-    tracked_figure("leader, memory", "MB", "books of one cell", |p| {
+    tracked_figure("leader, memory", "MB", "cluster state of one cell", |p| {
         Some(p.figures.leader_mb)
     }),
     tracked_figure("follower, memory", "MB", "the directory of jobs", |p| {
@@ -73,16 +74,19 @@
     tracked_figure("follower, sockets", "", "users' connections", |p| {
         Some(p.figures.follower_sockets)
     }),
-    tracked_figure("reports", "1/s", "each worker, and its changes", |p| {
-        Some(p.figures.reports)
-    }),
+    tracked_figure(
+        "reports",
+        "1/s",
+        "each worker, at an interval and on changes",
+        |p| Some(p.figures.reports),
+    ),
     tracked_figure("reports, bytes", "KB/s", "", |p| {
         Some(p.figures.report_bytes / 1e3)
     }),
     tracked_figure(
         "commands",
         "1/s",
-        "direct commands, all starts of a machine in one",
+        "one direct command holds all starts of a machine",
         |p| Some(p.figures.commands),
     ),
     tracked_figure("commands, bytes", "KB/s", "", |p| {
@@ -97,13 +101,13 @@
     tracked_figure(
         "state, requests",
         "1/s",
-        "syncs, watches and the log of one cell",
+        "read barriers, watches and the log of one cell",
         |p| Some(p.figures.state_requests),
     ),
     tracked_figure(
         "state, writes",
         "1/s",
-        "the log: an entry holds many changes",
+        "the log; one record holds many changes",
         |p| Some(p.figures.state_writes),
     ),
     tracked_figure("state, transactions", "KB/s", "the log", |p| {
@@ -112,51 +116,52 @@
     tracked_figure(
         "state, keys",
         "",
-        "missing: finished jobs are kept for good",
+        "finished jobs are never deleted (known gap)",
         |p| Some(p.figures.state_keys),
     ),
     tracked_figure(
-        "state, stored",
+        "state, stored data",
         "MB",
-        "missing: finished jobs are kept for good",
+        "finished jobs are never deleted (known gap)",
         |p| Some(p.figures.state_bytes / 1e6),
     ),
     tracked_figure(
         "mesh, bytes",
         "KB/s",
-        "progress of unfinished jobs, each second",
+        "progress of unfinished jobs, sent every second",
         |p| Some(p.figures.mesh_bytes / 1e3),
     ),
-    tracked_figure("users, bytes", "KB/s", "any node answers", |p| {
-        Some(p.figures.user_bytes / 1e3)
-    }),
-    tracked_figure("starts reached", "1/s", "the log", |p| {
-        Some(p.figures.starts)
-    }),
     tracked_figure(
-        "urgent, p99 to start",
+        "users, bytes",
+        "KB/s",
+        "users' requests; any node serves them",
+        |p| Some(p.figures.user_bytes / 1e3),
+    ),
+    tracked_figure("task starts", "1/s", "the log", |p| Some(p.figures.starts)),
+    tracked_figure(
+        "urgent, p99 start latency",
         "ms",
-        "rounds each 40 ms, one entry of the log at a time",
+        "a scheduling cycle every 40 ms, one log write at a time",
         |p| p99(&p.figures.urgent),
     ),
-    tracked_figure("other, p99 to start", "ms", "the same", |p| {
+    tracked_figure("other, p99 start latency", "ms", "the same", |p| {
         p99(&p.figures.other)
     }),
     tracked_figure(
-        "start to ready",
+        "startup until ready",
         "s",
-        "missing: every job is read at the start",
+        "all jobs are read at startup (known gap)",
         |p| Some(p.figures.ready_s),
     ),
     tracked_figure(
-        "leader's end to books",
+        "leader failover",
         "s",
-        "a lease of 3.5 s, then the log",
+        "lease of 3.5 s, then reading the log",
         |p| p.figures.takeover_s,
     ),
 ];
 
-/// `None`: nothing of the kind started.
+/// The 99th percentile; `None` if no task started.
 fn p99(times: &StartLatencies) -> Option<f64> {
     (times.count > 0).then_some(times.p99_ms as f64)
 }
@@ -175,16 +180,16 @@
     }
 }
 
-/// Why a page can't be renewed.
+/// Error of updating a page.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PageError {
-    /// The marks are missing or the wrong way round.
-    #[error("has no lines {BEGIN:?} and {END:?} after it")]
+    /// The marker lines are missing or in the wrong order.
+    #[error("must contain the line {BEGIN:?} followed by {END:?}")]
     NoMarks,
 }
 
-/// The page with its measured part made from these results, a file each. Of two files that vary the same, the later one
-/// leads to the target.
+/// Returns the page with its generated section replaced. `results` holds the points of each result file; if several files
+/// sweep the same parameter, the last one is used for the extrapolation.
 pub fn update_page(page: &str, results: &[Vec<Point>]) -> Result<String, PageError> {
     let (before, rest) = page.split_once(BEGIN).ok_or(PageError::NoMarks)?;
     let (_, after) = rest.split_once(END).ok_or(PageError::NoMarks)?;
@@ -192,17 +197,17 @@
     Ok(format!("{before}{BEGIN}\n{measured}{END}{after}"))
 }
 
-/// One figure along one sweep.
+/// The growth of one figure along one sweep.
 struct FittedGrowth {
     line: LinearFit,
     spread: f64,
-    /// What the sweep held, and what stood at its first and last value.
+    /// The first and last value of the sweep, each with the mean of the figure there.
     from: (f64, f64),
     to: (f64, f64),
 }
 
 impl FittedGrowth {
-    /// `None`: too few points.
+    /// `None` if there are fewer than two different values.
     fn of(points: &[&Point], figure: &TrackedFigure) -> Option<Self> {
         let mut at: BTreeMap<u64, Vec<f64>> = BTreeMap::new();
         for point in points {
@@ -210,7 +215,7 @@
                 at.entry(point.value.to_bits()).or_default().push(value);
             }
         }
-        // Values are not negative, so their bits are in their order.
+        // The values are not negative, so the order of their bits is the order of the values.
         let means: Vec<(f64, f64)> = at
             .iter()
             .map(|(bits, values)| {
@@ -228,7 +233,7 @@
         })
     }
 
-    /// Whether it grows with the sweep by more than runs alike differ.
+    /// Whether the figure changes along the sweep by more than identical runs differ.
     fn grows(&self, noise: f64) -> bool {
         let (low, high) = (self.from.1.abs(), self.to.1.abs());
         let least = GROWTH_THRESHOLD.max(noise) * low.max(high);
@@ -236,7 +241,7 @@
     }
 }
 
-/// How far runs alike differ in this figure, over all that was repeated.
+/// The largest spread of this figure between identical runs, over all repeated runs.
 fn noise(results: &[Vec<Point>], figure: &TrackedFigure) -> f64 {
     let sweeps = results.iter().flat_map(|points| {
         let sweeps = TARGET_LOAD.iter().map(|(vary, _)| of_sweep(points, *vary));
@@ -270,14 +275,14 @@
     );
     let _ = writeln!(
         text,
-        "\n{} runs, rules broken: {broken}. The reference work took {} to {} ms beside them.\n",
+        "\n{} runs, {broken} invariant violations. During the runs the reference work took {} to {} ms of CPU time.\n",
         points.len(),
         number(least.min(most)),
         number(most)
     );
 }
 
-/// A table of all that grows along the sweeps of one file.
+/// Writes the table of the figures that grow along the sweeps of one result file.
 fn render_slopes(text: &mut String, points: &[Point], results: &[Vec<Point>]) {
     let Some(first) = points.iter().find(|point| point.vary.is_some()) else {
         return;
@@ -285,12 +290,12 @@
     let base = &first.experiment;
     let _ = writeln!(
         text,
-        "Tasks of {} CPUs beside a replica of {} on workers of {}:\n",
+        "Array tasks of {} CPUs and one replica of {} CPUs per worker, on workers of {} CPUs:\n",
         number(base.task_cpus),
         number(base.replica_cpus),
         number(base.worker_cpus)
     );
-    text.push_str("| figure | unit | along | from | to | slope for 1,000 | at 0 | residual | spread | a line |\n");
+    text.push_str("| figure | unit | parameter | from | to | slope per 1,000 | value at 0 | residual | spread | linear |\n");
     text.push_str("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
     for figure in &TRACKED_FIGURES {
         let noise = noise(results, figure);
@@ -324,14 +329,14 @@
     text.push('\n');
 }
 
-/// What stands somewhere by the slopes: what was run at the base, and for each sweep along which the figure grows its
-/// slope times the way from there.
+/// A figure extrapolated to some load: its value at the base plus, for each sweep along which it grows, the slope times
+/// the distance from the base.
 struct Extrapolation {
     value: f64,
     varied_along: Vec<&'static str>,
-    /// Beyond the largest value that was run.
+    /// The load is beyond the largest measured value of a sweep.
     is_beyond_measured: bool,
-    /// Along points that are no line.
+    /// The points of a sweep are not on a line.
     is_nonlinear: bool,
 }
 
@@ -372,7 +377,7 @@
     fn marks(&self) -> String {
         let marks = [
             (self.is_beyond_measured, "extrapolated"),
-            (self.is_nonlinear, "no line"),
+            (self.is_nonlinear, "not linear"),
         ];
         let marks = marks.iter().filter(|(holds, _)| *holds);
         let marks: Vec<&str> = marks.map(|(_, mark)| *mark).collect();
@@ -380,9 +385,10 @@
     }
 }
 
-/// Today's largest site and a region at the target by the slopes, and what was run without varying anything.
+/// Writes the table of extrapolations to the largest site today and to a region at the target, beside the last run of an
+/// unvaried base.
 fn render_target(text: &mut String, results: &[Vec<Point>]) {
-    text.push_str("| figure | unit | today's largest site, by slopes | a region at the target, by slopes | along | marks | a region at the target, as run | carried by |\n");
+    text.push_str("| figure | unit | largest site today, extrapolated | region at the target, extrapolated | parameters | remarks | region at the target, measured | determined by |\n");
     text.push_str("| --- | --- | --- | --- | --- | --- | --- | --- |\n");
     let as_run = results.iter().flatten();
     let mut as_run = as_run.filter(|point| point.vary.is_none() && point.drill.is_none());
@@ -413,7 +419,7 @@
     render_drills(text, results);
 }
 
-/// What went on in each drill.
+/// Writes the figures of each drill.
 fn render_drills(text: &mut String, results: &[Vec<Point>]) {
     for point in results.iter().flatten() {
         let (Some(drill), Some(wanted)) = (&point.drill, &point.experiment.drill) else {
@@ -421,7 +427,7 @@
         };
         let _ = writeln!(
             text,
-            "A drill: {} regions as cells, {} workers and {} controllers in all, {} teams, links of {} ms one way, {} changes of limits; {} rules broken; the leader's end to books {} s.\n",
+            "Drill: {} regions as cells, {} workers and {} controllers in total, {} teams, inter-region links with a one-way latency of {} ms, {} limit changes; {} invariant violations; leader failover: {} s.\n",
             point.experiment.regions,
             number(drill.workers as f64),
             point.experiment.process_count(),
@@ -431,9 +437,9 @@
             point.broken,
             drill
                 .takeover_s
-                .map_or("not within the time,".to_owned(), number),
+                .map_or("not within the timeout,".to_owned(), number),
         );
-        text.push_str("| part | s | starts/s | urgent: count, median, p99, worst ms | other: median, p99, worst ms | in force: count, median, p99, worst ms | behind at its end | busiest controller, ms/s | memory of all, MB | a worker's messages/s, B/s | between regions, KB/s |\n");
+        text.push_str("| phase | s | starts/s | urgent: count, median, p99, max ms | other: median, p99, max ms | limit changes in force: count, median, p99, max ms | teams behind at the end | busiest controller, ms/s | total memory, MB | per worker: messages/s, B/s | between regions, KB/s |\n");
         text.push_str("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
         for phase in &drill.phases {
             let _ = writeln!(
@@ -465,7 +471,7 @@
     }
 }
 
-/// The mean of all runs of the base itself.
+/// The mean of the figure over all runs in which the varied parameter has its base value.
 fn at_base(points: &[Point], figure: &TrackedFigure) -> Option<f64> {
     let at_base = points.iter();
     let at_base = at_base.filter(|point| point.vary.is_some() && point.value == point.base);
@@ -475,7 +481,7 @@
     (!values.is_empty()).then(|| values.iter().sum::<f64>() / values.len() as f64)
 }
 
-/// Three digits that count, thousands apart.
+/// Formats a number with three significant digits and thousands separators.
 fn number(value: f64) -> String {
     if value == 0.0 || !value.is_finite() {
         return "0".into();
--- a/crates/load-test/src/report_page/tests.rs
+++ b/crates/load-test/src/report_page/tests.rs
@@ -23,11 +23,11 @@
 #[test]
 fn extrapolation_reaches_the_target_and_is_marked() {
     let points = [vec![point(500, 30.0), point(1000, 40.0), point(2000, 60.0)]];
-    let page = format!("head\n{BEGIN}\nwhat stood here\n{END}\ntail\n");
+    let page = format!("head\n{BEGIN}\nprevious content\n{END}\ntail\n");
     let renewed = update_page(&page, &points).unwrap();
     assert!(renewed.starts_with("head\n") && renewed.ends_with("\ntail\n"));
-    assert!(!renewed.contains("what stood here"));
-    // 20 MB and 20 MB for each 1,000 workers; 4,143 of them.
+    assert!(!renewed.contains("previous content"));
+    // 20 MB plus 20 MB per 1,000 workers, for 4,143 workers.
     let row = "| leader, memory | MB | 47.3 | 103 | workers | extrapolated | not run |";
     assert!(renewed.contains(row), "{renewed}");
     assert!(
--- a/crates/load-test/src/settings.rs
+++ b/crates/load-test/src/settings.rs
@@ -1,115 +1,115 @@
-//! The settings file: one experiment, and what is varied in it.
+//! The settings file: a base experiment and the parameter sweeps over it.
 
 use std::path::Path;
 
 use serde::{Deserialize, Serialize};
 
-/// The most that the tool and the controllers may hold together, in bytes.
+/// Upper bound on the resident memory of the tool and all controllers together, in bytes.
 pub const MAX_MEMORY_BYTES: u64 = 11 << 30;
-/// The most processes that the tool may start.
+/// Upper bound on the number of controller processes of one experiment.
 pub const MAX_PROCESSES: usize = 300;
 
-/// What a controller is taken to hold before it is measured: at rest, for each worker, each running task
-/// and each finished job, in bytes. The tool's own share of a worker is in the second.
+/// Estimated memory of a controller in bytes: idle, for each worker, each running task and each finished job.
+/// `WORKER_BYTES` includes what the tool itself holds for a worker.
 const CONTROLLER_BYTES: u64 = 24 << 20;
 const WORKER_BYTES: u64 = 96 << 10;
 const TASK_BYTES: u64 = 2 << 10;
 const FINISHED_BYTES: u64 = 1 << 10;
-/// Workers of one region have addresses in one /16.
+/// All workers of a region have addresses in one /16 network.
 const MAX_WORKERS: usize = 60_000;
-/// Second numbers of addresses are 100 + region.
+/// The second octet of worker addresses is 100 + region.
 const MAX_REGIONS: usize = 100;
 
-/// A settings file.
+/// The content of a settings file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// What holds unless a sweep varies it.
+    /// The base values; each sweep replaces one of them.
     #[serde(default)]
     pub base: Experiment,
-    /// What is varied, one thing at a time. Without any, the base is run once.
+    /// The sweeps, each over one parameter. Without sweeps, the base is run once.
     #[serde(default)]
     pub sweep: Vec<Sweep>,
 }
 
-/// One deployment and the load on it. Counts and rates are of each region.
+/// A deployment and the load on it. Counts and rates apply to each region.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Experiment {
-    /// Regions, each with a state service, a cloud, controllers, workers and users of its own.
+    /// Number of regions, each with its own state service, cloud, controllers, workers and users.
     pub regions: usize,
-    /// Zones of a region.
+    /// Zones per region.
     pub zones: usize,
-    /// Controllers of a region.
+    /// Controllers per region.
     pub nodes: usize,
-    /// Hollow workers.
+    /// Emulated workers per region.
     pub workers: usize,
-    /// CPUs of a worker.
+    /// CPUs per worker.
     pub worker_cpus: f64,
-    /// Teams.
+    /// Number of teams.
     pub teams: usize,
-    /// Array tasks that are to start each second.
+    /// Array tasks submitted per second.
     pub starts_per_s: f64,
-    /// Tasks of an array.
+    /// Tasks per array job.
     pub tasks_per_job: u32,
-    /// How long an array's task runs, in seconds.
+    /// Run time of an array task, in seconds.
     pub run_s: f64,
-    /// CPUs of an array's task.
+    /// CPUs per array task.
     pub task_cpus: f64,
-    /// The part of the arrays that are urgent.
+    /// Fraction of the array jobs that are submitted with high priority.
     pub urgent_share: f64,
-    /// The part of the arrays that are called off shortly after they were accepted.
+    /// Fraction of the array jobs that are cancelled shortly after they were accepted.
     pub cancelled_share: f64,
-    /// CPUs of the replica that each worker holds all along; 0: none.
+    /// CPUs of the service replica that runs on each worker during the whole experiment; 0: no replicas.
     pub replica_cpus: f64,
-    /// Jobs that had ended long before.
+    /// Records of finished jobs that the state service holds from the start.
     pub finished_jobs: usize,
-    /// Seconds between reports.
+    /// Interval between a worker's heartbeats, in seconds.
     pub report_s: f64,
-    /// Life of a worker's session without an answer, in seconds.
+    /// Duration of a worker's lease, in seconds; it is renewed by each acknowledged heartbeat.
     pub lease_s: f64,
-    /// How soon a cancelled job's tasks have to be gone, in seconds.
+    /// Upper bound on the time until all tasks of a cancelled job have stopped, in seconds.
     pub cancel_s: f64,
-    /// The state service's requests a second.
+    /// Request rate limit of the state service, per second.
     pub state_rps: f64,
-    /// Its puts and deletes a second.
+    /// Limit of the state service on puts and deletes per second.
     pub state_write_rps: f64,
-    /// What it takes to answer, in milliseconds.
+    /// Latency that the state service adds to each response, in milliseconds.
     pub state_latency_ms: u64,
-    /// Sockets that a controller may use.
+    /// Upper bound on the open sockets of a controller.
     pub sockets: u32,
-    /// Seconds of load before anything is measured.
+    /// Time under load before the measurement starts, in seconds (`run_s` is added to it).
     pub warm_up_s: f64,
-    /// Seconds that are measured.
+    /// Duration of the measurement, in seconds.
     pub measure_s: f64,
-    /// End the leader after that and wait for its successor.
+    /// Whether to kill the leader after the measurement and to wait for a successor.
     pub takeover: bool,
-    /// Ports `port` to `port` + 3 + regions are used.
+    /// First port; the experiment uses `port` to `port` + 3 + `regions`.
     pub port: u16,
-    /// What happens in the middle; without it the load is steady.
+    /// Faults to inject under load; without a drill no faults are injected.
     pub drill: Option<Drill>,
 }
 
-/// Regions as cells that share the teams' quotas, under load, while troubles come one after the other. Limits
-/// change all along.
+/// A drill: the regions are cells that share the teams' quotas, and faults are injected one after another under load.
+/// Team limits change during all of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Drill {
-    /// One way between two regions, in milliseconds.
+    /// One-way latency between two regions, in milliseconds.
     pub link_ms: u64,
-    /// Changes of a team's limit each second.
+    /// Changes of a team's limit per second.
     pub changes_per_s: f64,
-    /// Steady seconds before the first trouble, and after each.
+    /// Duration of each phase except the partition, in seconds.
     pub steady_s: f64,
-    /// A limit that was replaced may still be in force somewhere for that long, where all regions are reached.
+    /// How long a replaced limit may remain in force in some region while no region is partitioned, in seconds.
     pub replaced_s: f64,
-    /// For how long the second region is cut off from the others.
+    /// How long the second region is partitioned from the others, in seconds.
     pub cut_s: f64,
-    /// Workers of the last region that are gone at once.
+    /// Number of workers of the last region that fail simultaneously.
     pub rack: usize,
-    /// A team's limit, as a multiple of what it uses in the mean: between these.
+    /// Smallest limit of a team, as a multiple of its mean usage.
     pub limit_from: f64,
-    /// See `limit_from`.
+    /// Largest limit of a team, as a multiple of its mean usage.
     pub limit_to: f64,
 }
 
@@ -161,24 +161,24 @@
     }
 }
 
-/// What a sweep varies.
+/// The parameter that a sweep varies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SweepParameter {
-    /// Workers of a region.
+    /// Workers per region.
     Workers,
-    /// Array tasks that start each second.
+    /// Array tasks submitted per second.
     StartsPerS,
-    /// How long they run, and so how many run at once.
+    /// Run time of array tasks, which determines how many run concurrently.
     RunS,
-    /// Teams.
+    /// Number of teams.
     Teams,
-    /// Jobs that had ended before.
+    /// Finished jobs in the state service.
     FinishedJobs,
 }
 
 impl SweepParameter {
-    /// Its name in the settings file.
+    /// The parameter's name in the settings file.
     pub fn name(self) -> &'static str {
         match self {
             SweepParameter::Workers => "workers",
@@ -190,18 +190,18 @@
     }
 }
 
-/// One thing that is varied.
+/// A sweep over one parameter.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sweep {
-    /// Which.
+    /// The parameter.
     pub vary: SweepParameter,
-    /// Its values.
+    /// The values to run.
     pub values: Vec<f64>,
-    /// The value that is run several times, for the spread.
+    /// The value that is run `repeats` times, to determine the spread between identical runs.
     #[serde(default)]
     pub repeat_at: Option<f64>,
-    /// How often that is.
+    /// Number of runs at `repeat_at`.
     #[serde(default = "default_repeats")]
     pub repeats: usize,
 }
@@ -210,42 +210,42 @@
     3
 }
 
-/// One run of one experiment.
+/// One planned run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// What is varied, its value, and its value in the base.
+    /// The varied parameter, its value in this run and its base value; `None`: the base itself.
     pub varied: Option<(SweepParameter, f64, f64)>,
-    /// The number of the run at this value, from 1.
+    /// Number of the run at this value, from 1.
     pub run: usize,
-    /// What is run.
+    /// The deployment and its load.
     pub experiment: Experiment,
 }
 
-/// Why a settings file can't be used.
+/// Error of loading a settings file.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// It is not to be read.
+    /// The file cannot be read.
     #[error("cannot read {path}: {source}")]
     Read {
         /// The file.
         path: String,
-        /// What the system said.
+        /// The underlying error.
         source: std::io::Error,
     },
-    /// It is no settings file.
+    /// The file is not valid TOML or has unknown or missing fields.
     #[error("{path}: {reason}")]
     Parse {
         /// The file.
         path: String,
-        /// What is wrong, on one line.
+        /// Description of the error on one line.
         reason: String,
     },
-    /// Values make no sense.
+    /// Values are out of range or contradict each other.
     #[error("{path}: {}", problems.join("; "))]
     Invalid {
         /// The file.
         path: String,
-        /// Each names its field.
+        /// The problems; each starts with the table and the field.
         problems: Vec<String>,
     },
 }
@@ -272,7 +272,7 @@
         })
     }
 
-    /// All runs, in their order.
+    /// All runs in execution order.
     pub fn plans(&self) -> Vec<Plan> {
         if self.sweep.is_empty() {
             return vec![Plan {
@@ -290,7 +290,7 @@
         for (number, sweep) in self.sweep.iter().enumerate() {
             let place = format!("sweep {} ({})", number + 1, sweep.vary.name());
             if sweep.values.is_empty() {
-                found.push(format!("{place}: values: names none"));
+                found.push(format!("{place}: values: must not be empty"));
             }
             if sweep.repeats == 0 {
                 found.push(format!("{place}: repeats: must be at least 1"));
@@ -309,7 +309,7 @@
     }
 }
 
-/// What TOML says, without its excerpt of the file.
+/// The message of the TOML parser without its excerpt of the file.
 fn one_line(error: &toml::de::Error, text: &str) -> String {
     let line = error
         .span()
@@ -338,7 +338,7 @@
 }
 
 impl Experiment {
-    /// The same with one thing changed.
+    /// A copy of the experiment with one parameter set to `value`.
     pub fn with(&self, varied: SweepParameter, value: f64) -> Self {
         let mut changed = self.clone();
         match varied {
@@ -351,7 +351,7 @@
         changed
     }
 
-    /// The value of what may be varied.
+    /// The value of a parameter.
     pub fn value(&self, varied: SweepParameter) -> f64 {
         match varied {
             SweepParameter::Workers => self.workers as f64,
@@ -362,12 +362,12 @@
         }
     }
 
-    /// Processes that it starts.
+    /// Number of controller processes of all regions.
     pub fn process_count(&self) -> usize {
         self.regions * self.nodes
     }
 
-    /// Tasks that run at once in a region.
+    /// Expected number of concurrently running tasks per region.
     pub fn running_tasks(&self) -> f64 {
         let replicas = if self.replica_cpus > 0.0 {
             self.workers as f64
@@ -377,13 +377,13 @@
         replicas + self.starts_per_s * self.run_s
     }
 
-    /// What it is expected to hold at the most, with the tool itself, in bytes.
+    /// Estimated peak memory of the tool and all controllers, in bytes.
     pub fn estimated_memory_bytes(&self) -> u64 {
         let nodes = self.process_count() as u64;
         let per_region = self.workers as u64 * WORKER_BYTES
             + self.running_tasks() as u64 * TASK_BYTES
             + self.finished_jobs as u64 * FINISHED_BYTES;
-        // The tool holds a region once, and so does each of its controllers.
+        // The tool holds the state of each region once, and so does each controller of the region.
         nodes * CONTROLLER_BYTES + (nodes + self.regions as u64) * per_region
     }
 
@@ -453,11 +453,14 @@
         );
         check(
             self.replica_cpus <= self.worker_cpus && self.task_cpus <= self.worker_cpus,
-            "worker_cpus: a task or replica fits no worker",
+            "worker_cpus: must be at least task_cpus and replica_cpus",
         );
         if let Some(drill) = &self.drill {
-            check(self.regions >= 2, "drill: needs two regions");
-            check(drill.rack < self.workers, "drill.rack: more than there are");
+            check(self.regions >= 2, "drill: needs at least 2 regions");
+            check(
+                drill.rack < self.workers,
+                "drill.rack: must be below workers",
+            );
             check(
                 drill.limit_from > 0.0 && drill.limit_to >= drill.limit_from,
                 "drill.limit_from: must be above 0 and not above limit_to",
--- a/crates/load-test/src/user_load.rs
+++ b/crates/load-test/src/user_load.rs
@@ -1,4 +1,4 @@
-//! UserLoad: they submit, repeat what was refused, poll, and cancel.
+//! Emulated users: they submit jobs, retry rejected submissions, poll and cancel.
 
 use std::{
     net::SocketAddr,
@@ -26,20 +26,20 @@
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(5);
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 const POLL_INTERVAL: Duration = Duration::from_secs(5);
-/// After a refusal.
+/// Delay before a request that was not accepted is retried.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
-/// A submission is tried again for that long.
+/// A submission is abandoned if it was not accepted for this long.
 const SUBMIT_GIVE_UP_AFTER: Duration = Duration::from_secs(60);
-/// UserLoad who call a job off do so this long after it was accepted.
+/// Delay between the acceptance of a job and its cancellation.
 const CANCEL_DELAY: Duration = Duration::from_secs(2);
-/// Replicas of one service, at the most.
+/// Upper bound on the replicas of a service.
 const MAX_REPLICAS_PER_SERVICE: u32 = 200;
-/// UserLoad who submit one service after another at the start.
+/// Number of users that concurrently submit the services at the start.
 const CONCURRENT_SERVICE_SUBMITTERS: u64 = 8;
-/// Ids of one region's jobs.
+/// Size of the range of job ids of each region.
 const JOB_IDS_PER_REGION: u64 = 100_000_000;
 
-/// The users of one region.
+/// The emulated users of one region.
 #[derive(Clone)]
 pub struct UserLoad {
     nodes: Arc<Vec<SocketAddr>>,
@@ -51,18 +51,18 @@
     counts: Arc<SubmissionCounts>,
 }
 
-/// What became of submissions.
+/// Counters of submissions.
 #[derive(Debug, Default)]
 pub struct SubmissionCounts {
-    /// Accepted.
+    /// Accepted submissions.
     pub accepted: AtomicU64,
-    /// Given up without an acceptance.
+    /// Submissions abandoned without an acceptance.
     pub given_up: AtomicU64,
-    /// Answers that sent a user away for a while.
+    /// Submission attempts that were not accepted (rejected, or no response).
     pub sent_away: AtomicU64,
 }
 
-/// What a user submits.
+/// The parameters of a job to submit.
 struct JobTemplate {
     kind: JobKind,
     class: &'static str,
@@ -73,7 +73,7 @@
 }
 
 impl UserLoad {
-    /// UserLoad of this region, who do nothing yet.
+    /// Creates the users of a region; they are idle until one of the other functions is called.
     pub fn new(region: &Region, experiment: &Experiment, rules: &Arc<InvariantChecker>) -> Self {
         UserLoad {
             nodes: Arc::new(region.listen_addrs()),
@@ -88,17 +88,17 @@
         }
     }
 
-    /// What became of submissions so far.
+    /// The counters of submissions so far.
     pub fn counts(&self) -> &SubmissionCounts {
         &self.counts
     }
 
-    /// Nobody submits anything more.
+    /// Stops all submissions, retries and polls.
     pub fn stop(&self) {
         self.is_stopped.store(true, Ordering::Relaxed);
     }
 
-    /// Submits services whose replicas fill a part of each worker; returns when all are accepted.
+    /// Submits enough services for one replica on each worker; returns when all are accepted or abandoned.
     pub async fn submit_services(&self) {
         let experiment = &self.experiment;
         if experiment.replica_cpus <= 0.0 {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Replicas of one service: where teams have limits, each has as many of them.
+    /// Replicas of each service. In a drill at most a team's equal share of the replicas, since teams have limits there.
     fn replicas_per_service(&self) -> u32 {
         let experiment = &self.experiment;
         let each = (experiment.workers as u32).div_ceil(experiment.teams as u32);
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Submits arrays at the experiment's rate until stopped.
+    /// Submits array jobs at the rate of the experiment until stopped.
     pub async fn run_load(self) {
         let experiment = self.experiment.clone();
         if experiment.starts_per_s <= 0.0 {
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Calls a job off until a node confirms it.
+    /// Requests the cancellation of a job and retries until a node confirms it.
     async fn cancel(&self, id: JobId, link: &mut HttpConnection) {
         let path = format!("/v2/runs/{id}/abort");
         while !self.is_stopped.load(Ordering::Relaxed) {
@@ -214,7 +214,8 @@
         }
     }
 
-    /// Submits until it is accepted; the connection that it was accepted on.
+    /// Submits a job, with retries, until it is accepted. Returns the id and the connection of the accepting node, or
+    /// `None` if the submission was abandoned.
     async fn submit(&self, wanted: &JobTemplate) -> Option<(JobId, HttpConnection)> {
         let id = JobId(self.next_id.fetch_add(1, Ordering::Relaxed));
         let team = team_name(id.0 as usize % self.experiment.teams);
--- a/crates/load-test/tests/common/mod.rs
+++ b/crates/load-test/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Where the programs of this source are.
+//! The controller program for the tests.
 
 use std::{
     path::{Path, PathBuf},
@@ -9,7 +9,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The controller of this source, beside the tool.
+/// Builds the controller and returns its path, in the directory of the load test program.
 pub fn controller() -> PathBuf {
     let built = Command::new(env!("CARGO"))
         .args(["build", "--locked", "--bin", "dalelb"])
--- a/crates/load-test/tests/drill.rs
+++ b/crates/load-test/tests/drill.rs
@@ -1,5 +1,5 @@
-//! A drill of seconds with real controllers: cells that share quotas while limits change, a region is cut off, a leader
-//! ends and workers are gone.
+//! A short drill with real controllers: the cells share quotas whose limits change while a region is partitioned, a leader
+//! is killed and workers fail.
 
 mod common;
 
@@ -70,12 +70,12 @@
     };
     assert!(
         sum("in_force") > 10.0,
-        "changes come to be in force: {phases:#?}"
+        "quota changes take effect: {phases:#?}"
     );
     assert!(sum("starts") > 60.0, "tasks start: {phases:#?}");
     assert_eq!(
         phases[5]["behind"], 0.0,
-        "all changes are in force in the end"
+        "all quota changes are in force at the end"
     );
     fs::remove_file(settings).expect("the settings file");
     fs::remove_file(result).expect("the result");
--- a/crates/load-test/tests/ends.rs
+++ b/crates/load-test/tests/ends.rs
@@ -1,4 +1,4 @@
-//! However a run ends, it says why on one line, keeps its result and leaves no controller behind.
+//! Each way in which a run ends: it reports the reason on one line, keeps the result file and stops all controllers.
 
 mod common;
 
@@ -12,7 +12,7 @@
 
 use common::controller;
 
-/// Far longer than anything here takes.
+/// Upper bound on each wait, well above the expected duration.
 const PATIENCE: Duration = Duration::from_secs(60);
 
 struct Files {
@@ -46,7 +46,7 @@
             .expect("the program runs")
     }
 
-    /// Its code and its last line; the result so far has to be there.
+    /// Checks that a result file exists, removes the files, and returns the exit code and the last line of standard error.
     fn ended(&self, output: &Output) -> (Option<i32>, String) {
         let said = String::from_utf8_lossy(&output.stderr).into_owned();
         let text = fs::read_to_string(&self.result).expect("a result");
@@ -58,7 +58,7 @@
     }
 }
 
-/// Whether a controller with settings of that run is there.
+/// Whether a controller process of the load test with this process id exists.
 fn controllers_of(run: u32) -> bool {
     let mark = format!("dalelb-load-test-{run}/");
     let processes = fs::read_dir("/proc").expect("processes");
@@ -77,7 +77,7 @@
     let output = files
         .start(&controller())
         .wait_with_output()
-        .expect("it ends");
+        .expect("the program exits");
     let (code, last) = files.ended(&output);
     assert_eq!(code, Some(3), "{last}");
     assert!(last.contains("cannot listen on 127.0.1.1:27000"), "{last}");
@@ -87,10 +87,10 @@
 fn unexpected_controller_exit_is_reported() {
     let files = Files::new(27_100);
     let child = files.start(Path::new("/bin/false"));
-    let output = child.wait_with_output().expect("it ends");
+    let output = child.wait_with_output().expect("the program exits");
     let (code, last) = files.ended(&output);
     assert_eq!(code, Some(3), "{last}");
-    assert!(last.contains("ended by itself"), "{last}");
+    assert!(last.contains("exited unexpectedly"), "{last}");
 }
 
 #[test]
@@ -107,12 +107,12 @@
         .args(["-INT", &run.to_string()])
         .status();
     assert!(signalled.expect("kill runs").success());
-    let output = child.wait_with_output().expect("it ends");
+    let output = child.wait_with_output().expect("the program exits");
     let (code, last) = files.ended(&output);
     assert_eq!(code, Some(130), "{last}");
     assert!(last.contains("interrupted"), "{last}");
     while controllers_of(run) {
-        assert!(began.elapsed() < PATIENCE, "a controller is left");
+        assert!(began.elapsed() < PATIENCE, "a controller still runs");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
--- a/crates/load-test/tests/page.rs
+++ b/crates/load-test/tests/page.rs
@@ -1,4 +1,4 @@
-//! The capacity page shows what its result files hold, and the program says so of what it can't use.
+//! The capacity page matches its result files, and invalid input is reported.
 
 use std::{
     fs,
@@ -18,7 +18,7 @@
         .expect("the program runs")
 }
 
-/// The command that the page names.
+/// The arguments of the command that the page documents.
 fn page_command() -> Vec<String> {
     let page = fs::read_to_string(root().join("docs/CAPACITY.md")).expect("the page");
     let line = page.lines().find_map(|line| {
