--- a/crates/emulators/src/cloud_emulator.rs
+++ b/crates/emulators/src/cloud_emulator.rs
@@ -1,4 +1,4 @@
-//! The cloud: one machine type, a list of machines, and rentals that find no capacity.
+//! The cloud: one machine type, a machine list and deletions; every provisioning request fails for lack of capacity.
 
 use std::{
     collections::BTreeMap,
@@ -16,13 +16,13 @@
 
 use crate::responses::msgpack_response;
 
-/// The most machines in one answer.
+/// Upper bound on the machines in one response.
 const MAX_MACHINES_PER_PAGE: usize = 500;
 
-/// Hears which machines are deleted.
+/// Callback with the names of deleted machines.
 type DeletionCallback = dyn Fn(&[String]) + Send + Sync;
 
-/// A running cloud.
+/// A running emulated cloud.
 #[derive(Clone)]
 pub struct Cloud {
     machine_type: MachineType,
@@ -38,7 +38,7 @@
     limit: Option<usize>,
 }
 
-/// The stand-ins' machine type, `c8`, with this much room and in these zones.
+/// The machine type `c8` of all emulated machines, with these resources and zones.
 pub fn machine_type(cpus: f64, ram_gb: f64, zones: &[String]) -> MachineType {
     MachineType {
         name: "c8".into(),
@@ -54,7 +54,7 @@
     }
 }
 
-/// How the list shows an ordinary machine that has run for a while.
+/// The list entry of a running on-demand machine that is 10 s old.
 pub fn listed_machine(name: &str, addr: SocketAddr, zone: &str) -> ListedMachine {
     ListedMachine {
         id: name.to_owned(),
@@ -68,7 +68,8 @@
 }
 
 impl Cloud {
-    /// Serves on `listener` until the process ends; `deleted` hears which machines are deleted.
+    /// Starts serving on `listener`, until the runtime shuts down; `deleted` is called with the names in each deletion
+    /// request.
     pub fn start(
         listener: TcpListener,
         machine_type: MachineType,
@@ -86,15 +87,15 @@
     }
 
     fn machines(&self) -> MutexGuard<'_, BTreeMap<String, ListedMachine>> {
-        self.machines.lock().expect("the cloud's lock")
+        self.machines.lock().expect("lock of the cloud poisoned")
     }
 
-    /// How many machines are rented.
+    /// Number of provisioned machines.
     pub fn instance_count(&self) -> usize {
         self.machines().len()
     }
 
-    /// Takes machines off the list.
+    /// Removes machines from the list.
     pub fn remove(&self, names: &[String]) {
         let mut machines = self.machines();
         for name in names {
@@ -149,7 +150,8 @@
             .and(warp::post())
             .and(warp::body::bytes())
             .map(|cloud: Self, body: Bytes| {
-                let names: MachineNames = protocol::decode(&body).expect("names of machines");
+                let names: MachineNames =
+                    protocol::decode(&body).expect("a valid deletion request");
                 (cloud.on_deleted)(&names.machines);
                 cloud.remove(&names.machines);
                 msgpack_response(200, &json!({}))
--- a/crates/emulators/src/http_connection.rs
+++ b/crates/emulators/src/http_connection.rs
@@ -1,4 +1,4 @@
-//! One kept HTTP/1.1 connection, and the bytes that cross it.
+//! A persistent HTTP/1.1 client connection, and counters of its traffic.
 
 use std::{
     io,
@@ -22,12 +22,12 @@
     net::TcpStream,
 };
 
-/// Bytes and messages of any number of connections.
+/// Counters of the bytes and requests of any number of connections.
 #[derive(Debug, Default)]
 pub struct Traffic {
-    /// Bytes read from and written to sockets, headers included.
+    /// Bytes read from and written to sockets, including headers.
     pub bytes: AtomicU64,
-    /// Requests that were sent or received.
+    /// Requests sent or received.
     pub requests: AtomicU64,
 }
 
@@ -37,7 +37,7 @@
         self.requests.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Requests and bytes so far.
+    /// Number of requests and of bytes so far.
     pub fn totals(&self) -> (u64, u64) {
         let requests = self.requests.load(Ordering::Relaxed);
         (requests, self.bytes.load(Ordering::Relaxed))
@@ -51,7 +51,7 @@
 }
 
 impl CountingStream {
-    /// Counts what crosses `stream` as `traffic`.
+    /// Adds the bytes of `stream` to `traffic`.
     pub fn new(stream: TcpStream, traffic: Arc<Traffic>) -> Self {
         CountingStream { stream, traffic }
     }
@@ -97,7 +97,7 @@
     }
 }
 
-/// A connection that is opened when it is first used, and again after it broke.
+/// A connection that is opened on first use and reopened after an error.
 pub struct HttpConnection {
     target: SocketAddr,
     sender: Option<SendRequest<Full<Bytes>>>,
@@ -105,7 +105,7 @@
 }
 
 impl HttpConnection {
-    /// A link to `to`, not yet open.
+    /// A connection to `to`, not yet open.
     pub fn new(to: SocketAddr, traffic: Arc<Traffic>) -> Self {
         HttpConnection {
             target: to,
@@ -114,13 +114,14 @@
         }
     }
 
-    /// Closes the connection and goes to `to` from now on.
+    /// Closes the connection; further requests go to `to`.
     pub fn redirect_to(&mut self, to: SocketAddr) {
         self.target = to;
         self.sender = None;
     }
 
-    /// Status and body; `None`: no answer within `timeout`, and the connection is given up.
+    /// Sends a request and returns status and body of the response. `None`: an error, or no response within `timeout`;
+    /// the connection is closed in both cases.
     pub async fn call(
         &mut self,
         method: Method,
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -1,14 +1,14 @@
-//! Emulators of the services around dalelb, for tests and load: what they answer follows the published protocols.
+//! Emulators of the services that dalelb uses, for tests and load tests. Their responses follow the published protocols.
 //!
-//! * [`state_store`]: keys, versions, leases and changes, as a pure model.
-//! * [`state_service`]: the state service over HTTP, with limits and latency.
+//! * [`state_store`]: model of the state service without I/O: keys, versions, leases and changes.
+//! * [`state_service`]: the state service over HTTP, with rate limits and latency.
 //! * [`cloud_emulator`]: machine types, the machine list, instance requests and deletions.
-//! * [`worker_emulator`]: what one worker holds and how it executes orders.
+//! * [`worker_emulator`]: the state of one worker and how it executes orders.
 //! * [`worker_fleet`]: any number of emulated workers in one process.
-//! * [`http_connection`]: one kept HTTP connection, with the bytes that cross it counted.
-//! * [`link_emulator`]: a link between controllers that delays, counts and cuts.
+//! * [`http_connection`]: a persistent HTTP client connection whose bytes are counted.
+//! * [`link_emulator`]: a network link between controllers that adds latency, counts bytes and can be cut.
 //!
-//! Tests and the load test share them, so that both meet the same behaviour.
+//! Tests and the load test share them, so that both run against the same behaviour.
 
 pub mod cloud_emulator;
 pub mod http_connection;
--- a/crates/emulators/src/link_emulator.rs
+++ b/crates/emulators/src/link_emulator.rs
@@ -1,4 +1,4 @@
-//! A TCP relay between controllers, which delays, counts and cuts what crosses it.
+//! Network link between controllers: a TCP relay that adds latency, counts bytes and can be cut.
 
 use std::{
     net::SocketAddr,
@@ -21,10 +21,10 @@
 
 use crate::http_connection::Traffic;
 
-/// Bytes read at once.
+/// Size of the read buffer in bytes.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// Chunks that are on their way in one direction of a connection.
+/// Upper bound on the delayed chunks in one direction of a connection.
 const MAX_CHUNKS_IN_FLIGHT: usize = 256;
 
 /// A running relay.
@@ -35,7 +35,7 @@
 }
 
 impl EmulatedLink {
-    /// Relays connections to `listener` on to `to`, each byte `delay` later in either direction.
+    /// Relays connections from `listener` to `to` with a latency of `delay` in each direction.
     pub fn start(listener: TcpListener, to: SocketAddr, delay: Duration) -> Self {
         let (cut, watched) = watch::channel(false);
         let traffic = Arc::new(Traffic::default());
@@ -58,12 +58,12 @@
         relay
     }
 
-    /// Cuts the link, or mends it. Nothing crosses a cut link; its connections break.
+    /// Cuts or restores the link. Cutting it closes all connections; new ones are closed until the link is restored.
     pub fn set_cut(&self, cut: bool) {
         self.is_cut.send_replace(cut);
     }
 
-    /// Connections that were opened, and the bytes that crossed.
+    /// Number of connections opened and of bytes relayed.
     pub fn connections_and_bytes(&self) -> (u64, u64) {
         self.traffic.totals()
     }
@@ -101,7 +101,7 @@
     }
 }
 
-/// Moves bytes one way until either side closes.
+/// Relays bytes in one direction until either side closes.
 async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
--- a/crates/emulators/src/link_emulator/tests.rs
+++ b/crates/emulators/src/link_emulator/tests.rs
@@ -28,10 +28,18 @@
     assert!(began.elapsed() >= 2 * DELAY, "{:?}", began.elapsed());
     assert_eq!(relay.connections_and_bytes(), (1, 10));
     relay.set_cut(true);
-    assert_eq!(stream.read(&mut answer).await.unwrap_or(0), 0, "broken");
+    assert_eq!(
+        stream.read(&mut answer).await.unwrap_or(0),
+        0,
+        "connection closed"
+    );
     let mut refused = TcpStream::connect(addr).await.unwrap();
     let _ = refused.write_all(b"hello").await;
-    assert_eq!(refused.read(&mut answer).await.unwrap_or(0), 0, "broken");
+    assert_eq!(
+        refused.read(&mut answer).await.unwrap_or(0),
+        0,
+        "connection closed"
+    );
     relay.set_cut(false);
     let mut mended = TcpStream::connect(addr).await.unwrap();
     mended.write_all(b"again").await.unwrap();
--- a/crates/emulators/src/state_service.rs
+++ b/crates/emulators/src/state_service.rs
@@ -1,4 +1,4 @@
-//! The state service: [`Store`] behind HTTP, with rate limits and counters.
+//! The state service: a [`Store`] served over HTTP, with rate limits, latency and counters.
 
 use std::{
     collections::BTreeMap,
@@ -23,25 +23,25 @@
     state_store::{Store, StoreLimits},
 };
 
-/// How often a waiting watch looks whether leases have ended; writes wake it at once.
+/// How often a waiting watch checks for expired leases; writes wake it immediately.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Changes that the service keeps for watches.
+/// Number of changes that the service retains for watches.
 const MAX_RETAINED_CHANGES: usize = 10_000;
 
-/// How fast the service takes requests and how long it needs.
+/// Rate limits and latency of the service.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceRates {
-    /// Requests a second; `None`: any number.
+    /// Requests per second; `None`: unlimited.
     pub rps: Option<f64>,
-    /// Puts and deletes a second; `None`: any number.
+    /// Puts and deletes per second; `None`: unlimited.
     pub write_rps: Option<f64>,
-    /// Added to every answer.
+    /// Latency added to every response.
     pub latency: Duration,
 }
 
 impl ServiceRates {
-    /// No limit and no latency.
+    /// No rate limits and no latency.
     pub const UNLIMITED: ServiceRates = ServiceRates {
         rps: None,
         write_rps: None,
@@ -49,28 +49,28 @@
     };
 }
 
-/// What the service has done since it began.
+/// Counters since the start of the service.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct RequestCounters {
     /// Requests by kind.
     pub requests: BTreeMap<String, u64>,
-    /// Puts and deletes that were carried out.
+    /// Puts and deletes in transactions that passed the rate limits.
     pub writes: u64,
-    /// Bytes of transactions, as MessagePack.
+    /// Bytes of all transactions as encoded in MessagePack.
     pub txn_bytes: u64,
-    /// Requests refused with 429.
+    /// Requests rejected with status 429.
     #[serde(rename = "refused")]
     pub rate_limited: u64,
 }
 
 impl RequestCounters {
-    /// All requests together.
+    /// Requests of all kinds.
     pub fn total(&self) -> u64 {
         self.requests.values().sum()
     }
 }
 
-/// A limit per second that allows bursts of one second's worth.
+/// A token bucket whose capacity is one second's rate.
 struct TokenBucket {
     rate_per_s: Option<f64>,
     tokens: f64,
@@ -129,13 +129,13 @@
     starts: Option<String>,
 }
 
-/// The prefixes that the service asks for; requests hold them as constants.
+/// Maps the requested prefix to the constant that requests contain; panics for any other prefix.
 fn static_prefix(query: &ListParameters) -> &'static str {
     match query.starts.as_deref() {
         Some(schema::SHARED_PREFIX) => schema::SHARED_PREFIX,
         Some(schema::CLUSTER_PREFIX) => schema::CLUSTER_PREFIX,
         Some(schema::QUOTA_PREFIX) => schema::QUOTA_PREFIX,
-        other => panic!("an unexpected prefix {other:?}"),
+        other => panic!("unexpected prefix {other:?}"),
     }
 }
 
@@ -168,11 +168,11 @@
 }
 
 impl StateService {
-    /// Serves on `listener` until the process ends.
+    /// Starts serving on `listener`, until the runtime shuts down.
     pub fn start(listener: TcpListener, limits: StoreLimits, pace: ServiceRates) -> Self {
         let mut store = Store::new(limits);
         store.max_retained_changes = MAX_RETAINED_CHANGES;
-        // Nodes watch nothing else, and the values of all other keys take gigabytes.
+        // Nodes watch only this prefix. Retaining the changes of all other keys would take gigabytes.
         store.watched_prefix = Some(schema::SHARED_PREFIX);
         let service = StateService {
             state: Arc::new(Mutex::new(ServiceState {
@@ -194,15 +194,17 @@
     }
 
     fn lock_state(&self) -> MutexGuard<'_, ServiceState> {
-        self.state.lock().expect("the state service's lock")
+        self.state
+            .lock()
+            .expect("lock of the state service poisoned")
     }
 
-    /// What it has done so far.
+    /// The counters so far.
     pub fn counters(&self) -> RequestCounters {
         self.lock_state().counters.clone()
     }
 
-    /// Stores values without conditions, as if they had been written long ago.
+    /// Stores values without conditions and without retaining them as changes for watches.
     pub fn preload(&self, values: impl Iterator<Item = (String, serde_json::Value)>) {
         let mut inner = self.lock_state();
         inner.store.revision += 1;
@@ -212,7 +214,7 @@
         }
     }
 
-    /// How many keys are stored, and the bytes of keys and values as JSON.
+    /// Number of stored keys, and the bytes of keys and values as JSON.
     pub fn stored_keys_and_bytes(&self) -> (u64, u64) {
         let inner = self.lock_state();
         let sizes = inner.store.keys.iter();
@@ -241,7 +243,7 @@
         }
     }
 
-    /// Counts the request; a refusal if it is beyond the limits.
+    /// Counts the request; returns a rejection if it exceeds a rate limit.
     fn check_rate_limits(&self, request: &StateRequest, bytes: u64) -> Option<Response<Bytes>> {
         let mut inner = self.lock_state();
         let of_kind = inner
@@ -264,7 +266,7 @@
         Some(msgpack_response(429, &json!({"error": "too many"})))
     }
 
-    /// `None`: a watch that has to wait on.
+    /// Executes the request, which has `waited` already; `None`: a watch that has to keep waiting.
     fn execute(&self, request: &StateRequest, waited: Duration) -> Option<StateReply> {
         let now = self.elapsed_ms();
         let mut inner = self.lock_state();
@@ -326,7 +328,7 @@
             .and(warp::path!("txn"))
             .and(warp::body::bytes())
             .and_then(|service: Self, body: Bytes| {
-                let txn = protocol::decode(&body).expect("a transaction");
+                let txn = protocol::decode(&body).expect("a valid transaction");
                 service.serve(StateRequest::Txn(txn), body.len() as u64)
             });
         let grant = with
@@ -334,7 +336,7 @@
             .and(warp::path!("holds"))
             .and(warp::body::bytes())
             .and_then(|service: Self, body: Bytes| {
-                let lease: LeaseRequest = protocol::decode(&body).expect("a lease");
+                let lease: LeaseRequest = protocol::decode(&body).expect("a valid lease request");
                 let life_ms = lease.ttl_ms;
                 service.serve(StateRequest::Grant { ttl_ms: life_ms }, 0)
             });
--- a/crates/emulators/src/state_store.rs
+++ b/crates/emulators/src/state_store.rs
@@ -1,6 +1,4 @@
-//! A pure model of the state service: what it stores and what it answers.
-
-#![expect(missing_docs, reason = "its items are still to be documented")]
+//! Model of the state service without I/O: what it stores and how it responds.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -10,15 +8,17 @@
 use dalelb::protocol::state::*;
 use serde_json::Value;
 
-/// What a transaction may hold.
+/// Limits on transactions.
 #[derive(Clone, Copy)]
 pub struct StoreLimits {
+    /// Upper bound on the writes of a transaction; it may have four times as many conditions.
     pub txn_ops: u32,
+    /// Upper bound on the size of a value as JSON, in KiB.
     pub value_kb: f64,
 }
 
 impl StoreLimits {
-    /// What is wrong with a transaction.
+    /// The first limit that a transaction exceeds.
     fn violation(self, txn: &Txn) -> Option<String> {
         let ops = self.txn_ops as usize;
         if txn.writes.len() > ops {
@@ -36,33 +36,44 @@
                 }
             }
         }
-        let bytes = serde_json::to_vec(txn).expect("a transaction").len();
-        (bytes > 64 * 1024).then(|| format!("a transaction of {bytes} bytes"))
+        let bytes = serde_json::to_vec(txn)
+            .expect("a transaction can be serialized")
+            .len();
+        (bytes > 64 * 1024).then(|| format!("the transaction has {bytes} bytes"))
     }
 
+    /// Whether a transaction is within the limits; besides them it may have at most 64 KiB as JSON.
     pub fn accepts(self, txn: &Txn) -> bool {
         self.violation(txn).is_none()
     }
 }
 
-/// Keys, versions, leases and the log of changes, by the published protocol.
+/// Keys, versions, leases and the change log, following the published protocol. Times are in milliseconds.
 pub struct Store {
+    /// Limits on transactions.
     pub limits: StoreLimits,
+    /// By key: value, version (the revision of its last write) and the lease to which it is attached.
     pub keys: BTreeMap<String, (Value, u64, Option<u64>)>,
+    /// Revision of the last change.
     pub revision: u64,
+    /// By lease id: expiry time and duration.
     pub leases: BTreeMap<u64, (u64, u64)>,
+    /// Retained changes with their revisions, in ascending order.
     pub change_log: VecDeque<(u64, Event)>,
-    /// So many changes are kept for watches; older ones are gone.
+    /// Number of changes that are retained for watches; older ones are dropped.
     pub max_retained_changes: usize,
-    /// Only changes of keys with this prefix are kept, and no others are asked for.
+    /// If set, only changes of keys with this prefix are retained, and watches of other prefixes panic.
     pub watched_prefix: Option<&'static str>,
-    /// The revision of the last change that is gone.
+    /// Revision of the last change that was dropped.
     pub compacted_revision: u64,
+    /// Id of the last lease that was granted.
     pub next_lease_id: u64,
+    /// Time until which the service is unavailable; leases do not expire before.
     pub down_until: u64,
 }
 
 impl Store {
+    /// An empty store that retains all changes of all keys.
     pub fn new(limits: StoreLimits) -> Self {
         Store {
             limits,
@@ -78,6 +89,7 @@
         }
     }
 
+    /// Ends all leases that have expired at `now`, unless the service is unavailable.
     pub fn expire_leases(&mut self, now: u64) {
         if self.down_until > now {
             return;
@@ -93,6 +105,7 @@
         }
     }
 
+    /// Removes a lease and deletes the keys attached to it, with one new revision.
     pub fn end_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
         let gone: Vec<String> = self
@@ -116,7 +129,7 @@
         }
     }
 
-    /// Lets go of changes beyond those that are kept.
+    /// Drops the oldest changes beyond `max_retained_changes`.
     fn compact_change_log(&mut self) {
         while self.change_log.len() > self.max_retained_changes {
             if let Some((revision, _)) = self.change_log.pop_front() {
@@ -125,6 +138,7 @@
         }
     }
 
+    /// The value and version of a key.
     pub fn row(&self, key: &str) -> Option<Row> {
         let (value, version, _) = self.keys.get(key)?;
         Some(Row {
@@ -134,7 +148,11 @@
         })
     }
 
-    /// `None`: a watch that has to wait.
+    /// Executes a request at time `now`; `None`: a watch that has to wait for a change.
+    ///
+    /// # Panics
+    ///
+    /// If a transaction exceeds the limits, or a watch is for a prefix other than `watched_prefix`.
     #[expect(clippy::too_many_lines, reason = "still to be split")]
     pub fn execute(&mut self, request: &StateRequest, now: u64) -> Option<StateReply> {
         Some(match request {
@@ -242,7 +260,7 @@
                 if *after < self.compacted_revision {
                     return Some(StateReply::TooOld);
                 }
-                // Revisions only rise, so the log is in their order.
+                // Revisions only increase, so the log is sorted by revision.
                 let first = self
                     .change_log
                     .partition_point(|(revision, _)| revision <= after);
--- a/crates/emulators/src/worker_emulator.rs
+++ b/crates/emulators/src/worker_emulator.rs
@@ -1,6 +1,6 @@
-//! What one worker holds, and how it obeys, by the published protocol.
+//! The state of one worker and how it executes orders, following the published protocol.
 //!
-//! Time is told by the caller, in milliseconds, so that the machine can be tested without waiting.
+//! The caller passes the current time, in milliseconds, so that tests do not have to wait.
 
 use std::collections::BTreeMap;
 
@@ -9,45 +9,45 @@
     worker::{FailureCause, Order, Report, TaskReport, TaskState},
 };
 
-/// What a worker looks up of a task that it is told to start.
+/// The properties of a task that a worker needs to start it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TaskSpec {
-    /// CPUs that it takes.
+    /// CPUs that the task uses.
     pub cpus: f64,
-    /// How long it runs; `None`: until it is stopped.
+    /// Run time in milliseconds; `None`: until the task is stopped.
     pub run_ms: Option<u64>,
 }
 
-/// What happened to a task on a machine.
+/// A change of a task on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskEvent {
-    /// It is on the machine from now on.
+    /// The task has started on the machine.
     Started,
-    /// It is no longer on it.
+    /// The task no longer runs on the machine.
     Removed,
 }
 
-/// Describes jobs to workers, and hears what becomes of their tasks.
+/// Provides the properties of tasks to workers and receives the events of the tasks.
 pub trait TaskModel: Send + Sync {
-    /// `None`: no such job.
+    /// The properties of a task; `None` if its job does not exist.
     fn describe(&self, task: TaskId) -> Option<TaskSpec>;
 
-    /// Called at each change, under the machine's lock.
+    /// Called for each event, while the lock of the machine is held.
     fn on_task_event(&self, machine: &str, task: TaskId, event: TaskEvent);
 }
 
-/// What a worker says of itself in each report.
+/// What each heartbeat states about the worker itself.
 #[derive(Clone, Debug)]
 pub struct WorkerIdentity {
-    /// The machine's name in the cloud.
+    /// Name of the machine in the cloud.
     pub name: String,
-    /// Where it takes direct commands.
+    /// Address for direct commands.
     pub addr: String,
-    /// The machine type's name.
+    /// Name of the machine type.
     pub type_name: String,
-    /// The zone that it is in.
+    /// Zone of the machine.
     pub zone: String,
-    /// CPUs that its tasks may take together.
+    /// CPUs available to all its tasks together.
     pub cpus: f64,
 }
 
@@ -65,20 +65,20 @@
     }
 }
 
-/// A worker's tasks, session and token.
+/// A worker's tasks, incarnation and fencing token.
 #[derive(Clone, Debug)]
 pub struct EmulatedWorker {
     identity: WorkerIdentity,
     session: u64,
     seq: u64,
     fencing_token: u64,
-    /// When the last report that was answered had been sent, or the session began.
+    /// When the last acknowledged heartbeat was sent, or when the incarnation began.
     lease_renewed_at: u64,
     tasks: BTreeMap<(TaskId, u64), HeldTask>,
 }
 
 impl EmulatedWorker {
-    /// A new worker, in its first session.
+    /// A new worker without tasks, in its first incarnation.
     pub fn new(identity: WorkerIdentity, now: u64) -> Self {
         EmulatedWorker {
             identity,
@@ -90,28 +90,28 @@
         }
     }
 
-    /// The session that it is in.
+    /// The current incarnation, from 1.
     pub fn incarnation(&self) -> u64 {
         self.session
     }
 
-    /// The highest token that it has seen.
+    /// The highest fencing token received.
     pub fn fencing_token(&self) -> u64 {
         self.fencing_token
     }
 
-    /// Tasks that are on it.
+    /// Number of running tasks.
     pub fn running_count(&self) -> usize {
         self.tasks.values().filter(|task| task.is_running()).count()
     }
 
-    /// When the next of its tasks completes.
+    /// When the next running task completes.
     pub fn next_completion_at(&self) -> Option<u64> {
         let running = self.tasks.values().filter(|task| task.is_running());
         running.filter_map(|task| task.ends_at).min()
     }
 
-    /// Completes the tasks whose time has come; whether there were any.
+    /// Completes the tasks whose run time has passed; returns whether there were any.
     pub fn complete_due_tasks(&mut self, now: u64, tasks: &dyn TaskModel) -> bool {
         let mut any = false;
         for ((task, _), held) in &mut self.tasks {
@@ -124,7 +124,7 @@
         any
     }
 
-    /// Ends the session if its lease has run out; whether it did.
+    /// Starts a new incarnation without tasks if the lease has expired; returns whether it had.
     pub fn expire_lease(&mut self, now: u64, lease_ms: u64, tasks: &dyn TaskModel) -> bool {
         if self.lease_renewed_at + lease_ms >= now {
             return false;
@@ -135,7 +135,7 @@
         true
     }
 
-    /// The machine is gone, with everything on it.
+    /// Removes all tasks, as when the machine or its lease is lost.
     pub fn remove_all_tasks(&mut self, tasks: &dyn TaskModel) {
         for ((task, _), held) in std::mem::take(&mut self.tasks) {
             if held.is_running() {
@@ -144,7 +144,7 @@
         }
     }
 
-    /// The next report.
+    /// Creates the next heartbeat.
     pub fn report(&mut self) -> Report {
         self.seq += 1;
         let tasks = self.tasks.iter();
@@ -169,7 +169,8 @@
         }
     }
 
-    /// A report sent at `sent_at` in this session was answered with `token`: whether the answer counts.
+    /// Processes the response, with fencing token `token`, to a heartbeat sent at `sent_at` in this incarnation. Returns
+    /// whether it renewed the lease: responses to another incarnation or with a lower token are ignored.
     pub fn renew_lease(&mut self, sent_at: u64, session: u64, token: u64) -> bool {
         if session != self.session || token < self.fencing_token {
             return false;
@@ -178,7 +179,7 @@
         true
     }
 
-    /// Carries orders out, unless their token is lower than one seen before; whether it did.
+    /// Executes orders unless their fencing token is lower than one received before; returns whether it did.
     pub fn execute_orders(
         &mut self,
         token: u64,
--- a/crates/emulators/src/worker_emulator/tests.rs
+++ b/crates/emulators/src/worker_emulator/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-/// Tasks of 4 CPUs that run for a second; what happens to them is kept.
+/// Task model with tasks of 4 CPUs that run for one second; records all task events.
 #[derive(Default)]
 struct Told(Mutex<Vec<TaskEvent>>);
 
@@ -92,7 +92,7 @@
     assert_eq!((machine.incarnation(), machine.running_count()), (2, 0));
     assert!(
         !machine.renew_lease(4600, 1, 1),
-        "an answer of the session before"
+        "a response to the previous incarnation"
     );
     let events = [TaskEvent::Started, TaskEvent::Removed];
     assert_eq!(*told.0.lock().unwrap(), events);
@@ -107,7 +107,11 @@
         vec![Order::Forget { task, attempt: 1 }]
     };
     machine.execute_orders(1, forget(), 500, &told);
-    assert_eq!(causes(&mut machine), [None], "it runs");
+    assert_eq!(
+        causes(&mut machine),
+        [None],
+        "a running task is not forgotten"
+    );
     assert_eq!(machine.next_completion_at(), Some(1000));
     assert!(!machine.complete_due_tasks(999, &told));
     assert!(machine.complete_due_tasks(1000, &told));
--- a/crates/emulators/src/worker_fleet.rs
+++ b/crates/emulators/src/worker_fleet.rs
@@ -1,7 +1,7 @@
-//! Any number of hollow workers in one process.
+//! Any number of emulated workers in one process.
 //!
-//! Each has an address of its own in 127.0.0.0/8; one listener takes the commands for all of them and tells
-//! them apart by the address that a connection came to.
+//! Each worker has its own address in 127.0.0.0/8. One listener accepts the commands for all of them and selects the
+//! worker by the local address of the connection.
 
 use std::{
     convert::Infallible,
@@ -34,50 +34,50 @@
     worker_emulator::{EmulatedWorker, TaskModel, WorkerIdentity},
 };
 
-/// A report without an answer for that long is given up.
+/// Timeout of a heartbeat.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
-/// After a failure the next node is tried this much later.
+/// Delay before the next node is tried after a failed heartbeat.
 const NEXT_NODE_DELAY: Duration = Duration::from_secs(1);
-/// Changes are reported no more often than this, in milliseconds.
+/// Minimum interval between heartbeats that report changes, in milliseconds.
 const MIN_CHANGE_REPORT_INTERVAL_MS: u64 = 500;
-/// Workers of one fleet that share the third number of their addresses.
+/// Workers of a fleet whose addresses have the same third octet.
 const WORKERS_PER_SUBNET: usize = 250;
 
-/// A fleet of hollow workers.
+/// Settings of a fleet of emulated workers.
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
-    /// How many workers.
+    /// Number of workers.
     pub workers: usize,
-    /// The second number of their addresses: 127.`subnet`.x.y.
+    /// Second octet of the addresses: 127.`subnet`.x.y.
     pub subnet: u8,
-    /// The port that they take commands on; 0: any.
+    /// Port on which the workers accept commands; 0: any free port.
     pub port: u16,
-    /// CPUs of each.
+    /// CPUs per worker.
     pub cpus: f64,
-    /// The zones that they are spread over.
+    /// Zones; the workers are distributed over them round-robin.
     pub zones: Vec<String>,
-    /// The controllers by label.
+    /// Label and address of each controller.
     pub controllers: Vec<(String, SocketAddr)>,
-    /// The time between reports, give or take a quarter.
+    /// Mean interval between heartbeats; each interval varies randomly by up to a quarter.
     pub report_interval: Duration,
-    /// The life of a session without an answer.
+    /// Duration of a worker's lease, which each acknowledged heartbeat renews.
     pub lease_ttl: Duration,
 }
 
-/// What the workers and the controllers exchanged.
+/// Counters of the traffic between workers and controllers.
 #[derive(Debug, Default)]
 pub struct FleetTraffic {
-    /// Reports and their answers.
+    /// Heartbeats and their responses.
     pub reports: Arc<Traffic>,
-    /// Direct commands and their answers.
+    /// Direct commands and their responses.
     pub commands: Arc<Traffic>,
-    /// Reports that were answered with 200.
+    /// Heartbeats whose response (status 200) renewed the lease.
     pub answered_reports: AtomicU64,
-    /// Sessions that ended because no answer came in time.
+    /// Leases that expired because no heartbeat was acknowledged in time.
     pub expired_leases: AtomicU64,
 }
 
-/// Running hollow workers.
+/// A running fleet of emulated workers.
 #[derive(Clone)]
 pub struct Fleet {
     workers: Arc<Vec<Worker>>,
@@ -95,9 +95,9 @@
 
 struct WorkerState {
     machine: EmulatedWorker,
-    /// Something changed since the last report.
+    /// Whether something changed since the last heartbeat.
     has_unreported_changes: bool,
-    /// When a higher token last counted as a change.
+    /// When a higher fencing token last caused a heartbeat, in milliseconds.
     token_reported_at: Option<u64>,
 }
 
@@ -117,7 +117,7 @@
         self.settings.lease_ttl.as_millis() as u64
     }
 
-    /// A report's distance from the one before: the usual one, give or take a quarter.
+    /// The time until the next regular heartbeat: the configured interval varied randomly by up to a quarter.
     fn next_report_interval_ms(&self) -> u64 {
         let usual = self.settings.report_interval.as_secs_f64() * 1000.0;
         (usual * rand::rng().random_range(0.75..1.25)) as u64
@@ -135,7 +135,7 @@
 }
 
 impl Fleet {
-    /// Starts the workers; they report until the runtime ends. An error: the port is not to be had.
+    /// Starts the workers; they send heartbeats until the runtime shuts down. Fails if the port is in use.
     pub fn start(settings: FleetSettings, tasks: Arc<dyn TaskModel>) -> io::Result<Self> {
         let (listener, addr) = responses::bind(&format!("0.0.0.0:{}", settings.port))?;
         let workers = (0..settings.workers).map(|index| Worker::new(&settings, index, addr.port()));
@@ -154,7 +154,7 @@
         Ok(Fleet { workers, traffic })
     }
 
-    /// How the cloud lists them.
+    /// The entries of the workers in the machine list of the cloud.
     pub fn listed_machines(&self) -> Vec<ListedMachine> {
         let workers = self.workers.iter();
         let listed = workers
@@ -162,12 +162,12 @@
         listed.collect()
     }
 
-    /// What was exchanged so far.
+    /// The traffic counters so far.
     pub fn traffic(&self) -> &FleetTraffic {
         &self.traffic
     }
 
-    /// Ends these workers as if their machines had lost power.
+    /// Deletes workers as if their machines had lost power: they neither send nor answer requests from then on.
     pub fn delete_workers(&self, names: &[String], tasks: &dyn TaskModel) {
         for worker in self.workers.iter() {
             if names.contains(&worker.name) && !worker.is_deleted.swap(true, Ordering::Relaxed) {
@@ -177,13 +177,13 @@
         }
     }
 
-    /// Interner of workers, in the order of their addresses.
+    /// Names of all workers, in the order of their addresses.
     pub fn names(&self) -> Vec<String> {
         let workers = self.workers.iter();
         workers.map(|worker| worker.name.clone()).collect()
     }
 
-    /// Tasks that are on the workers.
+    /// Number of tasks running on all workers.
     pub fn running_count(&self) -> usize {
         let workers = self.workers.iter();
         workers
@@ -191,7 +191,7 @@
             .sum()
     }
 
-    /// The highest token that any worker has seen.
+    /// The highest fencing token that any worker has received.
     pub fn fencing_token(&self) -> u64 {
         let workers = self.workers.iter();
         let tokens = workers.map(|worker| worker.lock_state().machine.fencing_token());
@@ -226,7 +226,7 @@
     }
 
     fn lock_state(&self) -> MutexGuard<'_, WorkerState> {
-        self.inner.lock().expect("a worker's lock")
+        self.inner.lock().expect("lock of a worker poisoned")
     }
 
     fn execute_orders(&self, token: u64, orders: Vec<Order>, context: &FleetContext) -> bool {
@@ -250,7 +250,7 @@
         obeyed
     }
 
-    /// A direct command.
+    /// Executes a direct command; answers 409 if it is for another incarnation or its fencing token is too low.
     fn handle_direct_orders(&self, body: &[u8], context: &FleetContext) -> Response<Bytes> {
         let Ok(direct) = protocol::decode::<DirectOrders>(body) else {
             return responses::msgpack_response(400, &json!({"error": "malformed"}));
@@ -261,7 +261,8 @@
         responses::msgpack_response(status, &self.lock_state().machine.report())
     }
 
-    /// Passes the time; when the next report is due and when there is something to do before.
+    /// Expires the lease and completes tasks that are due. Returns when the next heartbeat is due, and when to wake up
+    /// (earlier if a task completes before).
     fn advance(&self, sent_at: u64, interval: u64, context: &FleetContext) -> (u64, u64) {
         let now = context.elapsed_ms();
         let mut inner = self.lock_state();
@@ -327,7 +328,7 @@
     }
 }
 
-/// Where a worker reports next.
+/// The node to which a worker sends its next heartbeat.
 enum NextTarget {
     SameNode,
     Leader(String),
@@ -378,7 +379,7 @@
 async fn accept(listener: TcpListener, workers: Arc<Vec<Worker>>, context: Arc<FleetContext>) {
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
-            // Out of descriptors, most likely: others may be closed in a moment.
+            // Most likely no file descriptors are left; retry, since others may be closed soon.
             tokio::time::sleep(Duration::from_millis(50)).await;
             continue;
         };
@@ -407,7 +408,7 @@
         let (workers, context) = (workers.clone(), context.clone());
         async move { respond(&workers[index], request, &context).await }
     });
-    // A connection that breaks is its caller's concern.
+    // Connection errors are handled by the client.
     let _ = http1::Builder::new()
         .serve_connection(TokioIo::new(counted), answer)
         .await;
@@ -420,7 +421,7 @@
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     context.traffic.commands.count_request();
     if worker.is_deleted.load(Ordering::Relaxed) {
-        // A machine without power answers nobody.
+        // A deleted machine never responds.
         std::future::pending::<()>().await;
     }
     let path = request.uri().path().to_owned();
