--- a/crates/emulators/src/cloud_emulator.rs
+++ b/crates/emulators/src/cloud_emulator.rs
@@ -74,13 +74,13 @@
         listener: TcpListener,
         machine_type: MachineType,
         machines: Vec<ListedMachine>,
-        deleted: impl Fn(&[String]) + Send + Sync + 'static,
+        deletion_callback: impl Fn(&[String]) + Send + Sync + 'static,
     ) -> Self {
         let machines = machines.into_iter().map(|each| (each.id.clone(), each));
         let cloud = Cloud {
             machine_type,
             machines: Arc::new(Mutex::new(machines.collect())),
-            on_deleted: Arc::new(deleted),
+            on_deleted: Arc::new(deletion_callback),
         };
         tokio::spawn(warp::serve(cloud.clone().routes()).incoming(listener).run());
         cloud
@@ -128,24 +128,24 @@
         self,
     ) -> impl Filter<Extract = (Response<Bytes>,), Error = warp::Rejection> + Clone + Send + Sync + 'static
     {
-        let with = warp::any().map(move || self.clone());
-        let types = with
+        let with_cloud = warp::any().map(move || self.clone());
+        let types = with_cloud
             .clone()
             .and(warp::path!("machine_types"))
             .map(|cloud: Self| {
                 let types = vec![cloud.machine_type];
                 msgpack_response(200, &MachineTypes { types })
             });
-        let list = with
+        let list = with_cloud
             .clone()
             .and(warp::path!("machines"))
             .and(warp::query::<ListQuery>())
             .and(warp::get())
             .map(|cloud: Self, query: ListQuery| msgpack_response(200, &cloud.list_page(&query)));
-        let rent = warp::path!("machines")
+        let provision = warp::path!("machines")
             .and(warp::post())
             .map(|| msgpack_response(503, &json!({"error": "no capacity"})));
-        let delete = with
+        let delete = with_cloud
             .and(warp::path!("machines" / "delete"))
             .and(warp::post())
             .and(warp::body::bytes())
@@ -156,6 +156,12 @@
                 cloud.remove(&names.machines);
                 msgpack_response(200, &json!({}))
             });
-        types.or(list).unify().or(rent).unify().or(delete).unify()
+        types
+            .or(list)
+            .unify()
+            .or(provision)
+            .unify()
+            .or(delete)
+            .unify()
     }
 }
--- a/crates/emulators/src/http_connection.rs
+++ b/crates/emulators/src/http_connection.rs
@@ -106,17 +106,17 @@
 
 impl HttpConnection {
     /// A connection to `to`, not yet open.
-    pub fn new(to: SocketAddr, traffic: Arc<Traffic>) -> Self {
+    pub fn new(addr: SocketAddr, traffic: Arc<Traffic>) -> Self {
         HttpConnection {
-            target: to,
+            target: addr,
             sender: None,
             traffic,
         }
     }
 
     /// Closes the connection; further requests go to `to`.
-    pub fn redirect_to(&mut self, to: SocketAddr) {
-        self.target = to;
+    pub fn redirect_to(&mut self, addr: SocketAddr) {
+        self.target = addr;
         self.sender = None;
     }
 
@@ -131,11 +131,11 @@
     ) -> Option<(u16, Bytes)> {
         self.traffic.count_request();
         let exchange = self.exchange(method, path, body);
-        let answer = tokio::time::timeout(timeout, exchange).await.ok().flatten();
-        if answer.is_none() {
+        let response = tokio::time::timeout(timeout, exchange).await.ok().flatten();
+        if response.is_none() {
             self.sender = None;
         }
-        answer
+        response
     }
 
     async fn exchange(
@@ -166,8 +166,8 @@
         if !usable {
             let stream = TcpStream::connect(self.target).await.ok()?;
             stream.set_nodelay(true).ok()?;
-            let counted = CountingStream::new(stream, self.traffic.clone());
-            let (sender, connection) = handshake(TokioIo::new(counted)).await.ok()?;
+            let counting_stream = CountingStream::new(stream, self.traffic.clone());
+            let (sender, connection) = handshake(TokioIo::new(counting_stream)).await.ok()?;
             tokio::spawn(connection);
             self.sender = Some(sender);
         }
--- a/crates/emulators/src/link_emulator.rs
+++ b/crates/emulators/src/link_emulator.rs
@@ -37,11 +37,11 @@
 impl EmulatedLink {
     /// Relays connections from `listener` to `to` with a latency of `delay` in each direction.
     pub fn start(listener: TcpListener, to: SocketAddr, delay: Duration) -> Self {
-        let (cut, watched) = watch::channel(false);
+        let (cut_sender, cut_receiver) = watch::channel(false);
         let traffic = Arc::new(Traffic::default());
         let open = Arc::new(AtomicBool::new(true));
-        let relay = EmulatedLink {
-            is_cut: cut,
+        let link = EmulatedLink {
+            is_cut: cut_sender,
             traffic: traffic.clone(),
             is_open: open.clone(),
         };
@@ -51,11 +51,11 @@
                     tokio::time::sleep(Duration::from_millis(50)).await;
                     continue;
                 };
-                let (traffic, watched) = (traffic.clone(), watched.clone());
-                tokio::spawn(connect(stream, to, delay, traffic, watched));
+                let (traffic, cut_receiver) = (traffic.clone(), cut_receiver.clone());
+                tokio::spawn(connect(stream, to, delay, traffic, cut_receiver));
             }
         });
-        relay
+        link
     }
 
     /// Cuts or restores the link. Cutting it closes all connections; new ones are closed until the link is restored.
@@ -77,7 +77,7 @@
 }
 
 async fn connect(
-    near: TcpStream,
+    client: TcpStream,
     to: SocketAddr,
     delay: Duration,
     traffic: Arc<Traffic>,
@@ -87,16 +87,16 @@
     if *cut.borrow_and_update() {
         return;
     }
-    let Ok(far) = TcpStream::connect(to).await else {
+    let Ok(server) = TcpStream::connect(to).await else {
         return;
     };
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
+    let _ = client.set_nodelay(true);
+    let _ = server.set_nodelay(true);
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
     tokio::select! {
-        () = forward(near_read, far_write, delay, &traffic) => {}
-        () = forward(far_read, near_write, delay, &traffic) => {}
+        () = forward(client_read, server_write, delay, &traffic) => {}
+        () = forward(server_read, client_write, delay, &traffic) => {}
         _ = cut.wait_for(|cut| *cut) => {}
     }
 }
--- a/crates/emulators/src/link_emulator/tests.rs
+++ b/crates/emulators/src/link_emulator/tests.rs
@@ -18,7 +18,7 @@
 async fn link_delays_bytes_and_drops_all_while_cut() {
     const DELAY: Duration = Duration::from_millis(40);
     let (listener, addr) = bind_any_port();
-    let relay = EmulatedLink::start(listener, echo().await, DELAY);
+    let link = EmulatedLink::start(listener, echo().await, DELAY);
     let mut stream = TcpStream::connect(addr).await.unwrap();
     let began = Instant::now();
     stream.write_all(b"hello").await.unwrap();
@@ -26,8 +26,8 @@
     stream.read_exact(&mut answer).await.unwrap();
     assert_eq!(&answer, b"hello");
     assert!(began.elapsed() >= 2 * DELAY, "{:?}", began.elapsed());
-    assert_eq!(relay.connections_and_bytes(), (1, 10));
-    relay.set_cut(true);
+    assert_eq!(link.connections_and_bytes(), (1, 10));
+    link.set_cut(true);
     assert_eq!(
         stream.read(&mut answer).await.unwrap_or(0),
         0,
@@ -40,9 +40,9 @@
         0,
         "connection closed"
     );
-    relay.set_cut(false);
-    let mut mended = TcpStream::connect(addr).await.unwrap();
-    mended.write_all(b"again").await.unwrap();
-    mended.read_exact(&mut answer).await.unwrap();
+    link.set_cut(false);
+    let mut restored = TcpStream::connect(addr).await.unwrap();
+    restored.write_all(b"again").await.unwrap();
+    restored.read_exact(&mut answer).await.unwrap();
     assert_eq!(&answer, b"again");
 }
--- a/crates/emulators/src/state_service.rs
+++ b/crates/emulators/src/state_service.rs
@@ -91,8 +91,8 @@
             return true;
         };
         let now = Instant::now();
-        let earned = now.duration_since(self.refilled_at).as_secs_f64() * rate;
-        self.tokens = (self.tokens + earned).min(rate);
+        let refill = now.duration_since(self.refilled_at).as_secs_f64() * rate;
+        self.tokens = (self.tokens + refill).min(rate);
         self.refilled_at = now;
         if self.tokens < amount {
             return false;
@@ -169,7 +169,7 @@
 
 impl StateService {
     /// Starts serving on `listener`, until the runtime shuts down.
-    pub fn start(listener: TcpListener, limits: StoreLimits, pace: ServiceRates) -> Self {
+    pub fn start(listener: TcpListener, limits: StoreLimits, rates: ServiceRates) -> Self {
         let mut store = Store::new(limits);
         store.max_retained_changes = MAX_RETAINED_CHANGES;
         // Nodes watch only this prefix. Retaining the changes of all other keys would take gigabytes.
@@ -178,11 +178,11 @@
             state: Arc::new(Mutex::new(ServiceState {
                 store,
                 counters: RequestCounters::default(),
-                requests: TokenBucket::new(pace.rps),
-                writes: TokenBucket::new(pace.write_rps),
+                requests: TokenBucket::new(rates.rps),
+                writes: TokenBucket::new(rates.write_rps),
             })),
             changed: Arc::new(Notify::new()),
-            latency: pace.latency,
+            latency: rates.latency,
             started_at: Instant::now(),
         };
         tokio::spawn(
@@ -206,20 +206,20 @@
 
     /// Stores values without conditions and without retaining them as changes for watches.
     pub fn preload(&self, values: impl Iterator<Item = (String, serde_json::Value)>) {
-        let mut inner = self.lock_state();
-        inner.store.revision += 1;
-        let revision = inner.store.revision;
+        let mut state = self.lock_state();
+        state.store.revision += 1;
+        let revision = state.store.revision;
         for (key, value) in values {
-            inner.store.keys.insert(key, (value, revision, None));
+            state.store.keys.insert(key, (value, revision, None));
         }
     }
 
     /// Number of stored keys, and the bytes of keys and values as JSON.
     pub fn stored_keys_and_bytes(&self) -> (u64, u64) {
-        let inner = self.lock_state();
-        let sizes = inner.store.keys.iter();
+        let state = self.lock_state();
+        let sizes = state.store.keys.iter();
         let bytes = sizes.map(|(key, (value, ..))| (key.len() + value.to_string().len()) as u64);
-        (inner.store.keys.len() as u64, bytes.sum())
+        (state.store.keys.len() as u64, bytes.sum())
     }
 
     fn elapsed_ms(&self) -> u64 {
@@ -227,60 +227,60 @@
     }
 
     async fn serve(self, request: StateRequest, bytes: u64) -> Result<Response<Bytes>, Infallible> {
-        if let Some(refusal) = self.check_rate_limits(&request, bytes) {
-            return Ok(refusal);
+        if let Some(rejection) = self.check_rate_limits(&request, bytes) {
+            return Ok(rejection);
         }
         if !self.latency.is_zero() {
             tokio::time::sleep(self.latency).await;
         }
         let began = Instant::now();
         loop {
-            let woken = self.changed.notified();
-            if let Some(answer) = self.execute(&request, began.elapsed()) {
-                return Ok(response_for(answer));
+            let change = self.changed.notified();
+            if let Some(reply) = self.execute(&request, began.elapsed()) {
+                return Ok(response_for(reply));
             }
-            let _ = tokio::time::timeout(LEASE_CHECK_INTERVAL, woken).await;
+            let _ = tokio::time::timeout(LEASE_CHECK_INTERVAL, change).await;
         }
     }
 
     /// Counts the request; returns a rejection if it exceeds a rate limit.
     fn check_rate_limits(&self, request: &StateRequest, bytes: u64) -> Option<Response<Bytes>> {
-        let mut inner = self.lock_state();
-        let of_kind = inner
+        let mut state = self.lock_state();
+        let request_count = state
             .counters
             .requests
             .entry(request_kind(request).to_owned());
-        *of_kind.or_default() += 1;
-        inner.counters.txn_bytes += bytes;
+        *request_count.or_default() += 1;
+        state.counters.txn_bytes += bytes;
         let writes = match request {
             StateRequest::Txn(txn) => txn.writes.len(),
             _ => 0,
         };
-        let allowed = inner.requests.try_acquire(1.0)
-            && (writes == 0 || inner.writes.try_acquire(writes as f64));
+        let allowed = state.requests.try_acquire(1.0)
+            && (writes == 0 || state.writes.try_acquire(writes as f64));
         if allowed {
-            inner.counters.writes += writes as u64;
+            state.counters.writes += writes as u64;
             return None;
         }
-        inner.counters.rate_limited += 1;
+        state.counters.rate_limited += 1;
         Some(msgpack_response(429, &json!({"error": "too many"})))
     }
 
     /// Executes the request, which has `waited` already; `None`: a watch that has to keep waiting.
     fn execute(&self, request: &StateRequest, waited: Duration) -> Option<StateReply> {
         let now = self.elapsed_ms();
-        let mut inner = self.lock_state();
-        inner.store.expire_leases(now);
+        let mut state = self.lock_state();
+        state.store.expire_leases(now);
         let mut request = request.clone();
         if let StateRequest::Changes { hold_ms, .. } = &mut request {
             *hold_ms = hold_ms.saturating_sub(waited.as_millis() as u64);
         }
-        let before = inner.store.revision;
-        let answer = inner.store.execute(&request, now);
-        if inner.store.revision != before {
+        let before = state.store.revision;
+        let reply = state.store.execute(&request, now);
+        if state.store.revision != before {
             self.changed.notify_waiters();
         }
-        answer
+        reply
     }
 
     #[expect(clippy::too_many_lines, reason = "still to be split")]
@@ -288,8 +288,8 @@
         self,
     ) -> impl Filter<Extract = (Response<Bytes>,), Error = warp::Rejection> + Clone + Send + Sync + 'static
     {
-        let with = warp::any().map(move || self.clone());
-        let get = with
+        let with_service = warp::any().map(move || self.clone());
+        let get = with_service
             .clone()
             .and(warp::path("kv"))
             .and(warp::path::tail())
@@ -311,7 +311,7 @@
                     service.serve(request, 0)
                 },
             );
-        let changes = with
+        let changes = with_service
             .clone()
             .and(warp::path!("changes"))
             .and(warp::query::<ListParameters>())
@@ -323,7 +323,7 @@
                 };
                 service.serve(request, 0)
             });
-        let txn = with
+        let txn = with_service
             .clone()
             .and(warp::path!("txn"))
             .and(warp::body::bytes())
@@ -331,21 +331,26 @@
                 let txn = protocol::decode(&body).expect("a valid transaction");
                 service.serve(StateRequest::Txn(txn), body.len() as u64)
             });
-        let grant = with
+        let grant = with_service
             .clone()
             .and(warp::path!("holds"))
             .and(warp::body::bytes())
             .and_then(|service: Self, body: Bytes| {
                 let lease: LeaseRequest = protocol::decode(&body).expect("a valid lease request");
-                let life_ms = lease.ttl_ms;
-                service.serve(StateRequest::Grant { ttl_ms: life_ms }, 0)
+                let lease_ttl_ms = lease.ttl_ms;
+                service.serve(
+                    StateRequest::Grant {
+                        ttl_ms: lease_ttl_ms,
+                    },
+                    0,
+                )
             });
-        let touch = with
+        let touch = with_service
             .clone()
             .and(warp::path!("holds" / u64 / "touch"))
             .and(warp::post())
             .and_then(|service: Self, lease| service.serve(StateRequest::Touch { lease }, 0));
-        let release = with
+        let release = with_service
             .and(warp::path!("holds" / u64))
             .and(warp::delete())
             .and_then(|service: Self, lease| service.serve(StateRequest::Release { lease }, 0));
--- a/crates/emulators/src/state_store.rs
+++ b/crates/emulators/src/state_store.rs
@@ -94,13 +94,13 @@
         if self.down_until > now {
             return;
         }
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
-            .filter(|(_, (until, _))| *until < now)
+            .filter(|(_, (expires_at, _))| *expires_at < now)
             .map(|(id, _)| *id)
             .collect();
-        for lease in over {
+        for lease in expired {
             self.end_lease(lease);
         }
     }
@@ -108,16 +108,16 @@
     /// Removes a lease and deletes the keys attached to it, with one new revision.
     pub fn end_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
-        let gone: Vec<String> = self
+        let attached_keys: Vec<String> = self
             .keys
             .iter()
-            .filter(|(_, (_, _, on))| *on == Some(lease))
+            .filter(|(_, (_, _, attached_to))| *attached_to == Some(lease))
             .map(|(key, _)| key.clone())
             .collect();
-        if !gone.is_empty() {
+        if !attached_keys.is_empty() {
             self.revision += 1;
         }
-        for key in gone {
+        for key in attached_keys {
             self.keys.remove(&key);
             self.change_log.push_back((
                 self.revision,
@@ -195,8 +195,13 @@
                 let failed: Vec<String> = txn
                     .conditions
                     .iter()
-                    .filter(|c| self.keys.get(&c.key).map_or(0, |(_, v, _)| *v) != c.version)
-                    .map(|c| c.key.clone())
+                    .filter(|condition| {
+                        self.keys
+                            .get(&condition.key)
+                            .map_or(0, |(_, current, _)| *current)
+                            != condition.version
+                    })
+                    .map(|condition| condition.key.clone())
                     .collect();
                 if !failed.is_empty() {
                     return Some(StateReply::Conflict(failed));
@@ -241,8 +246,8 @@
                 StateReply::Granted(self.next_lease_id)
             }
             StateRequest::Touch { lease } => match self.leases.get_mut(lease) {
-                Some((until, life)) => {
-                    *until = now + *life;
+                Some((expires_at, duration_ms)) => {
+                    *expires_at = now + *duration_ms;
                     StateReply::Touched
                 }
                 None => StateReply::NoLease,
--- a/crates/emulators/src/worker_emulator.rs
+++ b/crates/emulators/src/worker_emulator.rs
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug)]
 pub struct EmulatedWorker {
     identity: WorkerIdentity,
-    session: u64,
+    incarnation: u64,
     seq: u64,
     fencing_token: u64,
     /// When the last acknowledged heartbeat was sent, or when the incarnation began.
@@ -82,7 +82,7 @@
     pub fn new(identity: WorkerIdentity, now: u64) -> Self {
         EmulatedWorker {
             identity,
-            session: 1,
+            incarnation: 1,
             seq: 0,
             fencing_token: 0,
             lease_renewed_at: now,
@@ -92,7 +92,7 @@
 
     /// The current incarnation, from 1.
     pub fn incarnation(&self) -> u64 {
-        self.session
+        self.incarnation
     }
 
     /// The highest fencing token received.
@@ -113,15 +113,15 @@
 
     /// Completes the tasks whose run time has passed; returns whether there were any.
     pub fn complete_due_tasks(&mut self, now: u64, tasks: &dyn TaskModel) -> bool {
-        let mut any = false;
-        for ((task, _), held) in &mut self.tasks {
-            if held.is_running() && held.ends_at.is_some_and(|at| at <= now) {
-                (held.state, held.cause) = (TaskState::Ended, Some(FailureCause::Done));
+        let mut any_completed = false;
+        for ((task, _), held_task) in &mut self.tasks {
+            if held_task.is_running() && held_task.ends_at.is_some_and(|at| at <= now) {
+                (held_task.state, held_task.cause) = (TaskState::Ended, Some(FailureCause::Done));
                 tasks.on_task_event(&self.identity.name, *task, TaskEvent::Removed);
-                any = true;
+                any_completed = true;
             }
         }
-        any
+        any_completed
     }
 
     /// Starts a new incarnation without tasks if the lease has expired; returns whether it had.
@@ -130,15 +130,15 @@
             return false;
         }
         self.remove_all_tasks(tasks);
-        self.session += 1;
+        self.incarnation += 1;
         self.lease_renewed_at = now;
         true
     }
 
     /// Removes all tasks, as when the machine or its lease is lost.
     pub fn remove_all_tasks(&mut self, tasks: &dyn TaskModel) {
-        for ((task, _), held) in std::mem::take(&mut self.tasks) {
-            if held.is_running() {
+        for ((task, _), held_task) in std::mem::take(&mut self.tasks) {
+            if held_task.is_running() {
                 tasks.on_task_event(&self.identity.name, task, TaskEvent::Removed);
             }
         }
@@ -148,11 +148,11 @@
     pub fn report(&mut self) -> Report {
         self.seq += 1;
         let tasks = self.tasks.iter();
-        let tasks = tasks.map(|(&(task, attempt), held)| TaskReport {
+        let tasks = tasks.map(|(&(task, attempt), held_task)| TaskReport {
             task,
             attempt,
-            state: held.state,
-            cause: held.cause,
+            state: held_task.state,
+            cause: held_task.cause,
             saved: None,
         });
         Report {
@@ -161,7 +161,7 @@
             type_name: self.identity.type_name.clone(),
             zone: self.identity.zone.clone(),
             spot: false,
-            incarnation: self.session,
+            incarnation: self.incarnation,
             seq: self.seq,
             token: self.fencing_token,
             notice_s: None,
@@ -171,8 +171,8 @@
 
     /// Processes the response, with fencing token `token`, to a heartbeat sent at `sent_at` in this incarnation. Returns
     /// whether it renewed the lease: responses to another incarnation or with a lower token are ignored.
-    pub fn renew_lease(&mut self, sent_at: u64, session: u64, token: u64) -> bool {
-        if session != self.session || token < self.fencing_token {
+    pub fn renew_lease(&mut self, sent_at: u64, incarnation: u64, token: u64) -> bool {
+        if incarnation != self.incarnation || token < self.fencing_token {
             return false;
         }
         self.lease_renewed_at = self.lease_renewed_at.max(sent_at);
@@ -197,7 +197,11 @@
                 Order::Stop { task, attempt, .. } => self.stop_task(task, attempt, tasks),
                 Order::Forget { task, attempt } => {
                     let key = (task, attempt);
-                    if self.tasks.get(&key).is_some_and(|held| !held.is_running()) {
+                    if self
+                        .tasks
+                        .get(&key)
+                        .is_some_and(|held_task| !held_task.is_running())
+                    {
                         self.tasks.remove(&key);
                     }
                 }
@@ -210,17 +214,17 @@
         if self.tasks.contains_key(&(task, attempt)) {
             return;
         }
-        let refused = |cause| HeldTask {
+        let rejected_task = |cause| HeldTask {
             state: TaskState::Ended,
             cause: Some(cause),
             cpus: 0.0,
             ends_at: None,
         };
-        let held = match tasks.describe(task) {
-            None => refused(FailureCause::Unknown),
-            Some(_) if self.holds(task) => refused(FailureCause::Busy),
+        let held_task = match tasks.describe(task) {
+            None => rejected_task(FailureCause::Unknown),
+            Some(_) if self.holds(task) => rejected_task(FailureCause::Busy),
             Some(spec) if self.used_cpus() + spec.cpus > self.identity.cpus => {
-                refused(FailureCause::NoRoom)
+                rejected_task(FailureCause::NoRoom)
             }
             Some(spec) => {
                 tasks.on_task_event(&self.identity.name, task, TaskEvent::Started);
@@ -232,27 +236,29 @@
                 }
             }
         };
-        self.tasks.insert((task, attempt), held);
+        self.tasks.insert((task, attempt), held_task);
     }
 
     fn stop_task(&mut self, task: TaskId, attempt: u64, tasks: &dyn TaskModel) {
-        let Some(held) = self.tasks.get_mut(&(task, attempt)) else {
+        let Some(held_task) = self.tasks.get_mut(&(task, attempt)) else {
             return;
         };
-        if held.is_running() {
-            (held.state, held.cause) = (TaskState::Ended, Some(FailureCause::Stopped));
+        if held_task.is_running() {
+            (held_task.state, held_task.cause) = (TaskState::Ended, Some(FailureCause::Stopped));
             tasks.on_task_event(&self.identity.name, task, TaskEvent::Removed);
         }
     }
 
     fn holds(&self, task: TaskId) -> bool {
-        let of_task = (task, 0)..=(task, u64::MAX);
-        self.tasks.range(of_task).any(|(_, held)| held.is_running())
+        let attempts = (task, 0)..=(task, u64::MAX);
+        self.tasks
+            .range(attempts)
+            .any(|(_, held_task)| held_task.is_running())
     }
 
     fn used_cpus(&self) -> f64 {
-        let on = self.tasks.values().filter(|task| task.is_running());
-        on.map(|task| task.cpus).sum()
+        let running = self.tasks.values().filter(|task| task.is_running());
+        running.map(|task| task.cpus).sum()
     }
 }
 
--- a/crates/emulators/src/worker_fleet.rs
+++ b/crates/emulators/src/worker_fleet.rs
@@ -88,13 +88,13 @@
     name: String,
     addr: SocketAddr,
     zone: String,
-    inner: Mutex<WorkerState>,
+    state: Mutex<WorkerState>,
     changed: Notify,
     is_deleted: AtomicBool,
 }
 
 struct WorkerState {
-    machine: EmulatedWorker,
+    emulator: EmulatedWorker,
     /// Whether something changed since the last heartbeat.
     has_unreported_changes: bool,
     /// When a higher fencing token last caused a heartbeat, in milliseconds.
@@ -119,8 +119,8 @@
 
     /// The time until the next regular heartbeat: the configured interval varied randomly by up to a quarter.
     fn next_report_interval_ms(&self) -> u64 {
-        let usual = self.settings.report_interval.as_secs_f64() * 1000.0;
-        (usual * rand::rng().random_range(0.75..1.25)) as u64
+        let mean_ms = self.settings.report_interval.as_secs_f64() * 1000.0;
+        (mean_ms * rand::rng().random_range(0.75..1.25)) as u64
     }
 }
 
@@ -171,7 +171,7 @@
     pub fn delete_workers(&self, names: &[String], tasks: &dyn TaskModel) {
         for worker in self.workers.iter() {
             if names.contains(&worker.name) && !worker.is_deleted.swap(true, Ordering::Relaxed) {
-                worker.lock_state().machine.remove_all_tasks(tasks);
+                worker.lock_state().emulator.remove_all_tasks(tasks);
                 worker.changed.notify_one();
             }
         }
@@ -187,14 +187,14 @@
     pub fn running_count(&self) -> usize {
         let workers = self.workers.iter();
         workers
-            .map(|worker| worker.lock_state().machine.running_count())
+            .map(|worker| worker.lock_state().emulator.running_count())
             .sum()
     }
 
     /// The highest fencing token that any worker has received.
     pub fn fencing_token(&self) -> u64 {
         let workers = self.workers.iter();
-        let tokens = workers.map(|worker| worker.lock_state().machine.fencing_token());
+        let tokens = workers.map(|worker| worker.lock_state().emulator.fencing_token());
         tokens.max().unwrap_or(0)
     }
 }
@@ -215,8 +215,8 @@
             name,
             addr,
             zone,
-            inner: Mutex::new(WorkerState {
-                machine: EmulatedWorker::new(identity, 0),
+            state: Mutex::new(WorkerState {
+                emulator: EmulatedWorker::new(identity, 0),
                 has_unreported_changes: false,
                 token_reported_at: None,
             }),
@@ -226,28 +226,29 @@
     }
 
     fn lock_state(&self) -> MutexGuard<'_, WorkerState> {
-        self.inner.lock().expect("lock of a worker poisoned")
+        self.state.lock().expect("lock of a worker poisoned")
     }
 
     fn execute_orders(&self, token: u64, orders: Vec<Order>, context: &FleetContext) -> bool {
         let now = context.elapsed_ms();
-        let mut inner = self.lock_state();
-        let (had, any) = (inner.machine.fencing_token(), !orders.is_empty());
-        let obeyed = inner
-            .machine
+        let mut state = self.lock_state();
+        let (previous_token, has_orders) = (state.emulator.fencing_token(), !orders.is_empty());
+        let executed = state
+            .emulator
             .execute_orders(token, orders, now, &*context.tasks);
-        let higher = inner.machine.fencing_token() > had;
-        let told = inner.token_reported_at;
-        let news = higher && told.is_none_or(|at| at + context.lease_ms() / 2 <= now);
-        if news {
-            inner.token_reported_at = Some(now);
+        let token_increased = state.emulator.fencing_token() > previous_token;
+        let last_reported_at = state.token_reported_at;
+        let report_token =
+            token_increased && last_reported_at.is_none_or(|at| at + context.lease_ms() / 2 <= now);
+        if report_token {
+            state.token_reported_at = Some(now);
         }
-        if obeyed && any || news {
-            inner.has_unreported_changes = true;
-            drop(inner);
+        if executed && has_orders || report_token {
+            state.has_unreported_changes = true;
+            drop(state);
             self.changed.notify_one();
         }
-        obeyed
+        executed
     }
 
     /// Executes a direct command; answers 409 if it is for another incarnation or its fencing token is too low.
@@ -255,35 +256,35 @@
         let Ok(direct) = protocol::decode::<DirectOrders>(body) else {
             return responses::msgpack_response(400, &json!({"error": "malformed"}));
         };
-        let executed = direct.incarnation == self.lock_state().machine.incarnation()
+        let executed = direct.incarnation == self.lock_state().emulator.incarnation()
             && self.execute_orders(direct.token, direct.orders, context);
         let status = if executed { 200 } else { 409 };
-        responses::msgpack_response(status, &self.lock_state().machine.report())
+        responses::msgpack_response(status, &self.lock_state().emulator.report())
     }
 
     /// Expires the lease and completes tasks that are due. Returns when the next heartbeat is due, and when to wake up
     /// (earlier if a task completes before).
     fn advance(&self, sent_at: u64, interval: u64, context: &FleetContext) -> (u64, u64) {
         let now = context.elapsed_ms();
-        let mut inner = self.lock_state();
+        let mut state = self.lock_state();
         let tasks = &*context.tasks;
-        let expired = inner.machine.expire_lease(now, context.lease_ms(), tasks);
+        let expired = state.emulator.expire_lease(now, context.lease_ms(), tasks);
         if expired {
             context
                 .traffic
                 .expired_leases
                 .fetch_add(1, Ordering::Relaxed);
         }
-        let ended = inner.machine.complete_due_tasks(now, tasks);
-        inner.has_unreported_changes |= expired || ended;
-        let wait = if inner.has_unreported_changes {
+        let completed = state.emulator.complete_due_tasks(now, tasks);
+        state.has_unreported_changes |= expired || completed;
+        let delay = if state.has_unreported_changes {
             MIN_CHANGE_REPORT_INTERVAL_MS
         } else {
             interval
         };
-        let due = sent_at + wait.min(interval);
-        let next_end = inner.machine.next_completion_at().unwrap_or(u64::MAX);
-        (due, due.min(next_end))
+        let next_report_at = sent_at + delay.min(interval);
+        let next_completion = state.emulator.next_completion_at().unwrap_or(u64::MAX);
+        (next_report_at, next_report_at.min(next_completion))
     }
 }
 
@@ -291,36 +292,38 @@
     let worker = &workers[index];
     let nodes = &context.settings.controllers;
     let mut node = index % nodes.len();
-    let mut link = HttpConnection::new(nodes[node].1, context.traffic.reports.clone());
+    let mut connection = HttpConnection::new(nodes[node].1, context.traffic.reports.clone());
     let mut sent_at = context.elapsed_ms();
     let mut interval = context.next_report_interval_ms();
     while !worker.is_deleted.load(Ordering::Relaxed) {
-        let (due, wake) = worker.advance(sent_at, interval, &context);
+        let (next_report_at, wake_at) = worker.advance(sent_at, interval, &context);
         let now = context.elapsed_ms();
-        if now < due {
-            let pause = Duration::from_millis(wake.saturating_sub(now).max(1));
+        if now < next_report_at {
+            let pause = Duration::from_millis(wake_at.saturating_sub(now).max(1));
             let _ = tokio::time::timeout(pause, worker.changed.notified()).await;
             continue;
         }
         sent_at = now;
         interval = context.next_report_interval_ms();
-        match send_report(worker, &mut link, sent_at, &context).await {
+        match send_report(worker, &mut connection, sent_at, &context).await {
             NextTarget::SameNode => {}
             NextTarget::Leader(label) => {
-                let position = nodes.iter().position(|(known, _)| *known == label);
-                let other = position.filter(|other| *other != node);
-                let pause = match other {
+                let position = nodes
+                    .iter()
+                    .position(|(node_label, _)| *node_label == label);
+                let leader = position.filter(|leader| *leader != node);
+                let pause = match leader {
                     Some(_) => Duration::from_millis(rand::rng().random_range(0..500)),
                     None => NEXT_NODE_DELAY,
                 };
-                node = other.unwrap_or((node + 1) % nodes.len());
-                link.redirect_to(nodes[node].1);
+                node = leader.unwrap_or((node + 1) % nodes.len());
+                connection.redirect_to(nodes[node].1);
                 tokio::time::sleep(pause).await;
                 sent_at = context.elapsed_ms().saturating_sub(interval);
             }
             NextTarget::AnotherNode => {
                 node = (node + 1) % nodes.len();
-                link.redirect_to(nodes[node].1);
+                connection.redirect_to(nodes[node].1);
                 tokio::time::sleep(NEXT_NODE_DELAY).await;
                 sent_at = context.elapsed_ms().saturating_sub(interval);
             }
@@ -337,26 +340,27 @@
 
 async fn send_report(
     worker: &Worker,
-    link: &mut HttpConnection,
+    connection: &mut HttpConnection,
     sent_at: u64,
     context: &FleetContext,
 ) -> NextTarget {
-    let (session, body) = {
-        let mut inner = worker.lock_state();
-        inner.has_unreported_changes = false;
-        let report = inner.machine.report();
-        (inner.machine.incarnation(), protocol::encode(&report))
+    let (incarnation, body) = {
+        let mut state = worker.lock_state();
+        state.has_unreported_changes = false;
+        let report = state.emulator.report();
+        (state.emulator.incarnation(), protocol::encode(&report))
     };
-    let answer = link.call(Method::POST, "/checkin", body, REPORT_TIMEOUT);
-    match answer.await {
+    let response = connection.call(Method::POST, "/checkin", body, REPORT_TIMEOUT);
+    match response.await {
         Some((200, body)) => {
             let Ok(orders) = protocol::decode::<Orders>(&body) else {
                 return NextTarget::SameNode;
             };
-            let renewed = worker
-                .lock_state()
-                .machine
-                .renew_lease(sent_at, session, orders.token);
+            let renewed =
+                worker
+                    .lock_state()
+                    .emulator
+                    .renew_lease(sent_at, incarnation, orders.token);
             if renewed {
                 context
                     .traffic
@@ -403,14 +407,14 @@
 ) {
     let _ = stream.set_nodelay(true);
     let commands = context.traffic.commands.clone();
-    let counted = CountingStream::new(stream, commands);
-    let answer = service_fn(move |request: Request<Incoming>| {
+    let counting_stream = CountingStream::new(stream, commands);
+    let service = service_fn(move |request: Request<Incoming>| {
         let (workers, context) = (workers.clone(), context.clone());
         async move { respond(&workers[index], request, &context).await }
     });
     // Connection errors are handled by the client.
     let _ = http1::Builder::new()
-        .serve_connection(TokioIo::new(counted), answer)
+        .serve_connection(TokioIo::new(counting_stream), service)
         .await;
 }
 
@@ -427,12 +431,12 @@
     let path = request.uri().path().to_owned();
     let body = request.into_body().collect().await;
     let body = body.map(|body| body.to_bytes()).unwrap_or_default();
-    let answer = match path.as_str() {
+    let response = match path.as_str() {
         "/commands" => worker.handle_direct_orders(&body, context),
-        "/status" => responses::msgpack_response(200, &worker.lock_state().machine.report()),
+        "/status" => responses::msgpack_response(200, &worker.lock_state().emulator.report()),
         _ => responses::msgpack_response(404, &json!({"error": "no such path"})),
     };
-    Ok(answer.map(Full::new))
+    Ok(response.map(Full::new))
 }
 
 #[cfg(test)]
--- a/crates/load-test/src/controller_process.rs
+++ b/crates/load-test/src/controller_process.rs
@@ -75,7 +75,7 @@
     }
 
     /// The exit status, if the process has exited.
-    pub fn ended(&mut self) -> Option<String> {
+    pub fn exit_status(&mut self) -> Option<String> {
         let status = self.child.try_wait().ok().flatten()?;
         Some(status.to_string())
     }
@@ -87,27 +87,27 @@
 
     /// Resource usage; all zeros if the process has exited.
     pub fn usage(&self) -> Usage {
-        Usage::of(&format!("/proc/{}", self.pid)).unwrap_or_default()
+        Usage::read(&format!("/proc/{}", self.pid)).unwrap_or_default()
     }
 }
 
 impl Usage {
     /// Resource usage of the current process.
-    pub fn own() -> Self {
-        Usage::of("/proc/self").unwrap_or_default()
+    pub fn current_process() -> Self {
+        Usage::read("/proc/self").unwrap_or_default()
     }
 
-    fn of(process: &str) -> io::Result<Self> {
+    fn read(proc_path: &str) -> io::Result<Self> {
         let mut nanoseconds = 0;
-        for thread in fs::read_dir(format!("{process}/task"))? {
-            let times = fs::read_to_string(thread?.path().join("schedstat"))?;
-            let on_processor = times.split_whitespace().next().unwrap_or("0");
-            nanoseconds += on_processor.parse::<u64>().unwrap_or(0);
+        for thread in fs::read_dir(format!("{proc_path}/task"))? {
+            let schedstat = fs::read_to_string(thread?.path().join("schedstat"))?;
+            let cpu_time = schedstat.split_whitespace().next().unwrap_or("0");
+            nanoseconds += cpu_time.parse::<u64>().unwrap_or(0);
         }
-        let status = fs::read_to_string(format!("{process}/status"))?;
+        let status = fs::read_to_string(format!("{proc_path}/status"))?;
         let memory = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         let kilobytes = memory.and_then(|text| text.trim().strip_suffix(" kB"));
-        let sockets = fs::read_dir(format!("{process}/fd"))?.filter(|descriptor| {
+        let sockets = fs::read_dir(format!("{proc_path}/fd"))?.filter(|descriptor| {
             let path = descriptor.as_ref().map(|each| each.path());
             let target = path.ok().and_then(|path| fs::read_link(path).ok());
             target.is_some_and(|target| target.to_string_lossy().starts_with("socket:"))
--- a/crates/load-test/src/drill/tests.rs
+++ b/crates/load-test/src/drill/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-fn limits(replaced: &[(Instant, f64)], kept_since: Option<Instant>) -> LimitHistory {
+fn limits(replaced: &[(Instant, f64)], partition_start: Option<Instant>) -> LimitHistory {
     LimitHistory {
         current: vec![100.0],
         replaced: vec![replaced.to_vec()],
         grace_period: Duration::from_secs(20),
-        partitioned_since: kept_since,
+        partitioned_since: partition_start,
     }
 }
 
--- a/crates/load-test/src/experiment.rs
+++ b/crates/load-test/src/experiment.rs
@@ -17,12 +17,12 @@
 };
 
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
-const FILL_TIMEOUT: Duration = Duration::from_secs(150);
+const REPLICA_START_TIMEOUT: Duration = Duration::from_secs(150);
 const FAILOVER_TIMEOUT: Duration = Duration::from_secs(60);
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 const SECOND: Duration = Duration::from_secs(1);
 /// Fraction of the workers that must be registered with the leader, or of the replicas that must run.
-const FILLED_FRACTION: f64 = 0.98;
+const READY_FRACTION: f64 = 0.98;
 /// Fraction of the workers that must be registered with the new leader after a failover.
 const RECOVERED_FRACTION: f64 = 0.9;
 
@@ -33,7 +33,7 @@
     /// The users of each region.
     pub users: Vec<UserLoad>,
     /// The submitted jobs of all regions and the invariants that are checked on them.
-    pub rules: Arc<InvariantChecker>,
+    pub checker: Arc<InvariantChecker>,
     /// The deployment and its load.
     pub experiment: Experiment,
     ready_s: f64,
@@ -49,38 +49,38 @@
 
 impl Run {
     /// Starts all regions and waits until each has a leader with which the workers are registered.
-    pub async fn start(experiment: &Experiment, places: &RunPaths) -> Result<Self, RunError> {
-        let cancel = Duration::from_secs_f64(experiment.cancel_s);
-        let rules = Arc::new(InvariantChecker::new(cancel));
-        let began = Instant::now();
-        let (program, directory) = (places.program.as_path(), places.directory.as_path());
+    pub async fn start(experiment: &Experiment, paths: &RunPaths) -> Result<Self, RunError> {
+        let cancellation_bound = Duration::from_secs_f64(experiment.cancel_s);
+        let checker = Arc::new(InvariantChecker::new(cancellation_bound));
+        let started_at = Instant::now();
+        let (program, directory) = (paths.program.as_path(), paths.directory.as_path());
         let regions = (0..experiment.regions)
-            .map(|index| Region::start(index, experiment, &rules, program, directory))
+            .map(|index| Region::start(index, experiment, &checker, program, directory))
             .collect::<Result<Vec<_>, _>>()?;
         let users = regions.iter();
-        let users = users.map(|region| UserLoad::new(region, experiment, &rules));
+        let users = users.map(|region| UserLoad::new(region, experiment, &checker));
         let mut run = Run {
             users: users.collect(),
             regions,
-            rules,
+            checker,
             experiment: experiment.clone(),
             ready_s: 0.0,
         };
         for region in 0..run.regions.len() {
             for node in 0..experiment.nodes {
                 while !run.regions[region].ready(node).await {
-                    run.alive(began, READY_TIMEOUT, "all controllers are ready")
+                    run.wait_and_check(started_at, READY_TIMEOUT, "all controllers are ready")
                         .await?;
                 }
                 if region == 0 && node == 0 {
-                    run.ready_s = began.elapsed().as_secs_f64();
+                    run.ready_s = started_at.elapsed().as_secs_f64();
                 }
             }
         }
         for region in 0..run.regions.len() {
-            while !run.knows_workers(region, FILLED_FRACTION).await {
-                run.alive(
-                    began,
+            while !run.has_registered_workers(region, READY_FRACTION).await {
+                run.wait_and_check(
+                    started_at,
                     READY_TIMEOUT,
                     "the workers are registered with the leader",
                 )
@@ -91,7 +91,7 @@
     }
 
     /// Whether at least this fraction of a region's workers is registered with its leader.
-    pub async fn knows_workers(&self, region: usize, part: f64) -> bool {
+    pub async fn has_registered_workers(&self, region: usize, fraction: f64) -> bool {
         let region = &self.regions[region];
         let Some(leader) = region.leader().await else {
             return false;
@@ -100,39 +100,39 @@
             return false;
         };
         let up = metrics.value("dalelb_machines{state=\"up\"}");
-        up.unwrap_or(0.0) >= part * region.cloud.instance_count() as f64
+        up.unwrap_or(0.0) >= fraction * region.cloud.instance_count() as f64
     }
 
     /// Waits one polling interval. Fails if a controller has exited, too much memory is in use or `within` has passed.
-    async fn alive(
+    async fn wait_and_check(
         &mut self,
         since: Instant,
-        within: Duration,
-        what: &str,
+        timeout: Duration,
+        condition: &str,
     ) -> Result<(), RunError> {
         tokio::time::sleep(POLL_INTERVAL).await;
-        self.check()?;
-        if since.elapsed() > within {
+        self.check_health()?;
+        if since.elapsed() > timeout {
             return Err(RunError::TimedOut {
-                what: what.to_owned(),
-                seconds: within.as_secs(),
+                condition: condition.to_owned(),
+                timeout_s: timeout.as_secs(),
             });
         }
         Ok(())
     }
 
     /// Fails if a controller has exited or too much memory is in use.
-    pub fn check(&mut self) -> Result<(), RunError> {
-        let mut held = Usage::own().memory;
+    pub fn check_health(&mut self) -> Result<(), RunError> {
+        let mut memory_bytes = Usage::current_process().memory;
         for region in &mut self.regions {
             region.check_controllers_alive()?;
             let controllers = region.controllers.iter();
-            held += controllers.map(|each| each.usage().memory).sum::<u64>();
+            memory_bytes += controllers.map(|each| each.usage().memory).sum::<u64>();
         }
-        if held > MAX_MEMORY_BYTES {
+        if memory_bytes > MAX_MEMORY_BYTES {
             return Err(RunError::Memory {
-                held_mb: held / 1_000_000,
-                most_mb: MAX_MEMORY_BYTES / 1_000_000,
+                used_mb: memory_bytes / 1_000_000,
+                limit_mb: MAX_MEMORY_BYTES / 1_000_000,
             });
         }
         Ok(())
@@ -140,34 +140,38 @@
 
     /// Waits for `length` while checking the controllers, the memory usage and cancelled jobs.
     pub async fn run_for(&mut self, length: Duration) -> Result<(), RunError> {
-        let until = Instant::now() + length;
-        while Instant::now() < until {
-            let left = until.saturating_duration_since(Instant::now());
-            tokio::time::sleep(left.min(SECOND)).await;
-            self.check()?;
-            self.rules.check_cancellations();
+        let deadline = Instant::now() + length;
+        while Instant::now() < deadline {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            tokio::time::sleep(remaining.min(SECOND)).await;
+            self.check_health()?;
+            self.checker.check_cancellations();
         }
         Ok(())
     }
 
     /// Submits the services, waits until a replica runs on each worker, and starts the array load.
-    pub async fn load(&mut self) -> Result<(), RunError> {
-        let fills = self.users.iter().cloned();
-        let fills: Vec<_> = fills
+    pub async fn start_load(&mut self) -> Result<(), RunError> {
+        let submissions = self.users.iter().cloned();
+        let submissions: Vec<_> = submissions
             .map(|users| tokio::spawn(async move { users.submit_services().await }))
             .collect();
-        let began = Instant::now();
-        let filled = if self.experiment.replica_cpus > 0.0 {
+        let started_at = Instant::now();
+        let expected_replicas = if self.experiment.replica_cpus > 0.0 {
             self.experiment.workers * self.experiment.regions
         } else {
             0
         };
-        while (self.rules.running_count() as f64) < FILLED_FRACTION * filled as f64 {
-            self.alive(began, FILL_TIMEOUT, "a replica runs on each worker")
-                .await?;
+        while (self.checker.running_count() as f64) < READY_FRACTION * expected_replicas as f64 {
+            self.wait_and_check(
+                started_at,
+                REPLICA_START_TIMEOUT,
+                "a replica runs on each worker",
+            )
+            .await?;
         }
-        for fill in fills {
-            let _ = fill.await;
+        for submission in submissions {
+            let _ = submission.await;
         }
         for users in &self.users {
             tokio::spawn(users.clone().run_load());
@@ -177,20 +181,20 @@
 
     /// Measures the first region for `length`.
     pub async fn measure(&mut self, length: Duration) -> Result<Figures, RunError> {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let leader = loop {
             if let Some(leader) = self.regions[0].leader().await {
                 break leader;
             }
-            self.alive(began, READY_TIMEOUT, "the first region has a leader")
+            self.wait_and_check(started_at, READY_TIMEOUT, "the first region has a leader")
                 .await?;
         };
-        self.rules.reset_latencies();
+        self.checker.reset_latencies();
         let counts = self.users[0].clone();
-        let first = Snapshot::of(&self.regions[0], leader, &self.rules, counts.counts());
+        let start = Snapshot::of(&self.regions[0], leader, &self.checker, counts.counts());
         self.run_for(length).await?;
-        let last = Snapshot::of(&self.regions[0], leader, &self.rules, counts.counts());
-        let mut figures = first.until(&last, &self.regions[0], &self.rules);
+        let end = Snapshot::of(&self.regions[0], leader, &self.checker, counts.counts());
+        let mut figures = start.figures_until(&end, &self.regions[0], &self.checker);
         figures.ready_s = self.ready_s;
         Ok(figures)
     }
@@ -206,12 +210,15 @@
             program: controller.address.label.clone(),
             source,
         })?;
-        let began = Instant::now();
-        while began.elapsed() < FAILOVER_TIMEOUT {
-            if self.knows_workers(region, RECOVERED_FRACTION).await {
-                let took = began.elapsed().as_secs_f64();
+        let started_at = Instant::now();
+        while started_at.elapsed() < FAILOVER_TIMEOUT {
+            if self
+                .has_registered_workers(region, RECOVERED_FRACTION)
+                .await
+            {
+                let elapsed_s = started_at.elapsed().as_secs_f64();
                 self.regions[region].restart(leader)?;
-                return Ok(Some(took));
+                return Ok(Some(elapsed_s));
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
@@ -234,10 +241,10 @@
 }
 
 /// Runs a plan from start to shutdown.
-pub async fn run_plan(plan: &Plan, places: &RunPaths) -> Result<Point, RunError> {
-    let mut run = Run::start(&plan.experiment, places).await?;
+pub async fn run_plan(plan: &Plan, paths: &RunPaths) -> Result<Point, RunError> {
+    let mut run = Run::start(&plan.experiment, paths).await?;
     let measured = load_and_measure(&mut run).await;
-    let (broken, broken_first) = run.rules.violations();
+    let (violation_count, first_violations) = run.checker.violations();
     run.shut_down().await;
     let (figures, reference_ms, drill) = measured?;
     let (vary, value, base) = match plan.varied {
@@ -253,26 +260,26 @@
         reference_ms,
         figures,
         drill,
-        broken,
-        broken_first,
+        violation_count,
+        first_violations,
     })
 }
 
 type Measurement = (Figures, f64, Option<DrillFigures>);
 
 async fn load_and_measure(run: &mut Run) -> Result<Measurement, RunError> {
-    run.load().await?;
+    run.start_load().await?;
     let warm_up = Duration::from_secs_f64(run.experiment.warm_up_s);
     // The load is in a steady state once tasks complete at the rate at which they start.
-    let first_ends = Duration::from_secs_f64(run.experiment.run_s);
-    run.run_for(warm_up + first_ends).await?;
-    let reference_ms = tokio::task::spawn_blocking(measure::reference);
+    let first_completions = Duration::from_secs_f64(run.experiment.run_s);
+    run.run_for(warm_up + first_completions).await?;
+    let reference_ms = tokio::task::spawn_blocking(measure::measure_reference_work);
     let length = Duration::from_secs_f64(run.experiment.measure_s);
     let mut figures = run.measure(length).await?;
     let reference_ms = reference_ms.await.unwrap_or(0.0);
     if let Some(drill) = run.experiment.drill.clone() {
-        let played = drill::run_drill(run, &drill).await?;
-        return Ok((figures, reference_ms, Some(played)));
+        let drill_figures = drill::run_drill(run, &drill).await?;
+        return Ok((figures, reference_ms, Some(drill_figures)));
     }
     if run.experiment.takeover {
         figures.takeover_s = run.kill_leader(0).await?;
--- a/crates/load-test/src/invariants.rs
+++ b/crates/load-test/src/invariants.rs
@@ -55,9 +55,9 @@
 }
 
 struct TrackedJob {
-    facts: ExpectedJob,
-    accepted: Option<Instant>,
-    cancelled: Option<Instant>,
+    expected: ExpectedJob,
+    accepted_at: Option<Instant>,
+    cancelled_at: Option<Instant>,
     /// Number of its tasks that run on a machine.
     running_tasks: u32,
 }
@@ -66,8 +66,8 @@
     jobs: HashMap<JobId, TrackedJob>,
     /// The machine of each running task.
     placements: HashMap<TaskId, String>,
-    started: HashMap<TaskId, ()>,
-    used: BTreeMap<String, f64>,
+    started_tasks: HashMap<TaskId, ()>,
+    used_cpus: BTreeMap<String, f64>,
     limits: BTreeMap<String, f64>,
     starts: u64,
     urgent: Histogram<u64>,
@@ -85,19 +85,19 @@
 /// Tracks all submitted jobs and checks the invariants at each task event: no task runs on two machines, no team exceeds
 /// its limit, and no task of a cancelled job runs beyond the cancellation bound.
 pub struct InvariantChecker {
-    inner: Mutex<CheckerState>,
+    state: Mutex<CheckerState>,
     cancellation_bound: Duration,
 }
 
 impl CheckerState {
-    fn record_violation(&mut self, what: String) {
+    fn record_violation(&mut self, description: String) {
         self.violation_count += 1;
         if self.violations.len() < MAX_REPORTED_VIOLATIONS {
-            self.violations.push(what);
+            self.violations.push(description);
         }
     }
 
-    fn on_start(&mut self, machine: &str, task: TaskId, cancel: Duration) {
+    fn on_start(&mut self, machine: &str, task: TaskId, bound: Duration) {
         self.starts += 1;
         if let Some(other) = self.placements.insert(task, machine.to_owned()) {
             self.record_violation(format!("ran_twice: {task} on {machine} and {other}"));
@@ -106,50 +106,54 @@
             return self.record_violation(format!("{task}: started but never submitted"));
         };
         job.running_tasks += 1;
-        let late = job.cancelled.is_some_and(|at| at.elapsed() > cancel);
-        let (team, cpus) = (job.facts.team.clone(), job.facts.spec.cpus);
-        let waited = job.accepted.map_or(Duration::ZERO, |at| at.elapsed());
-        let (urgent, measured) = (job.facts.urgent, job.facts.measured);
-        if self.started.insert(task, ()).is_none() && measured {
-            let times = if urgent {
+        let overdue = job.cancelled_at.is_some_and(|at| at.elapsed() > bound);
+        let (team, cpus) = (job.expected.team.clone(), job.expected.spec.cpus);
+        let latency = job.accepted_at.map_or(Duration::ZERO, |at| at.elapsed());
+        let (urgent, measured) = (job.expected.urgent, job.expected.measured);
+        if self.started_tasks.insert(task, ()).is_none() && measured {
+            let histogram = if urgent {
                 &mut self.urgent
             } else {
                 &mut self.other
             };
-            record(times, waited.as_millis() as u64);
+            record(histogram, latency.as_millis() as u64);
         }
-        if late {
+        if overdue {
             self.record_violation(format!("ran_cancelled: {task} starts on {machine}"));
         }
-        let used = self.used.entry(team.clone()).or_default();
-        *used += cpus;
-        let (used, limit) = (*used, self.limits.get(&team).copied().unwrap_or(0.0));
-        if limit > 0.0 && used > limit + EPSILON {
-            self.record_violation(format!("quota: {team} uses {used} of {limit} CPUs"));
+        let used_cpus = self.used_cpus.entry(team.clone()).or_default();
+        *used_cpus += cpus;
+        let (used_cpus, limit) = (*used_cpus, self.limits.get(&team).copied().unwrap_or(0.0));
+        if limit > 0.0 && used_cpus > limit + EPSILON {
+            self.record_violation(format!("quota: {team} uses {used_cpus} of {limit} CPUs"));
         }
     }
 
-    fn on_leave(&mut self, machine: &str, task: TaskId) {
-        if self.placements.get(&task).is_some_and(|on| on == machine) {
+    fn on_removed(&mut self, machine: &str, task: TaskId) {
+        if self
+            .placements
+            .get(&task)
+            .is_some_and(|current| current == machine)
+        {
             self.placements.remove(&task);
         }
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.running_tasks = job.running_tasks.saturating_sub(1);
-            *self.used.entry(job.facts.team.clone()).or_default() -= job.facts.spec.cpus;
+            *self.used_cpus.entry(job.expected.team.clone()).or_default() -= job.expected.spec.cpus;
         }
     }
 }
 
 impl InvariantChecker {
     /// Creates a checker. All tasks of a cancelled job have to stop within `cancel` of the confirmed cancellation.
-    pub fn new(cancel: Duration) -> Self {
+    pub fn new(bound: Duration) -> Self {
         let histogram = || Histogram::new(3).expect("three digits are allowed");
         InvariantChecker {
-            inner: Mutex::new(CheckerState {
+            state: Mutex::new(CheckerState {
                 jobs: HashMap::new(),
                 placements: HashMap::new(),
-                started: HashMap::new(),
-                used: BTreeMap::new(),
+                started_tasks: HashMap::new(),
+                used_cpus: BTreeMap::new(),
                 limits: BTreeMap::new(),
                 starts: 0,
                 urgent: histogram(),
@@ -157,12 +161,12 @@
                 violations: Vec::new(),
                 violation_count: 0,
             }),
-            cancellation_bound: cancel,
+            cancellation_bound: bound,
         }
     }
 
     fn lock_state(&self) -> MutexGuard<'_, CheckerState> {
-        self.inner.lock().expect("lock of the checker poisoned")
+        self.state.lock().expect("lock of the checker poisoned")
     }
 
     /// Sets the number of CPUs that a team may use concurrently; 0: unlimited.
@@ -171,11 +175,11 @@
     }
 
     /// Registers a job before its first submission attempt.
-    pub fn on_submitted(&self, id: JobId, facts: ExpectedJob) {
+    pub fn on_submitted(&self, id: JobId, expected: ExpectedJob) {
         let job = TrackedJob {
-            facts,
-            accepted: None,
-            cancelled: None,
+            expected,
+            accepted_at: None,
+            cancelled_at: None,
             running_tasks: 0,
         };
         self.lock_state().jobs.insert(id, job);
@@ -184,30 +188,30 @@
     /// Records that a user received the acceptance of the job.
     pub fn on_accepted(&self, id: JobId) {
         if let Some(job) = self.lock_state().jobs.get_mut(&id) {
-            job.accepted.get_or_insert_with(Instant::now);
+            job.accepted_at.get_or_insert_with(Instant::now);
         }
     }
 
     /// Records that a user received the confirmation of the cancellation.
     pub fn on_cancelled(&self, id: JobId) {
         if let Some(job) = self.lock_state().jobs.get_mut(&id) {
-            job.cancelled.get_or_insert_with(Instant::now);
+            job.cancelled_at.get_or_insert_with(Instant::now);
         }
     }
 
     /// Checks that no tasks of cancelled jobs still run after the cancellation bound.
     pub fn check_cancellations(&self) {
-        let mut inner = self.lock_state();
-        let jobs = inner.jobs.iter();
-        let late = jobs.filter(|(_, job)| {
+        let mut state = self.lock_state();
+        let jobs = state.jobs.iter();
+        let overdue = jobs.filter(|(_, job)| {
             job.running_tasks > 0
                 && job
-                    .cancelled
+                    .cancelled_at
                     .is_some_and(|at| at.elapsed() > self.cancellation_bound)
         });
-        let late: Vec<JobId> = late.map(|(id, _)| *id).collect();
-        for id in late {
-            inner.record_violation(format!("ran_cancelled: tasks of {id} still run"));
+        let overdue: Vec<JobId> = overdue.map(|(id, _)| *id).collect();
+        for id in overdue {
+            state.record_violation(format!("ran_cancelled: tasks of {id} still run"));
         }
     }
 
@@ -223,38 +227,38 @@
 
     /// Clears the start latencies.
     pub fn reset_latencies(&self) {
-        let mut inner = self.lock_state();
-        inner.urgent.reset();
-        inner.other.reset();
+        let mut state = self.lock_state();
+        state.urgent.reset();
+        state.other.reset();
     }
 
     /// Start latencies of high-priority jobs and of all other jobs since the last reset.
     pub fn start_latencies(&self) -> (StartLatencies, StartLatencies) {
-        let inner = self.lock_state();
+        let state = self.lock_state();
         (
-            StartLatencies::of(&inner.urgent),
-            StartLatencies::of(&inner.other),
+            StartLatencies::of(&state.urgent),
+            StartLatencies::of(&state.other),
         )
     }
 
     /// The number of violations and the descriptions of the first ones.
     pub fn violations(&self) -> (u64, Vec<String>) {
-        let inner = self.lock_state();
-        (inner.violation_count, inner.violations.clone())
+        let state = self.lock_state();
+        (state.violation_count, state.violations.clone())
     }
 }
 
 impl TaskModel for InvariantChecker {
     fn describe(&self, task: TaskId) -> Option<TaskSpec> {
-        let inner = self.lock_state();
-        inner.jobs.get(&task.job).map(|job| job.facts.spec)
+        let state = self.lock_state();
+        state.jobs.get(&task.job).map(|job| job.expected.spec)
     }
 
     fn on_task_event(&self, machine: &str, task: TaskId, event: TaskEvent) {
-        let mut inner = self.lock_state();
+        let mut state = self.lock_state();
         match event {
-            TaskEvent::Started => inner.on_start(machine, task, self.cancellation_bound),
-            TaskEvent::Removed => inner.on_leave(machine, task),
+            TaskEvent::Started => state.on_start(machine, task, self.cancellation_bound),
+            TaskEvent::Removed => state.on_removed(machine, task),
         }
     }
 }
--- a/crates/load-test/src/linear_fit.rs
+++ b/crates/load-test/src/linear_fit.rs
@@ -20,12 +20,12 @@
         let count = points.len() as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
         let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
-        let spread: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-        if points.len() < 2 || spread <= 0.0 {
+        let sum_of_squares: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+        if points.len() < 2 || sum_of_squares <= 0.0 {
             return None;
         }
-        let together = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y));
-        let slope = together.sum::<f64>() / spread;
+        let products = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y));
+        let slope = products.sum::<f64>() / sum_of_squares;
         let intercept = mean_y - slope * mean_x;
         let line = LinearFit {
             slope,
--- a/crates/load-test/src/linear_fit/tests.rs
+++ b/crates/load-test/src/linear_fit/tests.rs
@@ -12,8 +12,8 @@
 
 #[test]
 fn quadratic_growth_is_not_linear() {
-    let places = [1.0, 2.0, 4.0, 8.0, 16.0];
-    let points = places.map(|x: f64| (x, x * x));
+    let xs = [1.0, 2.0, 4.0, 8.0, 16.0];
+    let points = xs.map(|x: f64| (x, x * x));
     let line = LinearFit::fit(&points).unwrap();
     assert!(!line.is_linear(0.05), "{line:?}");
     assert!(
--- a/crates/load-test/src/main.rs
+++ b/crates/load-test/src/main.rs
@@ -95,17 +95,18 @@
 impl Results {
     /// Reads a result file.
     fn load(path: &Path) -> Result<Self, String> {
-        let shown = path.display();
-        let text = std::fs::read_to_string(path).map_err(|error| format!("{shown}: {error}"))?;
-        serde_json::from_str(&text).map_err(|error| format!("{shown}: {error}"))
+        let display_path = path.display();
+        let text =
+            std::fs::read_to_string(path).map_err(|error| format!("{display_path}: {error}"))?;
+        serde_json::from_str(&text).map_err(|error| format!("{display_path}: {error}"))
     }
 
     /// Replaces the file atomically, so that an interrupted run leaves a complete file.
     fn save(&self, path: &Path) -> Result<(), RunError> {
-        let beside = path.with_extension("tmp");
+        let temporary_path = path.with_extension("tmp");
         let text = serde_json::to_string_pretty(self).expect("results are plain data");
-        std::fs::write(&beside, text + "\n")
-            .and_then(|()| std::fs::rename(&beside, path))
+        std::fs::write(&temporary_path, text + "\n")
+            .and_then(|()| std::fs::rename(&temporary_path, path))
             .map_err(|source| RunError::Write {
                 path: path.display().to_string(),
                 source,
@@ -143,20 +144,21 @@
     let plans = settings.plans();
     if dry_run {
         for plan in &plans {
-            println!("{}", described(plan));
+            println!("{}", describe(plan));
         }
         return ExitCode::SUCCESS;
     }
-    let beside = std::env::current_exe().map(|own| own.with_file_name("dalelb"));
-    let program = dalelb.unwrap_or(beside.unwrap_or_default());
+    let default_program =
+        std::env::current_exe().map(|executable| executable.with_file_name("dalelb"));
+    let program = dalelb.unwrap_or(default_program.unwrap_or_default());
     if !program.is_file() {
         let missing = format!("{}: controller program not found", program.display());
         return fail(&missing, EXIT_BAD_INPUT);
     }
     match run_all(&plans, result, program) {
         Ok(0) => ExitCode::SUCCESS,
-        Ok(broken) => fail(
-            &format!("{broken} invariant violations, see the result file"),
+        Ok(violation_count) => fail(
+            &format!("{violation_count} invariant violations, see the result file"),
             EXIT_INVARIANT_VIOLATED,
         ),
         Err(RunError::Interrupted) => fail(&RunError::Interrupted, EXIT_INTERRUPTED),
@@ -164,7 +166,7 @@
     }
 }
 
-fn described(plan: &Plan) -> String {
+fn describe(plan: &Plan) -> String {
     let experiment = &plan.experiment;
     let varied = match plan.varied {
         Some((vary, value, _)) => format!("{} {value}, run {}", vary.name(), plan.run),
@@ -185,40 +187,40 @@
     let mut results = Results::default();
     results.save(result)?;
     let directory = experiment::work_directory(&std::env::temp_dir())?;
-    let places = RunPaths { program, directory };
-    let (mut broken, began) = (0, Instant::now());
+    let paths = RunPaths { program, directory };
+    let (mut violation_count, started_at) = (0, Instant::now());
     for (number, plan) in plans.iter().enumerate() {
-        progress(number, plans.len(), began, &described(plan));
-        let point = play(plan, &places)?;
-        broken += point.broken;
+        progress(number, plans.len(), started_at, &describe(plan));
+        let point = run_on_new_runtime(plan, &paths)?;
+        violation_count += point.violation_count;
         results.points.push(point);
         results.save(result)?;
     }
-    progress(plans.len(), plans.len(), began, "done\n");
-    if broken == 0 {
-        let _ = std::fs::remove_dir_all(&places.directory);
+    progress(plans.len(), plans.len(), started_at, "done\n");
+    if violation_count == 0 {
+        let _ = std::fs::remove_dir_all(&paths.directory);
     } else {
-        eprintln!("logs: {}", places.directory.display());
+        eprintln!("logs: {}", paths.directory.display());
     }
-    Ok(broken)
+    Ok(violation_count)
 }
 
 /// Runs one plan on its own runtime; shutting the runtime down drops the plan's listeners and workers.
-fn play(plan: &Plan, places: &RunPaths) -> Result<Point, RunError> {
+fn run_on_new_runtime(plan: &Plan, paths: &RunPaths) -> Result<Point, RunError> {
     let runtime = tokio::runtime::Runtime::new().map_err(RunError::Runtime)?;
-    let played = runtime.block_on(async {
+    let outcome = runtime.block_on(async {
         // An interrupt drops this future, which kills the controllers.
         tokio::select! {
-            played = experiment::run_plan(plan, places) => played,
-            () = stopped() => Err(RunError::Interrupted),
+            outcome = experiment::run_plan(plan, paths) => outcome,
+            () = wait_for_signal() => Err(RunError::Interrupted),
         }
     });
     runtime.shutdown_timeout(SHUTDOWN_TIMEOUT);
-    played
+    outcome
 }
 
 /// Completes on SIGINT or SIGTERM.
-async fn stopped() {
+async fn wait_for_signal() {
     use tokio::signal::unix::{SignalKind, signal};
     let Ok(mut terminate) = signal(SignalKind::terminate()) else {
         let _ = tokio::signal::ctrl_c().await;
@@ -231,9 +233,9 @@
 }
 
 /// Prints a progress line; on a terminal it overwrites the previous one.
-fn progress(done: usize, all: usize, began: Instant, what: &str) {
-    let seconds = began.elapsed().as_secs();
-    let line = format!("[{done}/{all}] {seconds} s  {what}");
+fn progress(done: usize, total: usize, started_at: Instant, status: &str) {
+    let seconds = started_at.elapsed().as_secs();
+    let line = format!("[{done}/{total}] {seconds} s  {status}");
     if std::io::stderr().is_terminal() {
         eprint!("\r\x1b[K{line}");
     } else {
@@ -249,26 +251,26 @@
             Err(error) => return fail(&error, EXIT_BAD_INPUT),
         }
     }
-    let shown = page.display();
+    let display_path = page.display();
     let text = match std::fs::read_to_string(page) {
         Ok(text) => text,
-        Err(error) => return fail(&format!("{shown}: {error}"), EXIT_BAD_INPUT),
+        Err(error) => return fail(&format!("{display_path}: {error}"), EXIT_BAD_INPUT),
     };
-    let renewed = match report_page::update_page(&text, &points) {
-        Ok(renewed) => renewed,
-        Err(error) => return fail(&format!("{shown}: {error}"), EXIT_BAD_INPUT),
+    let updated = match report_page::update_page(&text, &points) {
+        Ok(updated) => updated,
+        Err(error) => return fail(&format!("{display_path}: {error}"), EXIT_BAD_INPUT),
     };
-    if renewed == text {
+    if updated == text {
         return ExitCode::SUCCESS;
     }
     if check {
         return fail(
-            &format!("{shown} does not match these results"),
+            &format!("{display_path} does not match these results"),
             EXIT_OUTDATED_PAGE,
         );
     }
-    match std::fs::write(page, renewed) {
+    match std::fs::write(page, updated) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => fail(&format!("{shown}: {error}"), EXIT_BAD_INPUT),
+        Err(error) => fail(&format!("{display_path}: {error}"), EXIT_BAD_INPUT),
     }
 }
--- a/crates/load-test/src/measure.rs
+++ b/crates/load-test/src/measure.rs
@@ -44,9 +44,11 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub drill: Option<DrillFigures>,
     /// Number of invariant violations in all regions.
-    pub broken: u64,
+    #[serde(rename = "broken")]
+    pub violation_count: u64,
     /// Descriptions of the first violations.
-    pub broken_first: Vec<String>,
+    #[serde(rename = "broken_first")]
+    pub first_violations: Vec<String>,
 }
 
 /// Figures of the first region over the measurement. Counts without another unit are rates per second.
@@ -97,9 +99,11 @@
     /// Accepted submissions.
     pub accepted: f64,
     /// Submission attempts without an acceptance, which the user retries.
-    pub sent_away: f64,
+    #[serde(rename = "sent_away")]
+    pub unaccepted_attempts: f64,
     /// Worker leases that expired since the start of the run (a count, not a rate).
-    pub sessions_lost: f64,
+    #[serde(rename = "sessions_lost")]
+    pub expired_leases: f64,
     /// Time from the acceptance of a job to the start command for its task, high priority.
     pub urgent: StartLatencies,
     /// The same for all other jobs.
@@ -123,7 +127,7 @@
     mesh: u64,
     starts: u64,
     accepted: u64,
-    sent_away: u64,
+    unaccepted_attempts: u64,
 }
 
 impl Snapshot {
@@ -131,7 +135,7 @@
     pub fn of(
         region: &Region,
         leader: usize,
-        rules: &InvariantChecker,
+        checker: &InvariantChecker,
         users: &crate::user_load::SubmissionCounts,
     ) -> Self {
         let traffic = region.fleet.traffic();
@@ -148,14 +152,19 @@
                 .iter()
                 .map(|link| link.connections_and_bytes().1)
                 .sum(),
-            starts: rules.start_count(),
+            starts: checker.start_count(),
             accepted: users.accepted.load(Ordering::Relaxed),
-            sent_away: users.sent_away.load(Ordering::Relaxed),
+            unaccepted_attempts: users.unaccepted_attempts.load(Ordering::Relaxed),
         }
     }
 
     /// The figures of the interval from `self` to `end`.
-    pub fn until(&self, end: &Snapshot, region: &Region, rules: &InvariantChecker) -> Figures {
+    pub fn figures_until(
+        &self,
+        end: &Snapshot,
+        region: &Region,
+        checker: &InvariantChecker,
+    ) -> Figures {
         let seconds = end.at.duration_since(self.at).as_secs_f64();
         let rate = |from: u64, to: u64| to.saturating_sub(from) as f64 / seconds;
         let cpu = |node: usize| (end.usages[node].cpu_ms - self.usages[node].cpu_ms) / seconds;
@@ -169,7 +178,7 @@
         let megabytes = |node: usize| end.usages[node].memory as f64 / 1e6;
         let sockets = |node: usize| end.usages[node].sockets as f64;
         let (keys, bytes) = region.state.stored_keys_and_bytes();
-        let (urgent, other) = rules.start_latencies();
+        let (urgent, other) = checker.start_latencies();
         let expired = &region.fleet.traffic().expired_leases;
         Figures {
             seconds,
@@ -194,8 +203,8 @@
             starts: rate(self.starts, end.starts),
             running: region.fleet.running_count() as f64,
             accepted: rate(self.accepted, end.accepted),
-            sent_away: rate(self.sent_away, end.sent_away),
-            sessions_lost: expired.load(Ordering::Relaxed) as f64,
+            unaccepted_attempts: rate(self.unaccepted_attempts, end.unaccepted_attempts),
+            expired_leases: expired.load(Ordering::Relaxed) as f64,
             urgent,
             other,
             ready_s: 0.0,
@@ -206,7 +215,7 @@
 
 /// Executes a fixed amount of work and returns the CPU time that it took, in milliseconds. It shows how fast the
 /// machine is during the run.
-pub fn reference() -> f64 {
+pub fn measure_reference_work() -> f64 {
     let tasks = (0..REFERENCE_TASKS).map(|index| TaskReport {
         task: TaskId {
             job: JobId(123_456),
@@ -232,16 +241,16 @@
     let before = thread_cpu_ms();
     for _ in 0..REFERENCE_REPORTS {
         let bytes = protocol::encode(&report);
-        let read: Result<Report, _> = protocol::decode(&bytes);
-        std::hint::black_box(read.is_ok());
+        let decoded: Result<Report, _> = protocol::decode(&bytes);
+        std::hint::black_box(decoded.is_ok());
     }
     thread_cpu_ms() - before
 }
 
 /// CPU time of the calling thread in milliseconds; 0 if `/proc` does not provide it.
 fn thread_cpu_ms() -> f64 {
-    let times = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
-    let on_processor = times.split_whitespace().next();
-    let nanoseconds: u64 = on_processor.and_then(|text| text.parse().ok()).unwrap_or(0);
+    let schedstat = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
+    let cpu_time = schedstat.split_whitespace().next();
+    let nanoseconds: u64 = cpu_time.and_then(|text| text.parse().ok()).unwrap_or(0);
     nanoseconds as f64 / 1e6
 }
--- a/crates/load-test/src/region.rs
+++ b/crates/load-test/src/region.rs
@@ -72,7 +72,7 @@
     },
     /// A controller exited unexpectedly.
     #[error(
-        "controller {label} of region {region} exited unexpectedly ({status}); last log line: {said}"
+        "controller {label} of region {region} exited unexpectedly ({status}); last log line: {last_log_line}"
     )]
     ControllerExited {
         /// Label of the controller.
@@ -82,26 +82,26 @@
         /// The exit status.
         status: String,
         /// The last line of the log.
-        said: String,
+        last_log_line: String,
     },
     /// A condition was not met in time.
-    #[error("timed out after {seconds} s; waited until {what}")]
+    #[error("timed out after {timeout_s} s, waiting until {condition}")]
     TimedOut {
         /// The condition that was waited for.
-        what: String,
+        condition: String,
         /// The timeout in seconds.
-        seconds: u64,
+        timeout_s: u64,
     },
     /// The asynchronous runtime cannot be created.
     #[error("cannot create the runtime: {0}")]
     Runtime(std::io::Error),
     /// The tool and the controllers use too much memory.
-    #[error("the tool and the controllers use {held_mb} MB of memory, {most_mb} MB are allowed")]
+    #[error("the tool and the controllers use {used_mb} MB of memory, {limit_mb} MB are allowed")]
     Memory {
         /// Resident memory in use, in megabytes.
-        held_mb: u64,
+        used_mb: u64,
         /// The limit, in megabytes.
-        most_mb: u64,
+        limit_mb: u64,
     },
     /// A file or directory cannot be written.
     #[error("cannot write {path}: {source}")]
@@ -162,9 +162,9 @@
     } else {
         1
     };
-    let all = (regions * experiment.workers) as f64 * experiment.worker_cpus;
-    let guarantee = (all * GUARANTEED_FRACTION / experiment.teams as f64).floor();
-    (guarantee, all.ceil())
+    let total_cpus = (regions * experiment.workers) as f64 * experiment.worker_cpus;
+    let guarantee = (total_cpus * GUARANTEED_FRACTION / experiment.teams as f64).floor();
+    (guarantee, total_cpus.ceil())
 }
 
 /// The settings files of a region's controllers.
@@ -194,7 +194,7 @@
         let members = addresses.iter().enumerate().filter(|(at, _)| *at != node);
         let members = members.map(|(at, other)| {
             json!({"label": other.label, "domain": other.zone,
-                "address": relay_addr(self.region, at, experiment).to_string()})
+                "address": link_addr(self.region, at, experiment).to_string()})
         });
         let addr = |offset| SocketAddr::new(region_ip(self.region, 1), experiment.port + offset);
         let settings = json!({
@@ -216,9 +216,9 @@
             }
         });
         let path = self.path(&own.label);
-        let beside = path.with_extension("new");
-        let written = std::fs::write(&beside, settings.to_string());
-        let renamed = written.and_then(|()| std::fs::rename(&beside, &path));
+        let temporary_path = path.with_extension("new");
+        let written = std::fs::write(&temporary_path, settings.to_string());
+        let renamed = written.and_then(|()| std::fs::rename(&temporary_path, &path));
         renamed.map_err(|source| RunError::Write {
             path: path.display().to_string(),
             source,
@@ -232,7 +232,7 @@
     pub fn start(
         index: usize,
         experiment: &Experiment,
-        rules: &Arc<InvariantChecker>,
+        checker: &Arc<InvariantChecker>,
         program: &Path,
         directory: &Path,
     ) -> Result<Self, RunError> {
@@ -240,13 +240,13 @@
             .map(|node| address(index, node, experiment))
             .collect();
         let state = start_state(index, experiment)?;
-        let fleet = start_fleet(index, experiment, rules, &addresses)?;
-        let cloud = start_cloud(index, experiment, rules, &fleet)?;
+        let fleet = start_fleet(index, experiment, checker, &addresses)?;
+        let cloud = start_cloud(index, experiment, checker, &fleet)?;
         let links = start_links(index, experiment, &addresses)?;
-        let (far_links, arguments) = start_inter_region_links(index, experiment)?;
+        let (outgoing_links, arguments) = start_inter_region_links(index, experiment)?;
         for address in &addresses {
-            for listens in [address.listen, address.mesh] {
-                check_addr_free(listens)?;
+            for listen_addr in [address.listen, address.mesh] {
+                check_addr_free(listen_addr)?;
             }
         }
         let mut region = Region {
@@ -257,7 +257,7 @@
             cloud,
             user_traffic: Arc::new(Traffic::default()),
             links,
-            inter_region_links: far_links,
+            inter_region_links: outgoing_links,
             arguments,
             files: SettingsFiles {
                 region: index,
@@ -294,15 +294,15 @@
     pub fn check_controllers_alive(&mut self) -> Result<(), RunError> {
         let region = self.index;
         for controller in &mut self.controllers {
-            if let Some(status) = controller.ended() {
+            if let Some(status) = controller.exit_status() {
                 let log = std::fs::read_to_string(&controller.log).unwrap_or_default();
-                let said = log.lines().last().unwrap_or("nothing").to_owned();
+                let last_log_line = log.lines().last().unwrap_or("nothing").to_owned();
                 let label = controller.address.label.clone();
                 return Err(RunError::ControllerExited {
                     label,
                     region,
                     status,
-                    said,
+                    last_log_line,
                 });
             }
         }
@@ -312,10 +312,10 @@
     /// The metrics of a controller; `None` if it does not answer.
     pub async fn metrics(&self, node: usize) -> Option<Metrics> {
         let traffic = Arc::new(Traffic::default());
-        let mut link = HttpConnection::new(self.controllers[node].address.listen, traffic);
-        let second = Duration::from_secs(1);
-        let answer = link.call(Method::GET, "/metrics", Vec::new(), second);
-        let (status, body) = answer.await?;
+        let mut connection = HttpConnection::new(self.controllers[node].address.listen, traffic);
+        let timeout = Duration::from_secs(1);
+        let response = connection.call(Method::GET, "/metrics", Vec::new(), timeout);
+        let (status, body) = response.await?;
         let text = String::from_utf8(body.to_vec()).ok()?;
         (status == 200).then_some(Metrics { text })
     }
@@ -323,10 +323,10 @@
     /// Whether a controller is ready to serve users' requests.
     pub async fn ready(&self, node: usize) -> bool {
         let traffic = Arc::new(Traffic::default());
-        let mut link = HttpConnection::new(self.controllers[node].address.listen, traffic);
-        let second = Duration::from_secs(1);
-        let answer = link.call(Method::GET, "/ready", Vec::new(), second);
-        answer.await.is_some_and(|(status, _)| status == 200)
+        let mut connection = HttpConnection::new(self.controllers[node].address.listen, traffic);
+        let timeout = Duration::from_secs(1);
+        let response = connection.call(Method::GET, "/ready", Vec::new(), timeout);
+        response.await.is_some_and(|(status, _)| status == 200)
     }
 
     /// The controller whose metrics report that it is the leader.
@@ -373,8 +373,8 @@
 
 impl Metrics {
     /// The sum of the values on all lines that start with this prefix.
-    pub fn sum(&self, begin: &str) -> f64 {
-        let lines = self.text.lines().filter(|line| line.starts_with(begin));
+    pub fn sum(&self, prefix: &str) -> f64 {
+        let lines = self.text.lines().filter(|line| line.starts_with(prefix));
         let values = lines.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok());
         values.sum()
     }
@@ -399,7 +399,7 @@
     }
 }
 
-fn relay_addr(region: usize, node: usize, experiment: &Experiment) -> SocketAddr {
+fn link_addr(region: usize, node: usize, experiment: &Experiment) -> SocketAddr {
     let ip = region_ip(region, FIRST_LINK_OCTET + node as u8);
     SocketAddr::new(ip, experiment.port + MESH_PORT)
 }
@@ -417,7 +417,7 @@
         .map_err(|source| listen_error(addr, source))
 }
 
-fn listener(addr: SocketAddr) -> Result<tokio::net::TcpListener, RunError> {
+fn bind_listener(addr: SocketAddr) -> Result<tokio::net::TcpListener, RunError> {
     let listener = bind(&addr.to_string());
     let (listener, _) = listener.map_err(|source| listen_error(addr, source))?;
     Ok(listener)
@@ -429,26 +429,26 @@
         txn_ops: TXN_OPS,
         value_kb: VALUE_KB,
     };
-    let pace = ServiceRates {
+    let rates = ServiceRates {
         rps: Some(experiment.state_rps),
         write_rps: Some(experiment.state_write_rps),
         latency: Duration::from_millis(experiment.state_latency_ms),
     };
-    let state = StateService::start(listener(addr)?, limits, pace);
-    let ended = JobRecord::Done {
+    let state = StateService::start(bind_listener(addr)?, limits, rates);
+    let finished_job = JobRecord::Done {
         at_ms: Some(1_700_000_000_000),
     };
-    let ended = storage::to_value(&ended);
+    let finished_job = storage::to_value(&finished_job);
     let ids =
         (0..experiment.finished_jobs as u64).map(|number| JobId(FIRST_FINISHED_JOB_ID + number));
-    state.preload(ids.map(|id| (storage::job_key(id), ended.clone())));
+    state.preload(ids.map(|id| (storage::job_key(id), finished_job.clone())));
     Ok(state)
 }
 
 fn start_fleet(
     region: usize,
     experiment: &Experiment,
-    rules: &Arc<InvariantChecker>,
+    checker: &Arc<InvariantChecker>,
     addresses: &[Address],
 ) -> Result<Fleet, RunError> {
     let nodes = addresses.iter();
@@ -465,7 +465,7 @@
         lease_ttl: Duration::from_secs_f64(experiment.lease_s),
     };
     let port = settings.port;
-    Fleet::start(settings, rules.clone()).map_err(|source| RunError::Listen {
+    Fleet::start(settings, checker.clone()).map_err(|source| RunError::Listen {
         addr: format!("0.0.0.0:{port}"),
         source,
     })
@@ -475,20 +475,20 @@
 fn start_cloud(
     region: usize,
     experiment: &Experiment,
-    rules: &Arc<InvariantChecker>,
+    checker: &Arc<InvariantChecker>,
     fleet: &Fleet,
 ) -> Result<Cloud, RunError> {
     let addr = SocketAddr::new(region_ip(region, 1), experiment.port + CLOUD_PORT);
-    let kind = machine_type(experiment.worker_cpus, 1000.0, &zones(experiment));
-    let (rules, workers) = (rules.clone(), fleet.clone());
-    let deleted = move |names: &[String]| {
-        workers.delete_workers(names, &*rules);
+    let offered_type = machine_type(experiment.worker_cpus, 1000.0, &zones(experiment));
+    let (checker, workers) = (checker.clone(), fleet.clone());
+    let on_deleted = move |names: &[String]| {
+        workers.delete_workers(names, &*checker);
     };
     Ok(Cloud::start(
-        listener(addr)?,
-        kind,
+        bind_listener(addr)?,
+        offered_type,
         fleet.listed_machines(),
-        deleted,
+        on_deleted,
     ))
 }
 
@@ -498,7 +498,7 @@
     addresses: &[Address],
 ) -> Result<Vec<EmulatedLink>, RunError> {
     let links = addresses.iter().enumerate().map(|(node, address)| {
-        let listener = listener(relay_addr(region, node, experiment))?;
+        let listener = bind_listener(link_addr(region, node, experiment))?;
         Ok(EmulatedLink::start(listener, address.mesh, Duration::ZERO))
     });
     links.collect()
@@ -528,8 +528,11 @@
                 FIRST_NODE_OCTET + node as u8,
             );
             let addr = SocketAddr::from((ip, experiment.port + MESH_PORT));
-            let to = address(other, node, experiment).mesh;
-            links.push((other, EmulatedLink::start(listener(addr)?, to, delay)));
+            let target = address(other, node, experiment).mesh;
+            links.push((
+                other,
+                EmulatedLink::start(bind_listener(addr)?, target, delay),
+            ));
             addrs.push(addr.to_string());
         }
         arguments.push("--peer-cell".to_owned());
--- a/crates/load-test/src/report_page.rs
+++ b/crates/load-test/src/report_page.rs
@@ -169,14 +169,14 @@
 const fn tracked_figure(
     name: &'static str,
     unit: &'static str,
-    by: &'static str,
-    of: fn(&Point) -> Option<f64>,
+    driven_by: &'static str,
+    extractor: fn(&Point) -> Option<f64>,
 ) -> TrackedFigure {
     TrackedFigure {
         name,
         unit,
-        extract: of,
-        driver: by,
+        extract: extractor,
+        driver: driven_by,
     }
 }
 
@@ -209,14 +209,17 @@
 impl FittedGrowth {
     /// `None` if there are fewer than two different values.
     fn of(points: &[&Point], figure: &TrackedFigure) -> Option<Self> {
-        let mut at: BTreeMap<u64, Vec<f64>> = BTreeMap::new();
+        let mut values_at: BTreeMap<u64, Vec<f64>> = BTreeMap::new();
         for point in points {
             if let Some(value) = (figure.extract)(point) {
-                at.entry(point.value.to_bits()).or_default().push(value);
+                values_at
+                    .entry(point.value.to_bits())
+                    .or_default()
+                    .push(value);
             }
         }
         // The values are not negative, so the order of their bits is the order of the values.
-        let means: Vec<(f64, f64)> = at
+        let means: Vec<(f64, f64)> = values_at
             .iter()
             .map(|(bits, values)| {
                 let mean = values.iter().sum::<f64>() / values.len() as f64;
@@ -224,7 +227,7 @@
             })
             .collect();
         let line = LinearFit::fit(&means)?;
-        let spreads = at.values().map(|values| spread(values));
+        let spreads = values_at.values().map(|values| spread(values));
         Some(FittedGrowth {
             line,
             spread: spreads.fold(0.0, f64::max),
@@ -236,15 +239,17 @@
     /// Whether the figure changes along the sweep by more than identical runs differ.
     fn grows(&self, noise: f64) -> bool {
         let (low, high) = (self.from.1.abs(), self.to.1.abs());
-        let least = GROWTH_THRESHOLD.max(noise) * low.max(high);
-        (self.line.slope * (self.to.0 - self.from.0)).abs() > least
+        let minimum = GROWTH_THRESHOLD.max(noise) * low.max(high);
+        (self.line.slope * (self.to.0 - self.from.0)).abs() > minimum
     }
 }
 
 /// The largest spread of this figure between identical runs, over all repeated runs.
 fn noise(results: &[Vec<Point>], figure: &TrackedFigure) -> f64 {
     let sweeps = results.iter().flat_map(|points| {
-        let sweeps = TARGET_LOAD.iter().map(|(vary, _)| of_sweep(points, *vary));
+        let sweeps = TARGET_LOAD
+            .iter()
+            .map(|(vary, _)| points_of_sweep(points, *vary));
         sweeps.filter_map(|points| FittedGrowth::of(&points, figure))
     });
     sweeps.map(|growth| growth.spread).fold(0.0, f64::max)
@@ -260,25 +265,25 @@
     text
 }
 
-fn of_sweep(points: &[Point], vary: SweepParameter) -> Vec<&Point> {
+fn points_of_sweep(points: &[Point], vary: SweepParameter) -> Vec<&Point> {
     let points = points.iter();
     points.filter(|point| point.vary == Some(vary)).collect()
 }
 
 fn render_runs(text: &mut String, results: &[Vec<Point>]) {
     let points: Vec<&Point> = results.iter().flatten().collect();
-    let broken: u64 = points.iter().map(|point| point.broken).sum();
+    let violation_count: u64 = points.iter().map(|point| point.violation_count).sum();
     let references: Vec<f64> = points.iter().map(|point| point.reference_ms).collect();
-    let (least, most) = (
+    let (minimum, maximum) = (
         references.iter().copied().fold(f64::MAX, f64::min),
         references.iter().copied().fold(0.0, f64::max),
     );
     let _ = writeln!(
         text,
-        "\n{} runs, {broken} invariant violations. During the runs the reference work took {} to {} ms of CPU time.\n",
+        "\n{} runs, {violation_count} invariant violations. During the runs the reference work took {} to {} ms of CPU time.\n",
         points.len(),
-        number(least.min(most)),
-        number(most)
+        number(minimum.min(maximum)),
+        number(maximum)
     );
 }
 
@@ -300,7 +305,7 @@
     for figure in &TRACKED_FIGURES {
         let noise = noise(results, figure);
         for (vary, _) in TARGET_LOAD {
-            let growth = FittedGrowth::of(&of_sweep(points, vary), figure);
+            let growth = FittedGrowth::of(&points_of_sweep(points, vary), figure);
             let Some(growth) = growth.filter(|growth| growth.grows(noise)) else {
                 continue;
             };
@@ -344,18 +349,21 @@
     fn of(
         results: &[Vec<Point>],
         figure: &TrackedFigure,
-        place: &[(SweepParameter, f64)],
+        load: &[(SweepParameter, f64)],
         base: f64,
     ) -> Extrapolation {
         let noise = noise(results, figure);
-        let mut extended = Extrapolation {
+        let mut extrapolation = Extrapolation {
             value: base,
             varied_along: Vec::new(),
             is_beyond_measured: false,
             is_nonlinear: false,
         };
-        for &(vary, to) in place {
-            let sweeps = results.iter().rev().map(|points| of_sweep(points, vary));
+        for &(vary, to) in load {
+            let sweeps = results
+                .iter()
+                .rev()
+                .map(|points| points_of_sweep(points, vary));
             let Some(points) = sweeps
                 .into_iter()
                 .find(|points: &Vec<&Point>| !points.is_empty())
@@ -366,12 +374,12 @@
             let Some(growth) = growth.filter(|growth| growth.grows(noise)) else {
                 continue;
             };
-            extended.value += growth.line.slope * (to - points[0].base);
-            extended.is_beyond_measured |= to > growth.to.0;
-            extended.is_nonlinear |= !growth.line.is_linear(noise);
-            extended.varied_along.push(vary.name());
+            extrapolation.value += growth.line.slope * (to - points[0].base);
+            extrapolation.is_beyond_measured |= to > growth.to.0;
+            extrapolation.is_nonlinear |= !growth.line.is_linear(noise);
+            extrapolation.varied_along.push(vary.name());
         }
-        extended
+        extrapolation
     }
 
     fn marks(&self) -> String {
@@ -390,29 +398,29 @@
 fn render_target(text: &mut String, results: &[Vec<Point>]) {
     text.push_str("| figure | unit | largest site today, extrapolated | region at the target, extrapolated | parameters | remarks | region at the target, measured | determined by |\n");
     text.push_str("| --- | --- | --- | --- | --- | --- | --- | --- |\n");
-    let as_run = results.iter().flatten();
-    let mut as_run = as_run.filter(|point| point.vary.is_none() && point.drill.is_none());
-    let as_run = as_run.next_back();
+    let unvaried = results.iter().flatten();
+    let mut unvaried = unvaried.filter(|point| point.vary.is_none() && point.drill.is_none());
+    let unvaried = unvaried.next_back();
     for figure in &TRACKED_FIGURES {
-        let run = as_run.and_then(figure.extract);
-        let run = run.map_or("not run".to_owned(), number);
-        let (name, unit, by) = (figure.name, figure.unit, figure.driver);
-        let Some(base) = at_base(&results[0], figure) else {
+        let measured = unvaried.and_then(figure.extract);
+        let measured = measured.map_or("not run".to_owned(), number);
+        let (name, unit, driven_by) = (figure.name, figure.unit, figure.driver);
+        let Some(base) = mean_at_base(&results[0], figure) else {
             let _ = writeln!(
                 text,
-                "| {name} | {unit} | not measured | | | | {run} | {by} |"
+                "| {name} | {unit} | not measured | | | | {measured} | {driven_by} |"
             );
             continue;
         };
-        let today = Extrapolation::of(results, figure, &CURRENT_LOAD, base);
-        let then = Extrapolation::of(results, figure, &TARGET_LOAD, base);
+        let current = Extrapolation::of(results, figure, &CURRENT_LOAD, base);
+        let target = Extrapolation::of(results, figure, &TARGET_LOAD, base);
         let _ = writeln!(
             text,
-            "| {name} | {unit} | {} | {} | {} | {} | {run} | {by} |",
-            number(today.value.max(0.0)),
-            number(then.value.max(0.0)),
-            then.varied_along.join(", "),
-            then.marks(),
+            "| {name} | {unit} | {} | {} | {} | {} | {measured} | {driven_by} |",
+            number(current.value.max(0.0)),
+            number(target.value.max(0.0)),
+            target.varied_along.join(", "),
+            target.marks(),
         );
     }
     text.push('\n');
@@ -422,7 +430,7 @@
 /// Writes the figures of each drill.
 fn render_drills(text: &mut String, results: &[Vec<Point>]) {
     for point in results.iter().flatten() {
-        let (Some(drill), Some(wanted)) = (&point.drill, &point.experiment.drill) else {
+        let (Some(drill), Some(drill_settings)) = (&point.drill, &point.experiment.drill) else {
             continue;
         };
         let _ = writeln!(
@@ -432,9 +440,9 @@
             number(drill.workers as f64),
             point.experiment.process_count(),
             point.experiment.teams,
-            wanted.link_ms,
+            drill_settings.link_ms,
             number(drill.changes as f64),
-            point.broken,
+            point.violation_count,
             drill
                 .takeover_s
                 .map_or("not within the timeout,".to_owned(), number),
@@ -459,12 +467,12 @@
                 phase.in_force_median_ms,
                 phase.in_force_p99_ms,
                 phase.in_force_worst_ms,
-                number(phase.behind),
+                number(phase.lagging_teams),
                 number(phase.busiest_cpu_ms),
                 number(phase.memory_mb),
                 number(phase.messages_per_worker),
                 number(phase.bytes_per_worker),
-                number(phase.far_bytes / 1e3),
+                number(phase.inter_region_bytes / 1e3),
             );
         }
         text.push('\n');
@@ -472,10 +480,11 @@
 }
 
 /// The mean of the figure over all runs in which the varied parameter has its base value.
-fn at_base(points: &[Point], figure: &TrackedFigure) -> Option<f64> {
-    let at_base = points.iter();
-    let at_base = at_base.filter(|point| point.vary.is_some() && point.value == point.base);
-    let values: Vec<f64> = at_base
+fn mean_at_base(points: &[Point], figure: &TrackedFigure) -> Option<f64> {
+    let runs_at_base = points.iter();
+    let runs_at_base =
+        runs_at_base.filter(|point| point.vary.is_some() && point.value == point.base);
+    let values: Vec<f64> = runs_at_base
         .filter_map(|point| (figure.extract)(point))
         .collect();
     (!values.is_empty()).then(|| values.iter().sum::<f64>() / values.len() as f64)
--- a/crates/load-test/src/report_page/tests.rs
+++ b/crates/load-test/src/report_page/tests.rs
@@ -15,8 +15,8 @@
             ..Figures::default()
         },
         drill: None,
-        broken: 0,
-        broken_first: Vec::new(),
+        violation_count: 0,
+        first_violations: Vec::new(),
     }
 }
 
@@ -24,17 +24,17 @@
 fn extrapolation_reaches_the_target_and_is_marked() {
     let points = [vec![point(500, 30.0), point(1000, 40.0), point(2000, 60.0)]];
     let page = format!("head\n{BEGIN}\nprevious content\n{END}\ntail\n");
-    let renewed = update_page(&page, &points).unwrap();
-    assert!(renewed.starts_with("head\n") && renewed.ends_with("\ntail\n"));
-    assert!(!renewed.contains("previous content"));
+    let updated = update_page(&page, &points).unwrap();
+    assert!(updated.starts_with("head\n") && updated.ends_with("\ntail\n"));
+    assert!(!updated.contains("previous content"));
     // 20 MB plus 20 MB per 1,000 workers, for 4,143 workers.
     let row = "| leader, memory | MB | 47.3 | 103 | workers | extrapolated | not run |";
-    assert!(renewed.contains(row), "{renewed}");
+    assert!(updated.contains(row), "{updated}");
     assert!(
-        renewed.contains("| follower, memory | MB | 20 | 20 |  |  | not run |"),
-        "{renewed}"
+        updated.contains("| follower, memory | MB | 20 | 20 |  |  | not run |"),
+        "{updated}"
     );
-    assert_eq!(update_page(&renewed, &points).unwrap(), renewed);
+    assert_eq!(update_page(&updated, &points).unwrap(), updated);
 }
 
 #[test]
--- a/crates/load-test/src/settings.rs
+++ b/crates/load-test/src/settings.rs
@@ -253,13 +253,13 @@
 impl Settings {
     /// Reads and checks a settings file.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
-        let shown = path.display().to_string();
+        let display_path = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Read {
-            path: shown.clone(),
+            path: display_path.clone(),
             source,
         })?;
         let settings: Settings = toml::from_str(&text).map_err(|error| SettingsError::Parse {
-            path: shown.clone(),
+            path: display_path.clone(),
             reason: one_line(&error, &text),
         })?;
         let problems = settings.validation_errors();
@@ -267,7 +267,7 @@
             return Ok(settings);
         }
         Err(SettingsError::Invalid {
-            path: shown,
+            path: display_path,
             problems,
         })
     }
@@ -286,26 +286,26 @@
     }
 
     fn validation_errors(&self) -> Vec<String> {
-        let mut found = self.base.validation_errors("base");
+        let mut errors = self.base.validation_errors("base");
         for (number, sweep) in self.sweep.iter().enumerate() {
-            let place = format!("sweep {} ({})", number + 1, sweep.vary.name());
+            let table = format!("sweep {} ({})", number + 1, sweep.vary.name());
             if sweep.values.is_empty() {
-                found.push(format!("{place}: values: must not be empty"));
+                errors.push(format!("{table}: values: must not be empty"));
             }
             if sweep.repeats == 0 {
-                found.push(format!("{place}: repeats: must be at least 1"));
+                errors.push(format!("{table}: repeats: must be at least 1"));
             }
             let repeated = sweep.repeat_at.iter();
             for at in repeated.filter(|at| !sweep.values.contains(at)) {
-                found.push(format!("{place}: repeat_at: {at} is not among the values"));
+                errors.push(format!("{table}: repeat_at: {at} is not among the values"));
             }
             for plan in sweep.plans(&self.base).iter().filter(|plan| plan.run == 1) {
-                found.extend(plan.experiment.validation_errors(&place));
+                errors.extend(plan.experiment.validation_errors(&table));
             }
         }
-        found.sort();
-        found.dedup();
-        found
+        errors.sort();
+        errors.dedup();
+        errors
     }
 }
 
@@ -388,11 +388,11 @@
     }
 
     #[expect(clippy::too_many_lines, reason = "still to be split")]
-    fn validation_errors(&self, place: &str) -> Vec<String> {
-        let mut found = Vec::new();
-        let mut check = |holds: bool, what: &str| {
-            if !holds {
-                found.push(format!("{place}: {what}"));
+    fn validation_errors(&self, table: &str) -> Vec<String> {
+        let mut errors = Vec::new();
+        let mut check = |is_valid: bool, requirement: &str| {
+            if !is_valid {
+                errors.push(format!("{table}: {requirement}"));
             }
         };
         check(
@@ -489,7 +489,7 @@
                 MAX_MEMORY_BYTES as f64 / 1e9
             ),
         );
-        found
+        errors
     }
 }
 
--- a/crates/load-test/src/settings/tests.rs
+++ b/crates/load-test/src/settings/tests.rs
@@ -26,8 +26,8 @@
     let settings = parsed("[base]\nworkers = 0\nurgent_share = 2.0\ncancel_s = 1.0");
     let problems = settings.validation_errors();
     for field in ["workers", "urgent_share", "cancel_s"] {
-        let named = problems.iter().any(|problem| problem.contains(field));
-        assert!(named, "{field}: {problems:?}");
+        let is_reported = problems.iter().any(|problem| problem.contains(field));
+        assert!(is_reported, "{field}: {problems:?}");
     }
 }
 
--- a/crates/load-test/src/user_load.rs
+++ b/crates/load-test/src/user_load.rs
@@ -44,7 +44,7 @@
 pub struct UserLoad {
     nodes: Arc<Vec<SocketAddr>>,
     traffic: Arc<Traffic>,
-    rules: Arc<InvariantChecker>,
+    checker: Arc<InvariantChecker>,
     experiment: Arc<Experiment>,
     next_id: Arc<AtomicU64>,
     is_stopped: Arc<AtomicBool>,
@@ -57,9 +57,9 @@
     /// Accepted submissions.
     pub accepted: AtomicU64,
     /// Submissions abandoned without an acceptance.
-    pub given_up: AtomicU64,
+    pub abandoned: AtomicU64,
     /// Submission attempts that were not accepted (rejected, or no response).
-    pub sent_away: AtomicU64,
+    pub unaccepted_attempts: AtomicU64,
 }
 
 /// The parameters of a job to submit.
@@ -74,11 +74,11 @@
 
 impl UserLoad {
     /// Creates the users of a region; they are idle until one of the other functions is called.
-    pub fn new(region: &Region, experiment: &Experiment, rules: &Arc<InvariantChecker>) -> Self {
+    pub fn new(region: &Region, experiment: &Experiment, checker: &Arc<InvariantChecker>) -> Self {
         UserLoad {
             nodes: Arc::new(region.listen_addrs()),
             traffic: region.user_traffic.clone(),
-            rules: rules.clone(),
+            checker: checker.clone(),
             experiment: Arc::new(experiment.clone()),
             next_id: Arc::new(AtomicU64::new(
                 JOB_IDS_PER_REGION * (region.index as u64 + 1),
@@ -105,9 +105,14 @@
             return;
         }
         let services = (experiment.workers as u32).div_ceil(self.replicas_per_service());
-        let next = Arc::new(AtomicU64::new(0));
+        let next_service = Arc::new(AtomicU64::new(0));
         let users: Vec<_> = (0..CONCURRENT_SERVICE_SUBMITTERS)
-            .map(|_| tokio::spawn(self.clone().submit_next_services(next.clone(), services)))
+            .map(|_| {
+                tokio::spawn(
+                    self.clone()
+                        .submit_next_services(next_service.clone(), services),
+                )
+            })
             .collect();
         for user in users {
             let _ = user.await;
@@ -117,30 +122,31 @@
     /// Replicas of each service. In a drill at most a team's equal share of the replicas, since teams have limits there.
     fn replicas_per_service(&self) -> u32 {
         let experiment = &self.experiment;
-        let each = (experiment.workers as u32).div_ceil(experiment.teams as u32);
+        let replicas_per_team = (experiment.workers as u32).div_ceil(experiment.teams as u32);
         if experiment.drill.is_some() {
-            each.min(MAX_REPLICAS_PER_SERVICE)
+            replicas_per_team.min(MAX_REPLICAS_PER_SERVICE)
         } else {
             MAX_REPLICAS_PER_SERVICE
         }
     }
 
-    async fn submit_next_services(self, next: Arc<AtomicU64>, services: u32) {
+    async fn submit_next_services(self, next_service: Arc<AtomicU64>, services: u32) {
         loop {
-            let number = next.fetch_add(1, Ordering::Relaxed) as u32;
-            if number >= services {
+            let service_index = next_service.fetch_add(1, Ordering::Relaxed) as u32;
+            if service_index >= services {
                 return;
             }
-            let left = self.experiment.workers as u32 - number * self.replicas_per_service();
-            let wanted = JobTemplate {
+            let remaining_replicas =
+                self.experiment.workers as u32 - service_index * self.replicas_per_service();
+            let template = JobTemplate {
                 kind: JobKind::Service,
                 class: "replica",
                 priority: Priority::Production,
-                tasks: left.min(self.replicas_per_service()),
+                tasks: remaining_replicas.min(self.replicas_per_service()),
                 cpus: self.experiment.replica_cpus,
                 run_s: None,
             };
-            self.submit(&wanted).await;
+            self.submit(&template).await;
         }
     }
 
@@ -151,16 +157,16 @@
             return;
         }
         let jobs_per_s = experiment.starts_per_s / f64::from(experiment.tasks_per_job);
-        let mut clock = tokio::time::interval(Duration::from_secs_f64(1.0 / jobs_per_s));
+        let mut interval = tokio::time::interval(Duration::from_secs_f64(1.0 / jobs_per_s));
         while !self.is_stopped.load(Ordering::Relaxed) {
-            clock.tick().await;
+            interval.tick().await;
             let urgent = rand::rng().random_bool(experiment.urgent_share);
             let (class, priority) = if urgent {
                 ("urgent", Priority::High)
             } else {
                 ("other", Priority::Normal)
             };
-            let wanted = JobTemplate {
+            let template = JobTemplate {
                 kind: JobKind::Array,
                 class,
                 priority,
@@ -169,23 +175,23 @@
                 run_s: Some(experiment.run_s),
             };
             let user = self.clone();
-            tokio::spawn(async move { user.submit_and_poll(&wanted).await });
+            tokio::spawn(async move { user.submit_and_poll(&template).await });
         }
     }
 
-    async fn submit_and_poll(&self, wanted: &JobTemplate) {
-        let Some((id, mut link)) = self.submit(wanted).await else {
+    async fn submit_and_poll(&self, template: &JobTemplate) {
+        let Some((id, mut connection)) = self.submit(template).await else {
             return;
         };
         if rand::rng().random_bool(self.experiment.cancelled_share) {
             tokio::time::sleep(CANCEL_DELAY).await;
-            return self.cancel(id, &mut link).await;
+            return self.cancel(id, &mut connection).await;
         }
         while !self.is_stopped.load(Ordering::Relaxed) {
             tokio::time::sleep(POLL_INTERVAL).await;
             let path = format!("/v2/runs/{id}");
-            let answer = link.call(Method::GET, &path, Vec::new(), POLL_TIMEOUT);
-            let view = match answer.await {
+            let response = connection.call(Method::GET, &path, Vec::new(), POLL_TIMEOUT);
+            let view = match response.await {
                 Some((200, body)) => protocol::decode::<JobView>(&body).ok(),
                 _ => None,
             };
@@ -197,69 +203,73 @@
     }
 
     /// Requests the cancellation of a job and retries until a node confirms it.
-    async fn cancel(&self, id: JobId, link: &mut HttpConnection) {
+    async fn cancel(&self, id: JobId, connection: &mut HttpConnection) {
         let path = format!("/v2/runs/{id}/abort");
         while !self.is_stopped.load(Ordering::Relaxed) {
-            let answer = link.call(Method::POST, &path, Vec::new(), SUBMIT_TIMEOUT);
-            if let Some((200, body)) = answer.await {
+            let response = connection.call(Method::POST, &path, Vec::new(), SUBMIT_TIMEOUT);
+            if let Some((200, body)) = response.await {
                 let view = protocol::decode::<JobView>(&body).ok();
                 if view.is_some_and(|view| view.status == JobStatus::Cancelled) {
-                    self.rules.on_cancelled(id);
+                    self.checker.on_cancelled(id);
                 }
                 return;
             }
             let node = rand::rng().random_range(0..self.nodes.len());
-            link.redirect_to(self.nodes[node]);
+            connection.redirect_to(self.nodes[node]);
             tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
     /// Submits a job, with retries, until it is accepted. Returns the id and the connection of the accepting node, or
     /// `None` if the submission was abandoned.
-    async fn submit(&self, wanted: &JobTemplate) -> Option<(JobId, HttpConnection)> {
+    async fn submit(&self, template: &JobTemplate) -> Option<(JobId, HttpConnection)> {
         let id = JobId(self.next_id.fetch_add(1, Ordering::Relaxed));
         let team = team_name(id.0 as usize % self.experiment.teams);
-        let submission = self.submission(id, &team, wanted);
+        let submission = self.submission(id, &team, template);
         let spec = TaskSpec {
-            cpus: wanted.cpus,
-            run_ms: wanted.run_s.map(|run_s| (run_s * 1000.0) as u64),
+            cpus: template.cpus,
+            run_ms: template.run_s.map(|run_s| (run_s * 1000.0) as u64),
         };
-        let facts = ExpectedJob {
+        let expected = ExpectedJob {
             team,
             spec,
-            urgent: wanted.priority <= Priority::High,
-            measured: wanted.kind == JobKind::Array,
+            urgent: template.priority <= Priority::High,
+            measured: template.kind == JobKind::Array,
         };
-        self.rules.on_submitted(id, facts);
+        self.checker.on_submitted(id, expected);
         let body = protocol::encode(&submission);
-        let began = Instant::now();
+        let started_at = Instant::now();
         let mut node = rand::rng().random_range(0..self.nodes.len());
-        let mut link = HttpConnection::new(self.nodes[node], self.traffic.clone());
-        while began.elapsed() < SUBMIT_GIVE_UP_AFTER && !self.is_stopped.load(Ordering::Relaxed) {
-            let answer = link.call(Method::POST, "/v2/runs", body.clone(), SUBMIT_TIMEOUT);
-            if let Some((200 | 201, _)) = answer.await {
-                self.rules.on_accepted(id);
+        let mut connection = HttpConnection::new(self.nodes[node], self.traffic.clone());
+        while started_at.elapsed() < SUBMIT_GIVE_UP_AFTER
+            && !self.is_stopped.load(Ordering::Relaxed)
+        {
+            let response = connection.call(Method::POST, "/v2/runs", body.clone(), SUBMIT_TIMEOUT);
+            if let Some((200 | 201, _)) = response.await {
+                self.checker.on_accepted(id);
                 self.counts.accepted.fetch_add(1, Ordering::Relaxed);
-                return Some((id, link));
+                return Some((id, connection));
             }
-            self.counts.sent_away.fetch_add(1, Ordering::Relaxed);
+            self.counts
+                .unaccepted_attempts
+                .fetch_add(1, Ordering::Relaxed);
             node = (node + 1) % self.nodes.len();
-            link.redirect_to(self.nodes[node]);
+            connection.redirect_to(self.nodes[node]);
             tokio::time::sleep(RETRY_DELAY).await;
         }
-        self.counts.given_up.fetch_add(1, Ordering::Relaxed);
+        self.counts.abandoned.fetch_add(1, Ordering::Relaxed);
         None
     }
 
-    fn submission(&self, id: JobId, team: &str, wanted: &JobTemplate) -> Submission {
+    fn submission(&self, id: JobId, team: &str, template: &JobTemplate) -> Submission {
         Submission {
             id,
-            class: wanted.class.into(),
+            class: template.class.into(),
             team: team.into(),
-            kind: wanted.kind,
-            priority: wanted.priority,
-            tasks: wanted.tasks,
-            cpus: wanted.cpus,
+            kind: template.kind,
+            priority: template.priority,
+            tasks: template.tasks,
+            cpus: template.cpus,
             gpus: 0.0,
             ram_gb: 1.0,
             image: "image".into(),
@@ -269,7 +279,7 @@
             one_zone: false,
             spread: false,
             spot: false,
-            estimate_s: wanted.run_s.unwrap_or(0.0),
+            estimate_s: template.run_s.unwrap_or(0.0),
             checkpoint_s: 0.0,
             save_s: 0.0,
             deadline_s: None,
--- a/crates/load-test/tests/drill.rs
+++ b/crates/load-test/tests/drill.rs
@@ -38,11 +38,11 @@
 
 #[test]
 fn cells_keep_quotas_under_faults() {
-    let name = |end: &str| {
-        let name = format!("dalelb-drill-{}.{end}", std::process::id());
+    let path = |extension: &str| {
+        let name = format!("dalelb-drill-{}.{extension}", std::process::id());
         std::env::temp_dir().join(name)
     };
-    let (settings, result) = (name("toml"), name("json"));
+    let (settings, result) = (path("toml"), path("json"));
     fs::write(&settings, SETTINGS).expect("a settings file");
     let output = Command::new(env!("CARGO_BIN_EXE_dalelb-load-test"))
         .arg("run")
@@ -54,11 +54,11 @@
         .arg(controller())
         .output()
         .expect("the program runs");
-    let said = String::from_utf8_lossy(&output.stderr);
-    assert!(output.status.success(), "{said}");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert!(output.status.success(), "{stderr}");
     let text = fs::read_to_string(&result).expect("a result");
-    let result_of: Value = serde_json::from_str(&text).expect("JSON");
-    let point = &result_of["points"][0];
+    let result_json: Value = serde_json::from_str(&text).expect("JSON");
+    let point = &result_json["points"][0];
     assert_eq!(point["broken"], 0, "{point}");
     let phases = point["drill"]["phases"].as_array().expect("phases");
     assert_eq!(phases.len(), 6);
--- a/crates/load-test/tests/ends.rs
+++ b/crates/load-test/tests/ends.rs
@@ -13,23 +13,23 @@
 use common::controller;
 
 /// Upper bound on each wait, well above the expected duration.
-const PATIENCE: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-struct Files {
+struct RunFiles {
     settings: PathBuf,
     result: PathBuf,
 }
 
-impl Files {
+impl RunFiles {
     fn new(port: u16) -> Self {
-        let name = |end: &str| {
-            let name = format!("dalelb-ends-{}-{port}.{end}", std::process::id());
+        let path = |extension: &str| {
+            let name = format!("dalelb-ends-{}-{port}.{extension}", std::process::id());
             std::env::temp_dir().join(name)
         };
-        let (settings, result) = (name("toml"), name("json"));
+        let (settings, result) = (path("toml"), path("json"));
         let text = format!("[base]\nworkers = 20\nnodes = 2\nport = {port}\n");
         fs::write(&settings, text).expect("a settings file");
-        Files { settings, result }
+        RunFiles { settings, result }
     }
 
     fn start(&self, controller: &Path) -> Child {
@@ -47,72 +47,75 @@
     }
 
     /// Checks that a result file exists, removes the files, and returns the exit code and the last line of standard error.
-    fn ended(&self, output: &Output) -> (Option<i32>, String) {
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
+    fn exit_code_and_last_line(&self, output: &Output) -> (Option<i32>, String) {
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
         let text = fs::read_to_string(&self.result).expect("a result");
         assert!(text.contains("points"), "{text}");
         fs::remove_file(&self.settings).expect("the settings file");
         fs::remove_file(&self.result).expect("the result");
-        let last = said.lines().last().unwrap_or_default();
-        (output.status.code(), last.to_owned())
+        let last_line = stderr.lines().last().unwrap_or_default();
+        (output.status.code(), last_line.to_owned())
     }
 }
 
 /// Whether a controller process of the load test with this process id exists.
-fn controllers_of(run: u32) -> bool {
-    let mark = format!("dalelb-load-test-{run}/");
+fn has_controllers(tool_pid: u32) -> bool {
+    let directory_name = format!("dalelb-load-test-{tool_pid}/");
     let processes = fs::read_dir("/proc").expect("processes");
     let commands = processes
         .flatten()
         .map(|process| process.path().join("cmdline"));
     commands
         .filter_map(|path| fs::read_to_string(path).ok())
-        .any(|command| command.contains(&mark) && command.contains("serve"))
+        .any(|command| command.contains(&directory_name) && command.contains("serve"))
 }
 
 #[test]
 fn occupied_port_is_reported() {
-    let _taken = TcpListener::bind("127.0.1.1:27000").expect("a free port");
-    let files = Files::new(27_000);
+    let _occupied = TcpListener::bind("127.0.1.1:27000").expect("a free port");
+    let files = RunFiles::new(27_000);
     let output = files
         .start(&controller())
         .wait_with_output()
         .expect("the program exits");
-    let (code, last) = files.ended(&output);
-    assert_eq!(code, Some(3), "{last}");
-    assert!(last.contains("cannot listen on 127.0.1.1:27000"), "{last}");
+    let (code, last_line) = files.exit_code_and_last_line(&output);
+    assert_eq!(code, Some(3), "{last_line}");
+    assert!(
+        last_line.contains("cannot listen on 127.0.1.1:27000"),
+        "{last_line}"
+    );
 }
 
 #[test]
 fn unexpected_controller_exit_is_reported() {
-    let files = Files::new(27_100);
+    let files = RunFiles::new(27_100);
     let child = files.start(Path::new("/bin/false"));
     let output = child.wait_with_output().expect("the program exits");
-    let (code, last) = files.ended(&output);
-    assert_eq!(code, Some(3), "{last}");
-    assert!(last.contains("exited unexpectedly"), "{last}");
+    let (code, last_line) = files.exit_code_and_last_line(&output);
+    assert_eq!(code, Some(3), "{last_line}");
+    assert!(last_line.contains("exited unexpectedly"), "{last_line}");
 }
 
 #[test]
 fn interrupted_run_stops_all_controllers() {
-    let files = Files::new(27_200);
+    let files = RunFiles::new(27_200);
     let child = files.start(&controller());
-    let run = child.id();
-    let began = Instant::now();
-    while !controllers_of(run) {
-        assert!(began.elapsed() < PATIENCE, "no controller starts");
+    let tool_pid = child.id();
+    let started_at = Instant::now();
+    while !has_controllers(tool_pid) {
+        assert!(started_at.elapsed() < TIMEOUT, "no controller starts");
         std::thread::sleep(Duration::from_millis(50));
     }
     let signalled = Command::new("kill")
-        .args(["-INT", &run.to_string()])
+        .args(["-INT", &tool_pid.to_string()])
         .status();
     assert!(signalled.expect("kill runs").success());
     let output = child.wait_with_output().expect("the program exits");
-    let (code, last) = files.ended(&output);
-    assert_eq!(code, Some(130), "{last}");
-    assert!(last.contains("interrupted"), "{last}");
-    while controllers_of(run) {
-        assert!(began.elapsed() < PATIENCE, "a controller still runs");
+    let (code, last_line) = files.exit_code_and_last_line(&output);
+    assert_eq!(code, Some(130), "{last_line}");
+    assert!(last_line.contains("interrupted"), "{last_line}");
+    while has_controllers(tool_pid) {
+        assert!(started_at.elapsed() < TIMEOUT, "a controller still runs");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
--- a/crates/load-test/tests/page.rs
+++ b/crates/load-test/tests/page.rs
@@ -10,7 +10,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn scale(arguments: &[&str]) -> Output {
+fn run_load_test(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_dalelb-load-test"))
         .args(arguments)
         .current_dir(root())
@@ -34,9 +34,9 @@
     let mut arguments = page_command();
     arguments.push("--check".into());
     let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
-    let output = scale(&arguments);
-    let said = String::from_utf8_lossy(&output.stderr);
-    assert!(output.status.success(), "{said}");
+    let output = run_load_test(&arguments);
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert!(output.status.success(), "{stderr}");
 }
 
 #[test]
@@ -54,14 +54,14 @@
     arguments[at + 1] = path.display().to_string();
     arguments.push("--check".into());
     let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
-    assert_eq!(scale(&arguments).status.code(), Some(5));
+    assert_eq!(run_load_test(&arguments).status.code(), Some(5));
     fs::remove_file(path).expect("the temporary file");
 }
 
 #[test]
 fn invalid_input_prints_one_line_and_exits_with_2() {
     let path = std::env::temp_dir().join(format!("dalelb-load-test-{}.toml", std::process::id()));
-    for (text, named) in [
+    for (text, expected) in [
         ("[base]\nworkers = 0\n", "workers"),
         ("[base]\nwrokers = 1\n", "wrokers"),
         ("[base]\nregions = 90\nnodes = 4\n", "300 at most"),
@@ -69,15 +69,15 @@
     ] {
         fs::write(&path, text).expect("a temporary file");
         let settings = path.to_str().expect("a plain path");
-        let output = scale(&["run", "--settings", settings, "--result", "/nowhere"]);
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(2), "{said}");
+        let output = run_load_test(&["run", "--settings", settings, "--result", "/nowhere"]);
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(2), "{stderr}");
         assert!(
-            said.contains(named) && said.trim().lines().count() == 1,
-            "{said}"
+            stderr.contains(expected) && stderr.trim().lines().count() == 1,
+            "{stderr}"
         );
     }
     fs::remove_file(&path).expect("the temporary file");
-    let missing = scale(&["run", "--settings", "/nowhere", "--result", "/nowhere"]);
+    let missing = run_load_test(&["run", "--settings", "/nowhere", "--result", "/nowhere"]);
     assert_eq!(missing.status.code(), Some(2));
 }
