--- a/crates/emulators/src/cloud_emulator.rs
+++ b/crates/emulators/src/cloud_emulator.rs
@@ -68,8 +68,8 @@
 }
 
 impl Cloud {
-    /// Starts serving on `listener`, until the runtime shuts down; `deleted` is called with the names in each deletion
-    /// request.
+    /// Starts serving on `listener`, until the runtime shuts down; `deletion_callback` is called with the names in each
+    /// deletion request.
     pub fn start(
         listener: TcpListener,
         machine_type: MachineType,
--- a/crates/emulators/src/http_connection.rs
+++ b/crates/emulators/src/http_connection.rs
@@ -105,7 +105,7 @@
 }
 
 impl HttpConnection {
-    /// A connection to `to`, not yet open.
+    /// A connection to `addr`, not yet open.
     pub fn new(addr: SocketAddr, traffic: Arc<Traffic>) -> Self {
         HttpConnection {
             target: addr,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Closes the connection; further requests go to `to`.
+    /// Closes the connection; further requests go to `addr`.
     pub fn redirect_to(&mut self, addr: SocketAddr) {
         self.target = addr;
         self.sender = None;
--- a/crates/emulators/src/link_emulator/tests.rs
+++ b/crates/emulators/src/link_emulator/tests.rs
@@ -20,29 +20,29 @@
     let (listener, addr) = bind_any_port();
     let link = EmulatedLink::start(listener, echo().await, DELAY);
     let mut stream = TcpStream::connect(addr).await.unwrap();
-    let began = Instant::now();
+    let sent_at = Instant::now();
     stream.write_all(b"hello").await.unwrap();
-    let mut answer = [0; 5];
-    stream.read_exact(&mut answer).await.unwrap();
-    assert_eq!(&answer, b"hello");
-    assert!(began.elapsed() >= 2 * DELAY, "{:?}", began.elapsed());
+    let mut received = [0; 5];
+    stream.read_exact(&mut received).await.unwrap();
+    assert_eq!(&received, b"hello");
+    assert!(sent_at.elapsed() >= 2 * DELAY, "{:?}", sent_at.elapsed());
     assert_eq!(link.connections_and_bytes(), (1, 10));
     link.set_cut(true);
     assert_eq!(
-        stream.read(&mut answer).await.unwrap_or(0),
+        stream.read(&mut received).await.unwrap_or(0),
         0,
         "connection closed"
     );
     let mut refused = TcpStream::connect(addr).await.unwrap();
     let _ = refused.write_all(b"hello").await;
     assert_eq!(
-        refused.read(&mut answer).await.unwrap_or(0),
+        refused.read(&mut received).await.unwrap_or(0),
         0,
         "connection closed"
     );
     link.set_cut(false);
     let mut restored = TcpStream::connect(addr).await.unwrap();
     restored.write_all(b"again").await.unwrap();
-    restored.read_exact(&mut answer).await.unwrap();
-    assert_eq!(&answer, b"again");
+    restored.read_exact(&mut received).await.unwrap();
+    assert_eq!(&received, b"again");
 }
--- a/crates/emulators/src/state_service.rs
+++ b/crates/emulators/src/state_service.rs
@@ -233,10 +233,10 @@
         if !self.latency.is_zero() {
             tokio::time::sleep(self.latency).await;
         }
-        let began = Instant::now();
+        let received_at = Instant::now();
         loop {
             let change = self.changed.notified();
-            if let Some(reply) = self.execute(&request, began.elapsed()) {
+            if let Some(reply) = self.execute(&request, received_at.elapsed()) {
                 return Ok(response_for(reply));
             }
             let _ = tokio::time::timeout(LEASE_CHECK_INTERVAL, change).await;
--- a/crates/emulators/src/worker_emulator.rs
+++ b/crates/emulators/src/worker_emulator.rs
@@ -170,7 +170,8 @@
     }
 
     /// Processes the response, with fencing token `token`, to a heartbeat sent at `sent_at` in this incarnation. Returns
-    /// whether it renewed the lease: responses to another incarnation or with a lower token are ignored.
+    /// whether it renewed the lease: responses to heartbeats of another incarnation and responses with a lower
+    /// token are ignored.
     pub fn renew_lease(&mut self, sent_at: u64, incarnation: u64, token: u64) -> bool {
         if incarnation != self.incarnation || token < self.fencing_token {
             return false;
--- a/crates/load-test/src/experiment.rs
+++ b/crates/load-test/src/experiment.rs
@@ -103,7 +103,7 @@
         up.unwrap_or(0.0) >= fraction * region.cloud.instance_count() as f64
     }
 
-    /// Waits one polling interval. Fails if a controller has exited, too much memory is in use or `within` has passed.
+    /// Waits one polling interval. Fails if a controller has exited, too much memory is in use or `timeout` has passed.
     async fn wait_and_check(
         &mut self,
         since: Instant,
--- a/crates/load-test/src/invariants.rs
+++ b/crates/load-test/src/invariants.rs
@@ -145,7 +145,7 @@
 }
 
 impl InvariantChecker {
-    /// Creates a checker. All tasks of a cancelled job have to stop within `cancel` of the confirmed cancellation.
+    /// Creates a checker. All tasks of a cancelled job have to stop within `bound` of the confirmed cancellation.
     pub fn new(bound: Duration) -> Self {
         let histogram = || Histogram::new(3).expect("three digits are allowed");
         InvariantChecker {
--- a/crates/load-test/src/report_page.rs
+++ b/crates/load-test/src/report_page.rs
@@ -435,7 +435,7 @@
         };
         let _ = writeln!(
             text,
-            "Drill: {} regions as cells, {} workers and {} controllers in total, {} teams, inter-region links with a one-way latency of {} ms, {} limit changes; {} invariant violations; leader failover: {} s.\n",
+            "Drill: {} regions as cells, {} workers and {} controllers in total, {} teams, inter-region links with a one-way latency of {} ms, {} limit changes; {} invariant violations; leader failover in seconds: {}.\n",
             point.experiment.regions,
             number(drill.workers as f64),
             point.experiment.process_count(),
@@ -445,7 +445,7 @@
             point.violation_count,
             drill
                 .takeover_s
-                .map_or("not within the timeout,".to_owned(), number),
+                .map_or("not within the timeout".to_owned(), number),
         );
         text.push_str("| phase | s | starts/s | urgent: count, median, p99, max ms | other: median, p99, max ms | limit changes in force: count, median, p99, max ms | teams behind at the end | busiest controller, ms/s | total memory, MB | per worker: messages/s, B/s | between regions, KB/s |\n");
         text.push_str("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
--- a/crates/load-test/src/report_page/tests.rs
+++ b/crates/load-test/src/report_page/tests.rs
@@ -59,12 +59,12 @@
 
 #[test]
 fn numbers_are_rounded_to_three_significant_digits() {
-    let shown: Vec<String> = [0.0, 0.01234, 1.5, 12.0, 123.4, 98_765.0, -1_234_567.0]
+    let formatted: Vec<String> = [0.0, 0.01234, 1.5, 12.0, 123.4, 98_765.0, -1_234_567.0]
         .into_iter()
         .map(number)
         .collect();
     assert_eq!(
-        shown,
+        formatted,
         ["0", "0.0123", "1.5", "12", "123", "98,800", "-1,230,000"]
     );
 }
