--- a/crates/emulators/src/http_connection.rs
+++ b/crates/emulators/src/http_connection.rs
@@ -1,4 +1,4 @@
-//! One kept HTTP/1.1 connection, and the bytes that cross it.
+//! A persistent HTTP/1.1 client connection, and counters of its traffic.
 
 use std::{
     io,
@@ -22,12 +22,12 @@
     net::TcpStream,
 };
 
-/// Bytes and messages of any number of connections.
+/// Counters of the bytes and requests of any number of connections.
 #[derive(Debug, Default)]
 pub struct Traffic {
-    /// Bytes read from and written to sockets, headers included.
+    /// Bytes read from and written to sockets, including headers.
     pub bytes: AtomicU64,
-    /// Requests that were sent or received.
+    /// Requests sent or received.
     pub requests: AtomicU64,
 }
 
@@ -37,7 +37,7 @@
         self.requests.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Requests and bytes so far.
+    /// Number of requests and of bytes so far.
     pub fn totals(&self) -> (u64, u64) {
         let requests = self.requests.load(Ordering::Relaxed);
         (requests, self.bytes.load(Ordering::Relaxed))
@@ -51,7 +51,7 @@
 }
 
 impl CountingStream {
-    /// Counts what crosses `stream` as `traffic`.
+    /// Adds the bytes of `stream` to `traffic`.
     pub fn new(stream: TcpStream, traffic: Arc<Traffic>) -> Self {
         CountingStream { stream, traffic }
     }
@@ -97,7 +97,7 @@
     }
 }
 
-/// A connection that is opened when it is first used, and again after it broke.
+/// A connection that is opened on first use and reopened after an error.
 pub struct HttpConnection {
     target: SocketAddr,
     sender: Option<SendRequest<Full<Bytes>>>,
@@ -105,22 +105,23 @@
 }
 
 impl HttpConnection {
-    /// A link to `to`, not yet open.
-    pub fn new(to: SocketAddr, traffic: Arc<Traffic>) -> Self {
+    /// A connection to `addr`, not yet open.
+    pub fn new(addr: SocketAddr, traffic: Arc<Traffic>) -> Self {
         HttpConnection {
-            target: to,
+            target: addr,
             sender: None,
             traffic,
         }
     }
 
-    /// Closes the connection and goes to `to` from now on.
-    pub fn redirect_to(&mut self, to: SocketAddr) {
-        self.target = to;
+    /// Closes the connection; further requests go to `addr`.
+    pub fn redirect_to(&mut self, addr: SocketAddr) {
+        self.target = addr;
         self.sender = None;
     }
 
-    /// Status and body; `None`: no answer within `timeout`, and the connection is given up.
+    /// Sends a request and returns status and body of the response. `None`: an error, or no response within `timeout`;
+    /// the connection is closed in both cases.
     pub async fn call(
         &mut self,
         method: Method,
@@ -130,11 +131,11 @@
     ) -> Option<(u16, Bytes)> {
         self.traffic.count_request();
         let exchange = self.exchange(method, path, body);
-        let answer = tokio::time::timeout(timeout, exchange).await.ok().flatten();
-        if answer.is_none() {
+        let response = tokio::time::timeout(timeout, exchange).await.ok().flatten();
+        if response.is_none() {
             self.sender = None;
         }
-        answer
+        response
     }
 
     async fn exchange(
@@ -165,8 +166,8 @@
         if !usable {
             let stream = TcpStream::connect(self.target).await.ok()?;
             stream.set_nodelay(true).ok()?;
-            let counted = CountingStream::new(stream, self.traffic.clone());
-            let (sender, connection) = handshake(TokioIo::new(counted)).await.ok()?;
+            let counting_stream = CountingStream::new(stream, self.traffic.clone());
+            let (sender, connection) = handshake(TokioIo::new(counting_stream)).await.ok()?;
             tokio::spawn(connection);
             self.sender = Some(sender);
         }
--- a/crates/emulators/src/worker_emulator.rs
+++ b/crates/emulators/src/worker_emulator.rs
@@ -1,6 +1,6 @@
-//! What one worker holds, and how it obeys, by the published protocol.
+//! The state of one worker and how it executes orders, following the published protocol.
 //!
-//! Time is told by the caller, in milliseconds, so that the machine can be tested without waiting.
+//! The caller passes the current time, in milliseconds, so that tests do not have to wait.
 
 use std::collections::BTreeMap;
 
@@ -9,45 +9,45 @@
     worker::{FailureCause, Order, Report, TaskReport, TaskState},
 };
 
-/// What a worker looks up of a task that it is told to start.
+/// The properties of a task that a worker needs to start it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TaskSpec {
-    /// CPUs that it takes.
+    /// CPUs that the task uses.
     pub cpus: f64,
-    /// How long it runs; `None`: until it is stopped.
+    /// Run time in milliseconds; `None`: until the task is stopped.
     pub run_ms: Option<u64>,
 }
 
-/// What happened to a task on a machine.
+/// A change of a task on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskEvent {
-    /// It is on the machine from now on.
+    /// The task has started on the machine.
     Started,
-    /// It is no longer on it.
+    /// The task no longer runs on the machine.
     Removed,
 }
 
-/// Describes jobs to workers, and hears what becomes of their tasks.
+/// Provides the properties of tasks to workers and receives the events of the tasks.
 pub trait TaskModel: Send + Sync {
-    /// `None`: no such job.
+    /// The properties of a task; `None` if its job does not exist.
     fn describe(&self, task: TaskId) -> Option<TaskSpec>;
 
-    /// Called at each change, under the machine's lock.
+    /// Called for each event, while the lock of the machine is held.
     fn on_task_event(&self, machine: &str, task: TaskId, event: TaskEvent);
 }
 
-/// What a worker says of itself in each report.
+/// What each heartbeat states about the worker itself.
 #[derive(Clone, Debug)]
 pub struct WorkerIdentity {
-    /// The machine's name in the cloud.
+    /// Name of the machine in the cloud.
     pub name: String,
-    /// Where it takes direct commands.
+    /// Address for direct commands.
     pub addr: String,
-    /// The machine type's name.
+    /// Name of the machine type.
     pub type_name: String,
-    /// The zone that it is in.
+    /// Zone of the machine.
     pub zone: String,
-    /// CPUs that its tasks may take together.
+    /// CPUs available to all its tasks together.
     pub cpus: f64,
 }
 
@@ -65,24 +65,24 @@
     }
 }
 
-/// A worker's tasks, session and token.
+/// A worker's tasks, incarnation and fencing token.
 #[derive(Clone, Debug)]
 pub struct EmulatedWorker {
     identity: WorkerIdentity,
-    session: u64,
+    incarnation: u64,
     seq: u64,
     fencing_token: u64,
-    /// When the last report that was answered had been sent, or the session began.
+    /// When the last acknowledged heartbeat was sent, or when the incarnation began.
     lease_renewed_at: u64,
     tasks: BTreeMap<(TaskId, u64), HeldTask>,
 }
 
 impl EmulatedWorker {
-    /// A new worker, in its first session.
+    /// A new worker without tasks, in its first incarnation.
     pub fn new(identity: WorkerIdentity, now: u64) -> Self {
         EmulatedWorker {
             identity,
-            session: 1,
+            incarnation: 1,
             seq: 0,
             fencing_token: 0,
             lease_renewed_at: now,
@@ -90,69 +90,69 @@
         }
     }
 
-    /// The session that it is in.
+    /// The current incarnation, from 1.
     pub fn incarnation(&self) -> u64 {
-        self.session
+        self.incarnation
     }
 
-    /// The highest token that it has seen.
+    /// The highest fencing token received.
     pub fn fencing_token(&self) -> u64 {
         self.fencing_token
     }
 
-    /// Tasks that are on it.
+    /// Number of running tasks.
     pub fn running_count(&self) -> usize {
         self.tasks.values().filter(|task| task.is_running()).count()
     }
 
-    /// When the next of its tasks completes.
+    /// When the next running task completes.
     pub fn next_completion_at(&self) -> Option<u64> {
         let running = self.tasks.values().filter(|task| task.is_running());
         running.filter_map(|task| task.ends_at).min()
     }
 
-    /// Completes the tasks whose time has come; whether there were any.
+    /// Completes the tasks whose run time has passed; returns whether there were any.
     pub fn complete_due_tasks(&mut self, now: u64, tasks: &dyn TaskModel) -> bool {
-        let mut any = false;
-        for ((task, _), held) in &mut self.tasks {
-            if held.is_running() && held.ends_at.is_some_and(|at| at <= now) {
-                (held.state, held.cause) = (TaskState::Ended, Some(FailureCause::Done));
+        let mut any_completed = false;
+        for ((task, _), held_task) in &mut self.tasks {
+            if held_task.is_running() && held_task.ends_at.is_some_and(|at| at <= now) {
+                (held_task.state, held_task.cause) = (TaskState::Ended, Some(FailureCause::Done));
                 tasks.on_task_event(&self.identity.name, *task, TaskEvent::Removed);
-                any = true;
+                any_completed = true;
             }
         }
-        any
+        any_completed
     }
 
-    /// Ends the session if its lease has run out; whether it did.
+    /// Starts a new incarnation without tasks if the lease has expired; returns whether it had.
     pub fn expire_lease(&mut self, now: u64, lease_ms: u64, tasks: &dyn TaskModel) -> bool {
         if self.lease_renewed_at + lease_ms >= now {
             return false;
         }
         self.remove_all_tasks(tasks);
-        self.session += 1;
+        self.incarnation += 1;
         self.lease_renewed_at = now;
         true
     }
 
-    /// The machine is gone, with everything on it.
+    /// Removes all tasks, as when the machine or its lease is lost.
     pub fn remove_all_tasks(&mut self, tasks: &dyn TaskModel) {
-        for ((task, _), held) in std::mem::take(&mut self.tasks) {
-            if held.is_running() {
+        for ((task, _), held_task) in std::mem::take(&mut self.tasks) {
+            if held_task.is_running() {
                 tasks.on_task_event(&self.identity.name, task, TaskEvent::Removed);
             }
         }
     }
 
-    /// The next report.
+    /// Creates the next heartbeat.
     pub fn report(&mut self) -> Report {
         self.seq += 1;
         let tasks = self.tasks.iter();
-        let tasks = tasks.map(|(&(task, attempt), held)| TaskReport {
+        let tasks = tasks.map(|(&(task, attempt), held_task)| TaskReport {
             task,
             attempt,
-            state: held.state,
-            cause: held.cause,
+            state: held_task.state,
+            cause: held_task.cause,
             saved: None,
         });
         Report {
@@ -161,7 +161,7 @@
             type_name: self.identity.type_name.clone(),
             zone: self.identity.zone.clone(),
             spot: false,
-            incarnation: self.session,
+            incarnation: self.incarnation,
             seq: self.seq,
             token: self.fencing_token,
             notice_s: None,
@@ -169,16 +169,18 @@
         }
     }
 
-    /// A report sent at `sent_at` in this session was answered with `token`: whether the answer counts.
-    pub fn renew_lease(&mut self, sent_at: u64, session: u64, token: u64) -> bool {
-        if session != self.session || token < self.fencing_token {
+    /// Processes the response, with fencing token `token`, to a heartbeat sent at `sent_at` in this incarnation. Returns
+    /// whether it renewed the lease: responses to heartbeats of another incarnation and responses with a lower
+    /// token are ignored.
+    pub fn renew_lease(&mut self, sent_at: u64, incarnation: u64, token: u64) -> bool {
+        if incarnation != self.incarnation || token < self.fencing_token {
             return false;
         }
         self.lease_renewed_at = self.lease_renewed_at.max(sent_at);
         true
     }
 
-    /// Carries orders out, unless their token is lower than one seen before; whether it did.
+    /// Executes orders unless their fencing token is lower than one received before; returns whether it did.
     pub fn execute_orders(
         &mut self,
         token: u64,
@@ -196,7 +198,11 @@
                 Order::Stop { task, attempt, .. } => self.stop_task(task, attempt, tasks),
                 Order::Forget { task, attempt } => {
                     let key = (task, attempt);
-                    if self.tasks.get(&key).is_some_and(|held| !held.is_running()) {
+                    if self
+                        .tasks
+                        .get(&key)
+                        .is_some_and(|held_task| !held_task.is_running())
+                    {
                         self.tasks.remove(&key);
                     }
                 }
@@ -209,17 +215,17 @@
         if self.tasks.contains_key(&(task, attempt)) {
             return;
         }
-        let refused = |cause| HeldTask {
+        let rejected_task = |cause| HeldTask {
             state: TaskState::Ended,
             cause: Some(cause),
             cpus: 0.0,
             ends_at: None,
         };
-        let held = match tasks.describe(task) {
-            None => refused(FailureCause::Unknown),
-            Some(_) if self.holds(task) => refused(FailureCause::Busy),
+        let held_task = match tasks.describe(task) {
+            None => rejected_task(FailureCause::Unknown),
+            Some(_) if self.holds(task) => rejected_task(FailureCause::Busy),
             Some(spec) if self.used_cpus() + spec.cpus > self.identity.cpus => {
-                refused(FailureCause::NoRoom)
+                rejected_task(FailureCause::NoRoom)
             }
             Some(spec) => {
                 tasks.on_task_event(&self.identity.name, task, TaskEvent::Started);
@@ -231,27 +237,29 @@
                 }
             }
         };
-        self.tasks.insert((task, attempt), held);
+        self.tasks.insert((task, attempt), held_task);
     }
 
     fn stop_task(&mut self, task: TaskId, attempt: u64, tasks: &dyn TaskModel) {
-        let Some(held) = self.tasks.get_mut(&(task, attempt)) else {
+        let Some(held_task) = self.tasks.get_mut(&(task, attempt)) else {
             return;
         };
-        if held.is_running() {
-            (held.state, held.cause) = (TaskState::Ended, Some(FailureCause::Stopped));
+        if held_task.is_running() {
+            (held_task.state, held_task.cause) = (TaskState::Ended, Some(FailureCause::Stopped));
             tasks.on_task_event(&self.identity.name, task, TaskEvent::Removed);
         }
     }
 
     fn holds(&self, task: TaskId) -> bool {
-        let of_task = (task, 0)..=(task, u64::MAX);
-        self.tasks.range(of_task).any(|(_, held)| held.is_running())
+        let attempts = (task, 0)..=(task, u64::MAX);
+        self.tasks
+            .range(attempts)
+            .any(|(_, held_task)| held_task.is_running())
     }
 
     fn used_cpus(&self) -> f64 {
-        let on = self.tasks.values().filter(|task| task.is_running());
-        on.map(|task| task.cpus).sum()
+        let running = self.tasks.values().filter(|task| task.is_running());
+        running.map(|task| task.cpus).sum()
     }
 }
 
--- a/crates/emulators/src/worker_fleet.rs
+++ b/crates/emulators/src/worker_fleet.rs
@@ -1,7 +1,7 @@
-//! Any number of hollow workers in one process.
+//! Any number of emulated workers in one process.
 //!
-//! Each has an address of its own in 127.0.0.0/8; one listener takes the commands for all of them and tells
-//! them apart by the address that a connection came to.
+//! Each worker has its own address in 127.0.0.0/8. One listener accepts the commands for all of them and selects the
+//! worker by the local address of the connection.
 
 use std::{
     convert::Infallible,
@@ -34,50 +34,50 @@
     worker_emulator::{EmulatedWorker, TaskModel, WorkerIdentity},
 };
 
-/// A report without an answer for that long is given up.
+/// Timeout of a heartbeat.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
-/// After a failure the next node is tried this much later.
+/// Delay before the next node is tried after a failed heartbeat.
 const NEXT_NODE_DELAY: Duration = Duration::from_secs(1);
-/// Changes are reported no more often than this, in milliseconds.
+/// Minimum interval between heartbeats that report changes, in milliseconds.
 const MIN_CHANGE_REPORT_INTERVAL_MS: u64 = 500;
-/// Workers of one fleet that share the third number of their addresses.
+/// Workers of a fleet whose addresses have the same third octet.
 const WORKERS_PER_SUBNET: usize = 250;
 
-/// A fleet of hollow workers.
+/// Settings of a fleet of emulated workers.
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
-    /// How many workers.
+    /// Number of workers.
     pub workers: usize,
-    /// The second number of their addresses: 127.`subnet`.x.y.
+    /// Second octet of the addresses: 127.`subnet`.x.y.
     pub subnet: u8,
-    /// The port that they take commands on; 0: any.
+    /// Port on which the workers accept commands; 0: any free port.
     pub port: u16,
-    /// CPUs of each.
+    /// CPUs per worker.
     pub cpus: f64,
-    /// The zones that they are spread over.
+    /// Zones; the workers are distributed over them round-robin.
     pub zones: Vec<String>,
-    /// The controllers by label.
+    /// Label and address of each controller.
     pub controllers: Vec<(String, SocketAddr)>,
-    /// The time between reports, give or take a quarter.
+    /// Mean interval between heartbeats; each interval varies randomly by up to a quarter.
     pub report_interval: Duration,
-    /// The life of a session without an answer.
+    /// Duration of a worker's lease, which each acknowledged heartbeat renews.
     pub lease_ttl: Duration,
 }
 
-/// What the workers and the controllers exchanged.
+/// Counters of the traffic between workers and controllers.
 #[derive(Debug, Default)]
 pub struct FleetTraffic {
-    /// Reports and their answers.
+    /// Heartbeats and their responses.
     pub reports: Arc<Traffic>,
-    /// Direct commands and their answers.
+    /// Direct commands and their responses.
     pub commands: Arc<Traffic>,
-    /// Reports that were answered with 200.
+    /// Heartbeats whose response (status 200) renewed the lease.
     pub answered_reports: AtomicU64,
-    /// Sessions that ended because no answer came in time.
+    /// Leases that expired because no heartbeat was acknowledged in time.
     pub expired_leases: AtomicU64,
 }
 
-/// Running hollow workers.
+/// A running fleet of emulated workers.
 #[derive(Clone)]
 pub struct Fleet {
     workers: Arc<Vec<Worker>>,
@@ -88,16 +88,16 @@
     name: String,
     addr: SocketAddr,
     zone: String,
-    inner: Mutex<WorkerState>,
+    state: Mutex<WorkerState>,
     changed: Notify,
     is_deleted: AtomicBool,
 }
 
 struct WorkerState {
-    machine: EmulatedWorker,
-    /// Something changed since the last report.
+    emulator: EmulatedWorker,
+    /// Whether something changed since the last heartbeat.
     has_unreported_changes: bool,
-    /// When a higher token last counted as a change.
+    /// When a higher fencing token last caused a heartbeat, in milliseconds.
     token_reported_at: Option<u64>,
 }
 
@@ -117,10 +117,10 @@
         self.settings.lease_ttl.as_millis() as u64
     }
 
-    /// A report's distance from the one before: the usual one, give or take a quarter.
+    /// The time until the next regular heartbeat: the configured interval varied randomly by up to a quarter.
     fn next_report_interval_ms(&self) -> u64 {
-        let usual = self.settings.report_interval.as_secs_f64() * 1000.0;
-        (usual * rand::rng().random_range(0.75..1.25)) as u64
+        let mean_ms = self.settings.report_interval.as_secs_f64() * 1000.0;
+        (mean_ms * rand::rng().random_range(0.75..1.25)) as u64
     }
 }
 
@@ -135,7 +135,7 @@
 }
 
 impl Fleet {
-    /// Starts the workers; they report until the runtime ends. An error: the port is not to be had.
+    /// Starts the workers; they send heartbeats until the runtime shuts down. Fails if the port is in use.
     pub fn start(settings: FleetSettings, tasks: Arc<dyn TaskModel>) -> io::Result<Self> {
         let (listener, addr) = responses::bind(&format!("0.0.0.0:{}", settings.port))?;
         let workers = (0..settings.workers).map(|index| Worker::new(&settings, index, addr.port()));
@@ -154,7 +154,7 @@
         Ok(Fleet { workers, traffic })
     }
 
-    /// How the cloud lists them.
+    /// The entries of the workers in the machine list of the cloud.
     pub fn listed_machines(&self) -> Vec<ListedMachine> {
         let workers = self.workers.iter();
         let listed = workers
@@ -162,39 +162,39 @@
         listed.collect()
     }
 
-    /// What was exchanged so far.
+    /// The traffic counters so far.
     pub fn traffic(&self) -> &FleetTraffic {
         &self.traffic
     }
 
-    /// Ends these workers as if their machines had lost power.
+    /// Deletes workers as if their machines had lost power: they neither send nor answer requests from then on.
     pub fn delete_workers(&self, names: &[String], tasks: &dyn TaskModel) {
         for worker in self.workers.iter() {
             if names.contains(&worker.name) && !worker.is_deleted.swap(true, Ordering::Relaxed) {
-                worker.lock_state().machine.remove_all_tasks(tasks);
+                worker.lock_state().emulator.remove_all_tasks(tasks);
                 worker.changed.notify_one();
             }
         }
     }
 
-    /// Interner of workers, in the order of their addresses.
+    /// Names of all workers, in the order of their addresses.
     pub fn names(&self) -> Vec<String> {
         let workers = self.workers.iter();
         workers.map(|worker| worker.name.clone()).collect()
     }
 
-    /// Tasks that are on the workers.
+    /// Number of tasks running on all workers.
     pub fn running_count(&self) -> usize {
         let workers = self.workers.iter();
         workers
-            .map(|worker| worker.lock_state().machine.running_count())
+            .map(|worker| worker.lock_state().emulator.running_count())
             .sum()
     }
 
-    /// The highest token that any worker has seen.
+    /// The highest fencing token that any worker has received.
     pub fn fencing_token(&self) -> u64 {
         let workers = self.workers.iter();
-        let tokens = workers.map(|worker| worker.lock_state().machine.fencing_token());
+        let tokens = workers.map(|worker| worker.lock_state().emulator.fencing_token());
         tokens.max().unwrap_or(0)
     }
 }
@@ -215,8 +215,8 @@
             name,
             addr,
             zone,
-            inner: Mutex::new(WorkerState {
-                machine: EmulatedWorker::new(identity, 0),
+            state: Mutex::new(WorkerState {
+                emulator: EmulatedWorker::new(identity, 0),
                 has_unreported_changes: false,
                 token_reported_at: None,
             }),
@@ -226,63 +226,65 @@
     }
 
     fn lock_state(&self) -> MutexGuard<'_, WorkerState> {
-        self.inner.lock().expect("a worker's lock")
+        self.state.lock().expect("lock of a worker poisoned")
     }
 
     fn execute_orders(&self, token: u64, orders: Vec<Order>, context: &FleetContext) -> bool {
         let now = context.elapsed_ms();
-        let mut inner = self.lock_state();
-        let (had, any) = (inner.machine.fencing_token(), !orders.is_empty());
-        let obeyed = inner
-            .machine
+        let mut state = self.lock_state();
+        let (previous_token, has_orders) = (state.emulator.fencing_token(), !orders.is_empty());
+        let executed = state
+            .emulator
             .execute_orders(token, orders, now, &*context.tasks);
-        let higher = inner.machine.fencing_token() > had;
-        let told = inner.token_reported_at;
-        let news = higher && told.is_none_or(|at| at + context.lease_ms() / 2 <= now);
-        if news {
-            inner.token_reported_at = Some(now);
+        let token_increased = state.emulator.fencing_token() > previous_token;
+        let last_reported_at = state.token_reported_at;
+        let report_token =
+            token_increased && last_reported_at.is_none_or(|at| at + context.lease_ms() / 2 <= now);
+        if report_token {
+            state.token_reported_at = Some(now);
         }
-        if obeyed && any || news {
-            inner.has_unreported_changes = true;
-            drop(inner);
+        if executed && has_orders || report_token {
+            state.has_unreported_changes = true;
+            drop(state);
             self.changed.notify_one();
         }
-        obeyed
+        executed
     }
 
-    /// A direct command.
+    /// Executes a direct command; answers 409 if it is for another incarnation or its fencing token is too low.
     fn handle_direct_orders(&self, body: &[u8], context: &FleetContext) -> Response<Bytes> {
         let Ok(direct) = protocol::decode::<DirectOrders>(body) else {
             return responses::msgpack_response(400, &json!({"error": "malformed"}));
         };
-        let executed = direct.incarnation == self.lock_state().machine.incarnation()
+        let executed = direct.incarnation == self.lock_state().emulator.incarnation()
             && self.execute_orders(direct.token, direct.orders, context);
         let status = if executed { 200 } else { 409 };
-        responses::msgpack_response(status, &self.lock_state().machine.report())
+        responses::msgpack_response(status, &self.lock_state().emulator.report())
     }
 
-    /// Passes the time; when the next report is due and when there is something to do before.
+    /// Expires the lease and completes tasks that are due. Returns when the next heartbeat is due, and when to wake up
+    /// (earlier if a task completes before).
     fn advance(&self, sent_at: u64, interval: u64, context: &FleetContext) -> (u64, u64) {
         let now = context.elapsed_ms();
-        let mut inner = self.lock_state();
+        let mut state = self.lock_state();
         let tasks = &*context.tasks;
-        let expired = inner.machine.expire_lease(now, context.lease_ms(), tasks);
+        let expired = state.emulator.expire_lease(now, context.lease_ms(), tasks);
         if expired {
             context
                 .traffic
                 .expired_leases
                 .fetch_add(1, Ordering::Relaxed);
         }
-        let ended = inner.machine.complete_due_tasks(now, tasks);
-        inner.has_unreported_changes |= expired || ended;
-        let wait = if inner.has_unreported_changes {
+        let completed = state.emulator.complete_due_tasks(now, tasks);
+        state.has_unreported_changes |= expired || completed;
+        let delay = if state.has_unreported_changes {
             MIN_CHANGE_REPORT_INTERVAL_MS
         } else {
             interval
         };
-        let due = sent_at + wait.min(interval);
-        let next_end = inner.machine.next_completion_at().unwrap_or(u64::MAX);
-        (due, due.min(next_end))
+        let next_report_at = sent_at + delay.min(interval);
+        let next_completion = state.emulator.next_completion_at().unwrap_or(u64::MAX);
+        (next_report_at, next_report_at.min(next_completion))
     }
 }
 
@@ -290,36 +292,38 @@
     let worker = &workers[index];
     let nodes = &context.settings.controllers;
     let mut node = index % nodes.len();
-    let mut link = HttpConnection::new(nodes[node].1, context.traffic.reports.clone());
+    let mut connection = HttpConnection::new(nodes[node].1, context.traffic.reports.clone());
     let mut sent_at = context.elapsed_ms();
     let mut interval = context.next_report_interval_ms();
     while !worker.is_deleted.load(Ordering::Relaxed) {
-        let (due, wake) = worker.advance(sent_at, interval, &context);
+        let (next_report_at, wake_at) = worker.advance(sent_at, interval, &context);
         let now = context.elapsed_ms();
-        if now < due {
-            let pause = Duration::from_millis(wake.saturating_sub(now).max(1));
+        if now < next_report_at {
+            let pause = Duration::from_millis(wake_at.saturating_sub(now).max(1));
             let _ = tokio::time::timeout(pause, worker.changed.notified()).await;
             continue;
         }
         sent_at = now;
         interval = context.next_report_interval_ms();
-        match send_report(worker, &mut link, sent_at, &context).await {
+        match send_report(worker, &mut connection, sent_at, &context).await {
             NextTarget::SameNode => {}
             NextTarget::Leader(label) => {
-                let position = nodes.iter().position(|(known, _)| *known == label);
-                let other = position.filter(|other| *other != node);
-                let pause = match other {
+                let position = nodes
+                    .iter()
+                    .position(|(node_label, _)| *node_label == label);
+                let leader = position.filter(|leader| *leader != node);
+                let pause = match leader {
                     Some(_) => Duration::from_millis(rand::rng().random_range(0..500)),
                     None => NEXT_NODE_DELAY,
                 };
-                node = other.unwrap_or((node + 1) % nodes.len());
-                link.redirect_to(nodes[node].1);
+                node = leader.unwrap_or((node + 1) % nodes.len());
+                connection.redirect_to(nodes[node].1);
                 tokio::time::sleep(pause).await;
                 sent_at = context.elapsed_ms().saturating_sub(interval);
             }
             NextTarget::AnotherNode => {
                 node = (node + 1) % nodes.len();
-                link.redirect_to(nodes[node].1);
+                connection.redirect_to(nodes[node].1);
                 tokio::time::sleep(NEXT_NODE_DELAY).await;
                 sent_at = context.elapsed_ms().saturating_sub(interval);
             }
@@ -327,7 +331,7 @@
     }
 }
 
-/// Where a worker reports next.
+/// The node to which a worker sends its next heartbeat.
 enum NextTarget {
     SameNode,
     Leader(String),
@@ -336,26 +340,27 @@
 
 async fn send_report(
     worker: &Worker,
-    link: &mut HttpConnection,
+    connection: &mut HttpConnection,
     sent_at: u64,
     context: &FleetContext,
 ) -> NextTarget {
-    let (session, body) = {
-        let mut inner = worker.lock_state();
-        inner.has_unreported_changes = false;
-        let report = inner.machine.report();
-        (inner.machine.incarnation(), protocol::encode(&report))
+    let (incarnation, body) = {
+        let mut state = worker.lock_state();
+        state.has_unreported_changes = false;
+        let report = state.emulator.report();
+        (state.emulator.incarnation(), protocol::encode(&report))
     };
-    let answer = link.call(Method::POST, "/checkin", body, REPORT_TIMEOUT);
-    match answer.await {
+    let response = connection.call(Method::POST, "/checkin", body, REPORT_TIMEOUT);
+    match response.await {
         Some((200, body)) => {
             let Ok(orders) = protocol::decode::<Orders>(&body) else {
                 return NextTarget::SameNode;
             };
-            let renewed = worker
-                .lock_state()
-                .machine
-                .renew_lease(sent_at, session, orders.token);
+            let renewed =
+                worker
+                    .lock_state()
+                    .emulator
+                    .renew_lease(sent_at, incarnation, orders.token);
             if renewed {
                 context
                     .traffic
@@ -378,7 +383,7 @@
 async fn accept(listener: TcpListener, workers: Arc<Vec<Worker>>, context: Arc<FleetContext>) {
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
-            // Out of descriptors, most likely: others may be closed in a moment.
+            // Most likely no file descriptors are left; retry, since others may be closed soon.
             tokio::time::sleep(Duration::from_millis(50)).await;
             continue;
         };
@@ -402,14 +407,14 @@
 ) {
     let _ = stream.set_nodelay(true);
     let commands = context.traffic.commands.clone();
-    let counted = CountingStream::new(stream, commands);
-    let answer = service_fn(move |request: Request<Incoming>| {
+    let counting_stream = CountingStream::new(stream, commands);
+    let service = service_fn(move |request: Request<Incoming>| {
         let (workers, context) = (workers.clone(), context.clone());
         async move { respond(&workers[index], request, &context).await }
     });
-    // A connection that breaks is its caller's concern.
+    // Connection errors are handled by the client.
     let _ = http1::Builder::new()
-        .serve_connection(TokioIo::new(counted), answer)
+        .serve_connection(TokioIo::new(counting_stream), service)
         .await;
 }
 
@@ -420,18 +425,18 @@
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     context.traffic.commands.count_request();
     if worker.is_deleted.load(Ordering::Relaxed) {
-        // A machine without power answers nobody.
+        // A deleted machine never responds.
         std::future::pending::<()>().await;
     }
     let path = request.uri().path().to_owned();
     let body = request.into_body().collect().await;
     let body = body.map(|body| body.to_bytes()).unwrap_or_default();
-    let answer = match path.as_str() {
+    let response = match path.as_str() {
         "/commands" => worker.handle_direct_orders(&body, context),
-        "/status" => responses::msgpack_response(200, &worker.lock_state().machine.report()),
+        "/status" => responses::msgpack_response(200, &worker.lock_state().emulator.report()),
         _ => responses::msgpack_response(404, &json!({"error": "no such path"})),
     };
-    Ok(answer.map(Full::new))
+    Ok(response.map(Full::new))
 }
 
 #[cfg(test)]
--- a/crates/load-test/src/controller_process.rs
+++ b/crates/load-test/src/controller_process.rs
@@ -1,4 +1,4 @@
-//! Controller processes: started, watched through `/proc`, ended by their ids.
+//! Controller processes: starts and kills them and reads their resource usage from `/proc`.
 
 use std::{
     fs::{self, File},
@@ -11,42 +11,43 @@
 use serde::{Deserialize, Serialize};
 use tokio::process::{Child, Command};
 
-/// Where a controller listens, and who it is.
+/// Identity and addresses of a controller.
 #[derive(Clone, Debug)]
 pub struct Address {
-    /// Its label.
+    /// The node label.
     pub label: String,
-    /// Its zone.
+    /// The zone.
     pub zone: String,
-    /// For users and workers.
+    /// Listen address for users and workers.
     pub listen: SocketAddr,
-    /// For other controllers.
+    /// Listen address for other controllers.
     pub mesh: SocketAddr,
 }
 
 /// A running controller; it is killed when this is dropped.
 pub struct Controller {
-    /// Who it is.
+    /// Identity and addresses.
     pub address: Address,
-    /// What it says.
+    /// Path of the log file (its standard error).
     pub log: PathBuf,
     child: Child,
     pid: u32,
 }
 
-/// What a process has used since it began, and what it holds now.
+/// Resource usage of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Processor time in milliseconds.
+    /// CPU time since the start of the process, in milliseconds.
     pub cpu_ms: f64,
-    /// Resident memory in bytes.
+    /// Current resident memory, in bytes.
     pub memory: u64,
-    /// Open sockets.
+    /// Currently open sockets.
     pub sockets: u64,
 }
 
 impl Controller {
-    /// Starts `program` with this settings file and further arguments; what it says goes to a file beside that.
+    /// Starts `program` with a settings file and further arguments. Its standard error is appended to a log file in the
+    /// same directory.
     pub fn start(
         program: &Path,
         address: Address,
@@ -73,40 +74,40 @@
         })
     }
 
-    /// How it ended, if it did.
-    pub fn ended(&mut self) -> Option<String> {
+    /// The exit status, if the process has exited.
+    pub fn exit_status(&mut self) -> Option<String> {
         let status = self.child.try_wait().ok().flatten()?;
         Some(status.to_string())
     }
 
-    /// Ends it without a signal that it could handle, and waits until it is gone.
+    /// Kills the process with SIGKILL and waits until it has exited.
     pub async fn kill(&mut self) -> io::Result<()> {
         self.child.kill().await
     }
 
-    /// What it has used; zeros if it is gone.
+    /// Resource usage; all zeros if the process has exited.
     pub fn usage(&self) -> Usage {
-        Usage::of(&format!("/proc/{}", self.pid)).unwrap_or_default()
+        Usage::read(&format!("/proc/{}", self.pid)).unwrap_or_default()
     }
 }
 
 impl Usage {
-    /// Of the process that runs this.
-    pub fn own() -> Self {
-        Usage::of("/proc/self").unwrap_or_default()
+    /// Resource usage of the current process.
+    pub fn current_process() -> Self {
+        Usage::read("/proc/self").unwrap_or_default()
     }
 
-    fn of(process: &str) -> io::Result<Self> {
+    fn read(proc_path: &str) -> io::Result<Self> {
         let mut nanoseconds = 0;
-        for thread in fs::read_dir(format!("{process}/task"))? {
-            let times = fs::read_to_string(thread?.path().join("schedstat"))?;
-            let on_processor = times.split_whitespace().next().unwrap_or("0");
-            nanoseconds += on_processor.parse::<u64>().unwrap_or(0);
+        for thread in fs::read_dir(format!("{proc_path}/task"))? {
+            let schedstat = fs::read_to_string(thread?.path().join("schedstat"))?;
+            let cpu_time = schedstat.split_whitespace().next().unwrap_or("0");
+            nanoseconds += cpu_time.parse::<u64>().unwrap_or(0);
         }
-        let status = fs::read_to_string(format!("{process}/status"))?;
+        let status = fs::read_to_string(format!("{proc_path}/status"))?;
         let memory = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         let kilobytes = memory.and_then(|text| text.trim().strip_suffix(" kB"));
-        let sockets = fs::read_dir(format!("{process}/fd"))?.filter(|descriptor| {
+        let sockets = fs::read_dir(format!("{proc_path}/fd"))?.filter(|descriptor| {
             let path = descriptor.as_ref().map(|each| each.path());
             let target = path.ok().and_then(|path| fs::read_link(path).ok());
             target.is_some_and(|target| target.to_string_lossy().starts_with("socket:"))
--- a/crates/load-test/src/measure.rs
+++ b/crates/load-test/src/measure.rs
@@ -1,4 +1,4 @@
-//! What is measured of one run, and the figures that are worked out from it.
+//! Measurements of one run and the figures derived from them.
 
 use std::{sync::atomic::Ordering, time::Instant};
 
@@ -18,100 +18,104 @@
     settings::{Experiment, SweepParameter},
 };
 
-/// Reports that the reference work encodes and decodes.
+/// Number of heartbeats that the reference work encodes and decodes.
 const REFERENCE_REPORTS: usize = 4000;
-/// Tasks of each of them.
+/// Tasks in each of these heartbeats.
 const REFERENCE_TASKS: u32 = 8;
 
-/// One run of one experiment.
+/// The result of one run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Point {
-    /// What was varied; none: nothing.
+    /// The varied parameter; `None`: the base was run.
     pub vary: Option<SweepParameter>,
-    /// Its value.
+    /// The value of the varied parameter.
     pub value: f64,
-    /// Its value in the base of the settings file.
+    /// Base value of the varied parameter.
     pub base: f64,
-    /// The number of the run at that value.
+    /// Number of the run at this value, from 1.
     pub run: usize,
-    /// What was run.
+    /// The deployment and its load.
     pub experiment: Experiment,
-    /// Milliseconds of processor time that a fixed piece of work took beside the run.
+    /// CPU time of the reference work that was executed during the run, in milliseconds.
     pub reference_ms: f64,
-    /// What the first region did.
+    /// Figures of the first region.
     pub figures: Figures,
-    /// What a drill came to, if there was one.
+    /// Figures of the drill, if the experiment has one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub drill: Option<DrillFigures>,
-    /// InvariantChecker that were broken, in all regions.
-    pub broken: u64,
-    /// The first of them.
-    pub broken_first: Vec<String>,
+    /// Number of invariant violations in all regions.
+    #[serde(rename = "broken")]
+    pub violation_count: u64,
+    /// Descriptions of the first violations.
+    #[serde(rename = "broken_first")]
+    pub first_violations: Vec<String>,
 }
 
-/// What the first region did while it was measured. Rates are per second.
+/// Figures of the first region over the measurement. Counts without another unit are rates per second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Figures {
-    /// Seconds that were measured.
+    /// Duration of the measurement, in seconds.
     pub seconds: f64,
-    /// The leader's processor time, in milliseconds a second.
+    /// CPU time of the leader, in milliseconds per second.
     pub leader_cpu_ms: f64,
-    /// A follower's, the mean of all.
+    /// Mean CPU time of a follower, in milliseconds per second.
     pub follower_cpu_ms: f64,
-    /// The leader's resident memory at the end, in megabytes.
+    /// Resident memory of the leader at the end, in megabytes.
     pub leader_mb: f64,
-    /// A follower's.
+    /// Mean resident memory of a follower at the end, in megabytes.
     pub follower_mb: f64,
-    /// The leader's sockets.
+    /// Open sockets of the leader at the end.
     pub leader_sockets: f64,
-    /// A follower's.
+    /// Mean open sockets of a follower at the end.
     pub follower_sockets: f64,
-    /// Reports.
+    /// Heartbeats of workers.
     pub reports: f64,
-    /// Bytes of reports and their answers, headers included.
+    /// Bytes of heartbeats and their responses, including headers.
     pub report_bytes: f64,
-    /// Direct commands.
+    /// Requests to workers.
     pub commands: f64,
-    /// Bytes of commands and their answers.
+    /// Bytes of these requests and their responses.
     pub command_bytes: f64,
     /// Requests to the state service.
     pub state_requests: f64,
-    /// Puts and deletes.
+    /// Puts and deletes in the state service.
     pub state_writes: f64,
-    /// Bytes of transactions.
+    /// Bytes of transactions sent to the state service.
     pub state_txn_bytes: f64,
-    /// Requests that the state service refused.
+    /// Requests that the state service rejected because of its rate limits.
     pub state_refused: f64,
     /// Keys in the state service at the end.
     pub state_keys: f64,
-    /// Bytes of keys and values there.
+    /// Bytes of keys and values in the state service at the end.
     pub state_bytes: f64,
-    /// Bytes between the region's controllers.
+    /// Bytes between the controllers of the region.
     pub mesh_bytes: f64,
-    /// Bytes of users' connections.
+    /// Bytes on the connections of users.
     pub user_bytes: f64,
-    /// Tasks that started.
+    /// Task starts.
     pub starts: f64,
-    /// Tasks that ran at the end.
+    /// Tasks running at the end.
     pub running: f64,
-    /// Submissions that were accepted.
+    /// Accepted submissions.
     pub accepted: f64,
-    /// Timeouts that a user was sent away for a while.
-    pub sent_away: f64,
-    /// Sessions of workers that ended for want of an answer, in the whole run.
-    pub sessions_lost: f64,
-    /// From acceptance to the start command, urgent work.
+    /// Submission attempts without an acceptance, which the user retries.
+    #[serde(rename = "sent_away")]
+    pub unaccepted_attempts: f64,
+    /// Worker leases that expired since the start of the run (a count, not a rate).
+    #[serde(rename = "sessions_lost")]
+    pub expired_leases: f64,
+    /// Time from the acceptance of a job to the start command for its task, high priority.
     pub urgent: StartLatencies,
-    /// The same for other work.
+    /// The same for all other jobs.
     pub other: StartLatencies,
-    /// Seconds from the first controller's start until it was ready.
+    /// Time from the start of the controllers until the first one was ready, in seconds.
     pub ready_s: f64,
-    /// Seconds from the leader's end until a successor knew nine tenths of the workers; none: not tried, or not
-    /// within the time.
+    /// Time from the end of the leader until nine tenths of the workers were registered with a successor, in seconds;
+    /// `None`: not tried, or not within the timeout.
     pub takeover_s: Option<f64>,
 }
 
-/// CounterTotals at one moment.
+/// The counters of a region at one point in time.
 pub struct Snapshot {
     at: Instant,
     leader: usize,
@@ -123,15 +127,15 @@
     mesh: u64,
     starts: u64,
     accepted: u64,
-    sent_away: u64,
+    unaccepted_attempts: u64,
 }
 
 impl Snapshot {
-    /// Of this region now.
+    /// Reads the current counters of the region.
     pub fn of(
         region: &Region,
         leader: usize,
-        rules: &InvariantChecker,
+        checker: &InvariantChecker,
         users: &crate::user_load::SubmissionCounts,
     ) -> Self {
         let traffic = region.fleet.traffic();
@@ -148,14 +152,19 @@
                 .iter()
                 .map(|link| link.connections_and_bytes().1)
                 .sum(),
-            starts: rules.start_count(),
+            starts: checker.start_count(),
             accepted: users.accepted.load(Ordering::Relaxed),
-            sent_away: users.sent_away.load(Ordering::Relaxed),
+            unaccepted_attempts: users.unaccepted_attempts.load(Ordering::Relaxed),
         }
     }
 
-    /// What was done from `self` to `end`.
-    pub fn until(&self, end: &Snapshot, region: &Region, rules: &InvariantChecker) -> Figures {
+    /// The figures of the interval from `self` to `end`.
+    pub fn figures_until(
+        &self,
+        end: &Snapshot,
+        region: &Region,
+        checker: &InvariantChecker,
+    ) -> Figures {
         let seconds = end.at.duration_since(self.at).as_secs_f64();
         let rate = |from: u64, to: u64| to.saturating_sub(from) as f64 / seconds;
         let cpu = |node: usize| (end.usages[node].cpu_ms - self.usages[node].cpu_ms) / seconds;
@@ -169,7 +178,7 @@
         let megabytes = |node: usize| end.usages[node].memory as f64 / 1e6;
         let sockets = |node: usize| end.usages[node].sockets as f64;
         let (keys, bytes) = region.state.stored_keys_and_bytes();
-        let (urgent, other) = rules.start_latencies();
+        let (urgent, other) = checker.start_latencies();
         let expired = &region.fleet.traffic().expired_leases;
         Figures {
             seconds,
@@ -194,8 +203,8 @@
             starts: rate(self.starts, end.starts),
             running: region.fleet.running_count() as f64,
             accepted: rate(self.accepted, end.accepted),
-            sent_away: rate(self.sent_away, end.sent_away),
-            sessions_lost: expired.load(Ordering::Relaxed) as f64,
+            unaccepted_attempts: rate(self.unaccepted_attempts, end.unaccepted_attempts),
+            expired_leases: expired.load(Ordering::Relaxed) as f64,
             urgent,
             other,
             ready_s: 0.0,
@@ -204,9 +213,9 @@
     }
 }
 
-/// Does a fixed piece of work and tells the processor time that it took, in milliseconds: how fast this
-/// machine is just now.
-pub fn reference() -> f64 {
+/// Executes a fixed amount of work and returns the CPU time that it took, in milliseconds. It shows how fast the
+/// machine is during the run.
+pub fn measure_reference_work() -> f64 {
     let tasks = (0..REFERENCE_TASKS).map(|index| TaskReport {
         task: TaskId {
             job: JobId(123_456),
@@ -232,16 +241,16 @@
     let before = thread_cpu_ms();
     for _ in 0..REFERENCE_REPORTS {
         let bytes = protocol::encode(&report);
-        let read: Result<Report, _> = protocol::decode(&bytes);
-        std::hint::black_box(read.is_ok());
+        let decoded: Result<Report, _> = protocol::decode(&bytes);
+        std::hint::black_box(decoded.is_ok());
     }
     thread_cpu_ms() - before
 }
 
-/// Processor time of the calling thread; 0 where the system does not tell.
+/// CPU time of the calling thread in milliseconds; 0 if `/proc` does not provide it.
 fn thread_cpu_ms() -> f64 {
-    let times = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
-    let on_processor = times.split_whitespace().next();
-    let nanoseconds: u64 = on_processor.and_then(|text| text.parse().ok()).unwrap_or(0);
+    let schedstat = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
+    let cpu_time = schedstat.split_whitespace().next();
+    let nanoseconds: u64 = cpu_time.and_then(|text| text.parse().ok()).unwrap_or(0);
     nanoseconds as f64 / 1e6
 }
