--- a/crates/service-report/src/log/tests.rs
+++ b/crates/service-report/src/log/tests.rs
@@ -14,16 +14,16 @@
 
 #[test]
 fn counters_accumulate_across_leader_changes() {
-    let mut run = LogSummary::default();
-    run.parse(LOG);
-    let classes = run.classes();
+    let mut summary = LogSummary::default();
+    summary.parse(LOG);
+    let classes = summary.classes();
     let thumbs = &classes[&("lab".to_string(), "thumbs".to_string())];
     assert_eq!(
         (thumbs.started(), thumbs.done(), thumbs.preempted()),
         (6, 4, 1)
     );
     assert_eq!((thumbs.jobs, thumbs.tasks, thumbs.submitted()), (2, 8, 3));
-    // Half of the tasks, of half of those who asked.
+    // Half of the tasks were done, and half of the users were accepted while the others gave up.
     assert!(
         (thumbs.served_share() - 0.25).abs() < 1e-9,
         "{}",
@@ -31,19 +31,19 @@
     );
     let front = &classes[&("web".to_string(), "front".to_string())];
     assert!((front.served_share() - 0.5).abs() < 1e-9);
-    assert!(run.last_line_at > 1e9);
+    assert!(summary.latest_line_at > 1e9);
 }
 
-/// One replica that was started twice, and one that never ran.
+/// One of the two replicas was started twice, and the other one never ran.
 #[test]
 fn restarted_replica_is_counted_once() {
-    let mut run = LogSummary::default();
-    run.parse(LOG);
-    run.parse(
+    let mut summary = LogSummary::default();
+    summary.parse(LOG);
+    summary.parse(
         "60.0 n1 DEBUG dalelb::coordination::fleet: runs task=j-000003/1 attempt=1\n\
          70.0 n1 DEBUG dalelb::coordination::fleet: runs task=j-000003/1 attempt=2\n",
     );
-    let front = &run.classes()[&("web".to_string(), "front".to_string())];
+    let front = &summary.classes()[&("web".to_string(), "front".to_string())];
     assert!(
         (front.served_share() - 0.5).abs() < 1e-9,
         "{}",
--- a/crates/service-report/src/main.rs
+++ b/crates/service-report/src/main.rs
@@ -1,5 +1,5 @@
-//! How each class of each team was served, from the logs of a run's nodes at level `info` or finer, and what
-//! would have been possible by an offline bound.
+//! Reports from the logs of a run's nodes how much of the work of each workload class was served, and how much an
+//! optimal schedule could have served.
 
 mod log;
 mod optimum;
@@ -8,39 +8,40 @@
 
 use clap::Parser;
 
-/// Reads the logs of all nodes of one run, merged or one after the other, and prints a line for each class.
+/// Reads the logs of all nodes of one run, merged or one after the other, and prints a line for each workload class.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
     /// Log files at level `info` or finer.
     #[arg(required = true)]
     logs: Vec<PathBuf>,
-    /// What the whole fleet holds at its largest, in units (GPUs, or CPUs where there are none): also prints what
-    /// an offline bound says was possible.
+    /// The capacity of the fleet at its largest, in units (GPUs, or CPUs for tasks without GPUs). Also prints the
+    /// fraction of each class's work that an optimal schedule could have served.
     #[arg(long)]
     units: Option<f64>,
-    /// What a team may use at a time, in units: `team=5000`. For the bound; without it a team may have all.
-    #[arg(long, value_parser = limit)]
+    /// The most that a team may use at a time, in units, for example `team=5000`. It applies to the optimal
+    /// schedule, where a team without a limit may use the whole capacity.
+    #[arg(long, value_parser = parse_team_limit)]
     limit: Vec<(String, f64)>,
-    /// Ends with an error if a class was served less than this part of what was possible (or of all that it asked
-    /// for, without --units), from 0 to 1.
+    /// Exits with an error if the fraction of a class's work that was served is less than this fraction, from 0 to
+    /// 1, of what was possible (without --units: of all the requested work).
     #[arg(long)]
     least: Option<f64>,
 }
 
-fn limit(text: &str) -> Result<(String, f64), String> {
-    let (team, units) = text.split_once('=').ok_or("it is no team=units")?;
-    let units = units.parse().map_err(|_| "the units are no number")?;
+fn parse_team_limit(text: &str) -> Result<(String, f64), String> {
+    let (team, units) = text.split_once('=').ok_or("expected team=units")?;
+    let units = units.parse().map_err(|_| "the units are not a number")?;
     Ok((team.to_owned(), units))
 }
 
 #[expect(clippy::too_many_lines, reason = "still to be split")]
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let mut run = log::LogSummary::default();
+    let mut summary = log::LogSummary::default();
     for path in &arguments.logs {
         match fs::read(path) {
-            Ok(bytes) => run.parse(&String::from_utf8_lossy(&bytes)),
+            Ok(bytes) => summary.parse(&String::from_utf8_lossy(&bytes)),
             Err(error) => {
                 eprintln!("{}: {error}", path.display());
                 return ExitCode::from(2);
@@ -50,7 +51,7 @@
     let limits = arguments.limit.iter().cloned().collect();
     let bounds = match arguments
         .units
-        .map(|units| optimum::max_achievable_service(&run, units, &limits))
+        .map(|units| optimum::max_achievable_service(&summary, units, &limits))
     {
         Some(Ok(bounds)) => bounds,
         Some(Err(error)) => {
@@ -73,34 +74,34 @@
         "served",
         "possible"
     );
-    let mut poor = Vec::new();
-    for (name, class) in run.classes() {
+    let mut underserved = Vec::new();
+    for (name, class) in summary.classes() {
         let served = class.served_share();
         let possible = bounds.get(name).copied();
-        let shown = possible.map_or("-".into(), |part| format!("{part:.3}"));
+        let possible_text = possible.map_or("-".into(), |fraction| format!("{fraction:.3}"));
         println!(
             "{:<32} {:>9} {:>9} {:>8} {:>8} {:>9} {:>9} {:>8} {:>8} {:>7.3} {:>8}",
             format!("{}/{}", name.0, name.1),
             class.submitted(),
             class.jobs,
-            class.rejected(),
+            class.deferred(),
             class.abandoned(),
             class.tasks,
             class.started(),
             class.done(),
             class.preempted(),
             served,
-            shown
+            possible_text
         );
         if arguments
             .least
             .is_some_and(|least| served < least * possible.unwrap_or(1.0))
         {
-            poor.push(format!("{}/{}", name.0, name.1));
+            underserved.push(format!("{}/{}", name.0, name.1));
         }
     }
-    if !poor.is_empty() {
-        eprintln!("served too little: {}", poor.join(", "));
+    if !underserved.is_empty() {
+        eprintln!("served too little: {}", underserved.join(", "));
         return ExitCode::FAILURE;
     }
     ExitCode::SUCCESS
--- a/crates/service-report/src/optimum.rs
+++ b/crates/service-report/src/optimum.rs
@@ -1,9 +1,10 @@
-//! What was possible: a linear program over all that was accepted, with hindsight.
+//! An upper bound on the service that any scheduler could have achieved: the solution of a linear program over all
+//! accepted jobs, which uses knowledge of the whole run.
 //!
-//! Time is cut into slices. In each, the classes' work adds up to what the fleet holds at its largest at most, and
-//! no work is done before it has come. Images, boots, zones and whole tasks are left out, so nobody can do
-//! better. The least served class is served as well as can be; then each class for itself, with the others kept
-//! at that.
+//! The run is divided into time slices. In each slice the work of all classes together is at most the capacity of
+//! the largest fleet, and no work is done before it has arrived. The model ignores image pulls, machine boots,
+//! zones and the indivisibility of tasks, so no real schedule can do better. First the service of the least served
+//! class is maximized; then that of each class by itself, while all classes keep at least this minimum.
 
 use std::collections::BTreeMap;
 
@@ -14,11 +15,12 @@
 
 use super::log::{ClassName, LogSummary};
 
-/// Slices of the whole run.
+/// The number of slices into which the run is divided.
 const TIME_SLICES: usize = 40;
 
+/// The work of one class.
 struct OfferedLoad {
-    /// What comes in each slice, in unit seconds.
+    /// The work that arrives in each slice, in unit seconds.
     arrivals_by_slice: Vec<f64>,
 }
 
@@ -28,100 +30,105 @@
     }
 }
 
-/// What some teams may use at a time, in units.
+/// The largest number of units that a team may use at a time, for the teams that have a limit.
 pub type TeamLimits = BTreeMap<String, f64>;
 
-/// The part of each class's work that could have been done by the end, from 0 to 1. `units`: what the fleet holds.
+/// The fraction of each class's work that could have been done by the end of the run, from 0 to 1. `units`: the
+/// capacity of the fleet.
 pub fn max_achievable_service(
-    run: &LogSummary,
+    summary: &LogSummary,
     units: f64,
     limits: &TeamLimits,
 ) -> Result<BTreeMap<ClassName, f64>, ResolutionError> {
-    let begin = run
+    let run_start = summary
         .jobs
         .values()
         .map(|job| job.accepted_at)
         .fold(f64::INFINITY, f64::min);
-    let slice_s = ((run.last_line_at - begin) / TIME_SLICES as f64).max(1e-3);
-    let mut works: BTreeMap<ClassName, OfferedLoad> = BTreeMap::new();
-    for job in run.jobs.values() {
-        let work = works
-            .entry(job.name.clone())
+    let slice_s = ((summary.latest_line_at - run_start) / TIME_SLICES as f64).max(1e-3);
+    let mut loads: BTreeMap<ClassName, OfferedLoad> = BTreeMap::new();
+    for job in summary.jobs.values() {
+        let load = loads
+            .entry(job.class.clone())
             .or_insert_with(|| OfferedLoad {
                 arrivals_by_slice: vec![0.0; TIME_SLICES],
             });
-        let at = |time: f64| (((time - begin) / slice_s) as usize).min(TIME_SLICES - 1);
-        let each = job.tasks as f64 * job.units;
-        if job.service {
-            // Wanted from when it came until it was cancelled, a slice at a time.
-            let until = job.ended_at.unwrap_or(run.last_line_at);
-            for slice in at(job.accepted_at)..=at(until) {
-                let from = (begin + slice as f64 * slice_s).max(job.accepted_at);
-                let to = (begin + (slice + 1) as f64 * slice_s).min(until);
-                work.arrivals_by_slice[slice] += each * (to - from).max(0.0);
+        let slice_at = |time: f64| (((time - run_start) / slice_s) as usize).min(TIME_SLICES - 1);
+        let job_units = job.tasks as f64 * job.units;
+        if job.is_service {
+            // A service uses its units from its acceptance until its end: the work is spread over these slices.
+            let ended_at = job.ended_at.unwrap_or(summary.latest_line_at);
+            for slice in slice_at(job.accepted_at)..=slice_at(ended_at) {
+                let start = (run_start + slice as f64 * slice_s).max(job.accepted_at);
+                let end = (run_start + (slice + 1) as f64 * slice_s).min(ended_at);
+                load.arrivals_by_slice[slice] += job_units * (end - start).max(0.0);
             }
         } else if !job.cancelled {
-            work.arrivals_by_slice[at(job.accepted_at)] += each * job.estimate_s;
+            load.arrivals_by_slice[slice_at(job.accepted_at)] += job_units * job.estimate_s;
         }
     }
-    works.retain(|_, work| work.total() > 0.0);
-    let room = units * slice_s;
+    loads.retain(|_, load| load.total() > 0.0);
+    let slice_capacity = units * slice_s;
     let limits = limits
         .iter()
         .map(|(team, limit)| (team.clone(), limit / units));
     let limits: TeamLimits = limits.collect();
-    let least = solve(&works, room, &limits, None, 0.0)?;
-    let mut possible = BTreeMap::new();
-    for name in works.keys() {
-        let part = solve(&works, room, &limits, Some(name), least * 0.999)?;
-        possible.insert(name.clone(), part.min(1.0));
+    let minimum = solve(&loads, slice_capacity, &limits, None, 0.0)?;
+    let mut achievable = BTreeMap::new();
+    for name in loads.keys() {
+        let fraction = solve(&loads, slice_capacity, &limits, Some(name), minimum * 0.999)?;
+        achievable.insert(name.clone(), fraction.min(1.0));
     }
-    Ok(possible)
+    Ok(achievable)
 }
 
-/// `limits`: in parts of the room. The largest part of `best`'s work, or of everybody's, that can be done while all have at least `least`.
+/// The largest fraction of the work of the class `maximized` that can be done, while at least the fraction
+/// `minimum` of every class's work is done. Without `maximized`: the largest fraction that can be done of every
+/// class's work.
+///
+/// `slice_capacity` is the capacity in a slice, in unit seconds; `limits` are fractions of that capacity.
 fn solve(
-    works: &BTreeMap<ClassName, OfferedLoad>,
-    room: f64,
+    loads: &BTreeMap<ClassName, OfferedLoad>,
+    slice_capacity: f64,
     limits: &TeamLimits,
-    best: Option<&ClassName>,
-    least: f64,
+    maximized: Option<&ClassName>,
+    minimum: f64,
 ) -> Result<f64, ResolutionError> {
     let mut variables = ProblemVariables::new();
-    let part = variables.add(variable().min(0.0).max(1.0));
-    let done: Vec<Vec<Variable>> = works
+    let fraction = variables.add(variable().min(0.0).max(1.0));
+    let work_done: Vec<Vec<Variable>> = loads
         .values()
         .map(|_| variables.add_vector(variable().min(0.0), TIME_SLICES))
         .collect();
-    let mut problem = variables.maximise(part).using(microlp);
+    let mut problem = variables.maximise(fraction).using(microlp);
     for slice in 0..TIME_SLICES {
-        let all: Expression = done.iter().map(|class| class[slice]).sum();
-        // In parts of the room, so that numbers stay near one.
-        problem = problem.with(all.leq(1.0));
+        let slice_total: Expression = work_done.iter().map(|class_done| class_done[slice]).sum();
+        // Work is counted in fractions of the capacity, so that the numbers stay near one.
+        problem = problem.with(slice_total.leq(1.0));
         for (team, limit) in limits {
-            let of_team = works
+            let of_team = loads
                 .keys()
-                .zip(&done)
-                .filter(|((name, _), _)| name == team);
-            let sum: Expression = of_team.map(|(_, class)| class[slice]).sum();
+                .zip(&work_done)
+                .filter(|((class_team, _), _)| class_team == team);
+            let sum: Expression = of_team.map(|(_, class_done)| class_done[slice]).sum();
             problem = problem.with(sum.leq(*limit));
         }
     }
-    for ((name, work), class) in works.iter().zip(&done) {
-        let mut come = 0.0;
+    for ((name, load), class_done) in loads.iter().zip(&work_done) {
+        let mut arrived = 0.0;
         for slice in 0..TIME_SLICES {
-            come += work.arrivals_by_slice[slice] / room;
-            let sum: Expression = class[..=slice].iter().sum();
-            problem = problem.with(sum.leq(come));
+            arrived += load.arrivals_by_slice[slice] / slice_capacity;
+            let sum: Expression = class_done[..=slice].iter().sum();
+            problem = problem.with(sum.leq(arrived));
         }
-        let sum: Expression = class.iter().sum();
-        let whole = work.total() / room;
-        if best.is_none_or(|best| best == name) {
-            problem = problem.with((sum.clone() - whole * part).geq(0.0));
+        let sum: Expression = class_done.iter().sum();
+        let total = load.total() / slice_capacity;
+        if maximized.is_none_or(|maximized| maximized == name) {
+            problem = problem.with((sum.clone() - total * fraction).geq(0.0));
         }
-        problem = problem.with(sum.geq(whole * least));
+        problem = problem.with(sum.geq(total * minimum));
     }
-    Ok(problem.solve()?.value(part))
+    Ok(problem.solve()?.value(fraction))
 }
 
 #[cfg(test)]
