--- a/crates/mutants/src/main.rs
+++ b/crates/mutants/src/main.rs
@@ -1,5 +1,6 @@
-//! Breaks the safety rules of `docs/design.md` on purpose, one at a time, each in a copy of the
-//! repository, and tells which tests notice. A rule that can be broken unnoticed is not tested.
+//! Mutation testing of the safety rules of `docs/design.md`: each mutant is a change to the source that breaks one
+//! rule. Applies each mutant to a copy of the repository, runs all tests there, and reports which of them fail. If
+//! none fails, the rule is not tested.
 
 use std::{
     fs, io,
@@ -15,22 +16,22 @@
 #[derive(Parser)]
 #[command(version, about)]
 struct Args {
-    /// The changes to try.
+    /// The file that lists the mutants.
     #[arg(long, default_value = "crates/mutants/mutants.toml")]
     list: PathBuf,
-    /// Copies and what is built of them are kept here: gigabytes for each copy.
+    /// The directory for the copies of the repository and their build output: gigabytes for each copy.
     #[arg(long, default_value = "target/mutants")]
     scratch: PathBuf,
-    /// How many changes are tried at a time.
+    /// The number of mutants that are tested at a time.
     #[arg(long, default_value_t = 2)]
     jobs: usize,
-    /// How long building and testing one change may take, in seconds.
+    /// How long the build and the tests of one mutant may take, in seconds.
     #[arg(long, default_value_t = 900)]
     timeout_s: u64,
-    /// Only see whether each change still applies.
+    /// Only check that each mutant still applies, without running tests.
     #[arg(long)]
     dry_run: bool,
-    /// Only changes whose names contain one of these.
+    /// Select only the mutants whose names contain one of these texts.
     names: Vec<String>,
 }
 
@@ -40,15 +41,15 @@
     mutant: Vec<Mutant>,
 }
 
-/// A change that breaks a rule.
+/// A change to one file that breaks a safety rule.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Mutant {
     name: String,
-    /// The rule of `docs/design.md` that it breaks.
+    /// The rule of `docs/design.md` that the change breaks.
     rule: String,
     file: PathBuf,
-    /// Occurs once in the file.
+    /// The text that is replaced. It occurs exactly once in the file.
     find: String,
     replace: String,
 }
@@ -62,11 +63,11 @@
         path: PathBuf,
         source: toml::de::Error,
     },
-    #[error("{name}: what it replaces occurs {times} times in {file}, not once")]
+    #[error("{name}: `find` occurs {occurrences} times in {file}, not once")]
     Stale {
         name: String,
         file: PathBuf,
-        times: usize,
+        occurrences: usize,
     },
     #[error("git lists no files here: run it at the root of the repository")]
     NoFiles,
@@ -82,28 +83,31 @@
 }
 
 impl Mutant {
-    /// The file as the change leaves it.
+    /// Returns `text`, the content of the file, with the change applied.
     fn apply(&self, text: &str) -> Result<String, Error> {
         match text.matches(&self.find).count() {
             1 => Ok(text.replacen(&self.find, &self.replace, 1)),
-            times => Err(Error::Stale {
+            occurrences => Err(Error::Stale {
                 name: self.name.clone(),
                 file: self.file.clone(),
-                times,
+                occurrences,
             }),
         }
     }
 }
 
+/// The result of the tests of a mutant.
 enum Verdict {
-    /// By these tests, or by what is said in their place.
-    Noticed(Vec<String>),
-    Unnoticed,
-    DoesNotBuild,
+    /// Tests failed: their names, or `never ends` if the timeout expired first.
+    Killed(Vec<String>),
+    /// All tests passed.
+    Survived,
+    /// The tests could not be built.
+    BuildFailed,
 }
 
-/// Files that git knows, without what is ignored.
-fn files() -> Result<Vec<PathBuf>, Error> {
+/// The files that git tracks, and those that it neither tracks nor ignores. The journal is left out.
+fn repository_files() -> Result<Vec<PathBuf>, Error> {
     let listed = Command::new("git")
         .args(["ls-files", "--cached", "--others", "--exclude-standard"])
         .output()
@@ -121,12 +125,12 @@
     Ok(files)
 }
 
-/// Brings a copy up to date. Files that are the same are left alone, so that little is built anew.
-fn copy(files: &[PathBuf], to: &Path) -> Result<(), Error> {
+/// Brings a copy up to date. Unchanged files are not written again, so that little is rebuilt.
+fn update_copy(files: &[PathBuf], copy: &Path) -> Result<(), Error> {
     for file in files {
         let text = fs::read(file).map_err(io_error_at(file))?;
-        let target = to.join(file);
-        if fs::read(&target).is_ok_and(|known| known == text) {
+        let target = copy.join(file);
+        if fs::read(&target).is_ok_and(|current| current == text) {
             continue;
         }
         if let Some(parent) = target.parent() {
@@ -137,7 +141,7 @@
     Ok(())
 }
 
-/// The names of failed tests in what `cargo test` prints.
+/// The names of the failed tests in the output of `cargo test`, sorted and without duplicates.
 fn failed_tests(output: &str) -> Vec<String> {
     let mut names: Vec<String> = output
         .lines()
@@ -149,51 +153,55 @@
     names
 }
 
-/// Runs the tests of a copy.
-fn test(copy: &Path, timeout: Duration) -> Result<Verdict, Error> {
-    let said = copy.join("target-said.txt");
-    let file = fs::File::create(&said).map_err(io_error_at(&said))?;
+/// Runs all tests in a copy. A run that does not end within `timeout` is stopped and counts as failed.
+fn run_tests(copy: &Path, timeout: Duration) -> Result<Verdict, Error> {
+    let output_path = copy.join("target-said.txt");
+    let stdout = fs::File::create(&output_path).map_err(io_error_at(&output_path))?;
     let mut child = Command::new("cargo")
         .args(["test", "--locked", "--no-fail-fast"])
         .current_dir(copy)
         .env("CARGO_TARGET_DIR", "target")
         .stdin(Stdio::null())
-        .stdout(file)
+        .stdout(stdout)
         .stderr(Stdio::null())
         .spawn()
         .map_err(|error| Error::Command("cargo", error))?;
-    let began = Instant::now();
+    let started_at = Instant::now();
     let status = loop {
         match child.try_wait() {
             Ok(Some(status)) => break status,
-            Ok(None) if began.elapsed() < timeout => std::thread::sleep(Duration::from_millis(200)),
+            Ok(None) if started_at.elapsed() < timeout => {
+                std::thread::sleep(Duration::from_millis(200))
+            }
             Ok(None) => {
                 let _ = child.kill();
                 let _ = child.wait();
-                return Ok(Verdict::Noticed(vec!["never ends".into()]));
+                return Ok(Verdict::Killed(vec!["never ends".into()]));
             }
             Err(error) => return Err(Error::Command("cargo", error)),
         }
     };
-    let output = fs::read_to_string(&said).map_err(io_error_at(&said))?;
+    let output = fs::read_to_string(&output_path).map_err(io_error_at(&output_path))?;
     let names = failed_tests(&output);
     Ok(match (status.success(), output.contains("test result:")) {
-        (true, _) => Verdict::Unnoticed,
-        (false, false) => Verdict::DoesNotBuild,
-        (false, true) => Verdict::Noticed(names),
+        (true, _) => Verdict::Survived,
+        (false, false) => Verdict::BuildFailed,
+        (false, true) => Verdict::Killed(names),
     })
 }
 
+/// Checks that all selected mutants apply, then tests them, except in a dry run. Returns whether none survived or
+/// failed to build.
 fn run(args: &Args) -> Result<bool, Error> {
     let text = fs::read_to_string(&args.list).map_err(io_error_at(&args.list))?;
     let list: MutantList = toml::from_str(&text).map_err(|source| Error::List {
         path: args.list.clone(),
         source,
     })?;
-    let asked = |mutant: &Mutant| {
+    let is_selected = |mutant: &Mutant| {
         args.names.is_empty() || args.names.iter().any(|name| mutant.name.contains(name))
     };
-    let mutants: Vec<Mutant> = list.mutant.into_iter().filter(asked).collect();
+    let mutants: Vec<Mutant> = list.mutant.into_iter().filter(is_selected).collect();
     for mutant in &mutants {
         let text = fs::read_to_string(&mutant.file).map_err(io_error_at(&mutant.file))?;
         mutant.apply(&text)?;
@@ -202,44 +210,49 @@
     if args.dry_run {
         return Ok(true);
     }
-    let files = files()?;
+    let files = repository_files()?;
     let queue = Mutex::new(mutants.into_iter());
-    let unnoticed = Mutex::new(Vec::new());
-    let work = |slot: usize| -> Result<(), Error> {
-        let place = args.scratch.join(slot.to_string());
+    let not_killed = Mutex::new(Vec::new());
+    let test_queued = |copy_index: usize| -> Result<(), Error> {
+        let copy_dir = args.scratch.join(copy_index.to_string());
         loop {
-            let next = queue.lock().expect("no panic holds it").next();
-            let Some(mutant) = next else { return Ok(()) };
-            copy(&files, &place)?;
-            let file = place.join(&mutant.file);
+            let mutant = queue.lock().expect("the lock is not poisoned").next();
+            let Some(mutant) = mutant else { return Ok(()) };
+            update_copy(&files, &copy_dir)?;
+            let file = copy_dir.join(&mutant.file);
             let text = fs::read_to_string(&file).map_err(io_error_at(&file))?;
             fs::write(&file, mutant.apply(&text)?).map_err(io_error_at(&file))?;
-            let verdict = test(&place, Duration::from_secs(args.timeout_s))?;
+            let verdict = run_tests(&copy_dir, Duration::from_secs(args.timeout_s))?;
             let Mutant { name, rule, .. } = mutant;
             match &verdict {
-                Verdict::Noticed(by) => println!("noticed    {name} ({rule}): {}", by.join(", ")),
-                Verdict::Unnoticed => println!("UNNOTICED  {name} ({rule})"),
-                Verdict::DoesNotBuild => println!("NO BUILD   {name} ({rule})"),
+                Verdict::Killed(tests) => {
+                    println!("noticed    {name} ({rule}): {}", tests.join(", "))
+                }
+                Verdict::Survived => println!("UNNOTICED  {name} ({rule})"),
+                Verdict::BuildFailed => println!("NO BUILD   {name} ({rule})"),
             }
-            if !matches!(verdict, Verdict::Noticed(_)) {
-                unnoticed.lock().expect("no panic holds it").push(name);
+            if !matches!(verdict, Verdict::Killed(_)) {
+                not_killed
+                    .lock()
+                    .expect("the lock is not poisoned")
+                    .push(name);
             }
         }
     };
     std::thread::scope(|scope| {
-        let work = &work;
-        let slots: Vec<_> = (0..args.jobs.max(1))
-            .map(|slot| scope.spawn(move || work(slot)))
+        let test_queued = &test_queued;
+        let threads: Vec<_> = (0..args.jobs.max(1))
+            .map(|copy_index| scope.spawn(move || test_queued(copy_index)))
             .collect();
-        slots
+        threads
             .into_iter()
-            .try_for_each(|slot| slot.join().expect("a slot does not panic"))
+            .try_for_each(|thread| thread.join().expect("a worker thread does not panic"))
     })?;
-    let unnoticed = unnoticed.into_inner().expect("no panic holds it");
-    if !unnoticed.is_empty() {
-        println!("not noticed by any test: {}", unnoticed.join(", "));
+    let not_killed = not_killed.into_inner().expect("the lock is not poisoned");
+    if !not_killed.is_empty() {
+        println!("not noticed by any test: {}", not_killed.join(", "));
     }
-    Ok(unnoticed.is_empty())
+    Ok(not_killed.is_empty())
 }
 
 fn main() -> ExitCode {
--- a/crates/mutants/src/tests.rs
+++ b/crates/mutants/src/tests.rs
@@ -20,15 +20,16 @@
     assert_eq!(failed_tests(output), ["b"]);
 }
 
-/// A change that no longer applies would test nothing.
+/// A mutant whose `find` text no longer occurs in the source would test nothing.
 #[test]
 fn every_listed_mutant_applies() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    let text = fs::read_to_string(root.join("crates/mutants/mutants.toml")).expect("the list");
-    let list: MutantList = toml::from_str(&text).expect("a list of changes");
+    let text =
+        fs::read_to_string(root.join("crates/mutants/mutants.toml")).expect("the list of mutants");
+    let list: MutantList = toml::from_str(&text).expect("a valid list of mutants");
     assert!(list.mutant.len() >= 25);
     for mutant in list.mutant {
-        let text = fs::read_to_string(root.join(&mutant.file)).expect("its file");
-        mutant.apply(&text).expect("it applies");
+        let text = fs::read_to_string(root.join(&mutant.file)).expect("the file of the mutant");
+        mutant.apply(&text).expect("the mutant applies");
     }
 }
