--- a/crates/emulators/src/state_service.rs
+++ b/crates/emulators/src/state_service.rs
@@ -144,10 +144,10 @@
         StateRequest::List { .. } => "list",
         StateRequest::Get { .. } => "get",
         StateRequest::Txn(_) => "txn",
-        StateRequest::Grant { .. } => "grant",
-        StateRequest::Touch { .. } => "touch",
-        StateRequest::Release { .. } => "release",
-        StateRequest::Changes { hold_ms: 0, .. } => "sync",
+        StateRequest::GrantLease { .. } => "grant",
+        StateRequest::RenewLease { .. } => "touch",
+        StateRequest::ReleaseLease { .. } => "release",
+        StateRequest::Changes { max_wait_ms: 0, .. } => "sync",
         StateRequest::Changes { .. } => "watch",
     }
 }
@@ -155,15 +155,15 @@
 fn response_for(result: StateReply) -> Response<Bytes> {
     match result {
         StateReply::Page(page) => msgpack_response(200, &page),
-        StateReply::Row(row) => msgpack_response(200, &row),
+        StateReply::KeyValue(row) => msgpack_response(200, &row),
         StateReply::Missing => msgpack_response(404, &json!({"ledger": 1})),
         StateReply::Committed(revision) => msgpack_response(200, &Committed { revision }),
         StateReply::Conflict(failed) => msgpack_response(409, &Conflict { failed }),
         StateReply::Granted(id) => msgpack_response(200, &Lease { id }),
-        StateReply::Touched => msgpack_response(200, &json!({})),
-        StateReply::NoLease => msgpack_response(404, &json!({"error": "no such lease"})),
+        StateReply::LeaseUpdated => msgpack_response(200, &json!({})),
+        StateReply::LeaseNotFound => msgpack_response(404, &json!({"error": "no such lease"})),
         StateReply::Changes(changes) => msgpack_response(200, &changes),
-        StateReply::TooOld => msgpack_response(410, &json!({})),
+        StateReply::RevisionCompacted => msgpack_response(410, &json!({})),
     }
 }
 
@@ -272,8 +272,8 @@
         let mut state = self.lock_state();
         state.store.expire_leases(now);
         let mut request = request.clone();
-        if let StateRequest::Changes { hold_ms, .. } = &mut request {
-            *hold_ms = hold_ms.saturating_sub(waited.as_millis() as u64);
+        if let StateRequest::Changes { max_wait_ms, .. } = &mut request {
+            *max_wait_ms = max_wait_ms.saturating_sub(waited.as_millis() as u64);
         }
         let before = state.store.revision;
         let reply = state.store.execute(&request, now);
@@ -319,7 +319,7 @@
                 let request = StateRequest::Changes {
                     prefix: static_prefix(&query),
                     after: query.after.and_then(|n| n.parse().ok()).unwrap_or(0),
-                    hold_ms: query.hold_ms.unwrap_or(0),
+                    max_wait_ms: query.hold_ms.unwrap_or(0),
                 };
                 service.serve(request, 0)
             });
@@ -339,7 +339,7 @@
                 let lease: LeaseRequest = protocol::decode(&body).expect("a valid lease request");
                 let lease_ttl_ms = lease.ttl_ms;
                 service.serve(
-                    StateRequest::Grant {
+                    StateRequest::GrantLease {
                         ttl_ms: lease_ttl_ms,
                     },
                     0,
@@ -349,11 +349,13 @@
             .clone()
             .and(warp::path!("holds" / u64 / "touch"))
             .and(warp::post())
-            .and_then(|service: Self, lease| service.serve(StateRequest::Touch { lease }, 0));
+            .and_then(|service: Self, lease| service.serve(StateRequest::RenewLease { lease }, 0));
         let release = with_service
             .and(warp::path!("holds" / u64))
             .and(warp::delete())
-            .and_then(|service: Self, lease| service.serve(StateRequest::Release { lease }, 0));
+            .and_then(|service: Self, lease| {
+                service.serve(StateRequest::ReleaseLease { lease }, 0)
+            });
         let routes = get.or(changes).unify().or(txn).unify().or(grant).unify();
         routes.or(touch).unify().or(release).unify()
     }
--- a/crates/emulators/src/state_store.rs
+++ b/crates/emulators/src/state_store.rs
@@ -139,9 +139,9 @@
     }
 
     /// The value and version of a key.
-    pub fn row(&self, key: &str) -> Option<Row> {
+    pub fn row(&self, key: &str) -> Option<KeyValue> {
         let (value, version, _) = self.keys.get(key)?;
-        Some(Row {
+        Some(KeyValue {
             key: key.to_owned(),
             value: value.clone(),
             version: *version,
@@ -156,7 +156,9 @@
     #[expect(clippy::too_many_lines, reason = "still to be split")]
     pub fn execute(&mut self, request: &StateRequest, now: u64) -> Option<StateReply> {
         Some(match request {
-            StateRequest::Get { key } => self.row(key).map_or(StateReply::Missing, StateReply::Row),
+            StateRequest::Get { key } => self
+                .row(key)
+                .map_or(StateReply::Missing, StateReply::KeyValue),
             StateRequest::List {
                 prefix,
                 after,
@@ -166,7 +168,7 @@
                     Some(after) if after.as_str() >= *prefix => Bound::Excluded(after.as_str()),
                     _ => Bound::Included(*prefix),
                 };
-                let mut rows: Vec<Row> = self
+                let mut rows: Vec<KeyValue> = self
                     .keys
                     .range::<str, _>((from, Bound::Unbounded))
                     .take_while(|(key, _)| key.starts_with(prefix))
@@ -189,7 +191,7 @@
                     } = write
                         && !self.leases.contains_key(lease)
                     {
-                        return Some(StateReply::NoLease);
+                        return Some(StateReply::LeaseNotFound);
                     }
                 }
                 let failed: Vec<String> = txn
@@ -239,31 +241,31 @@
                 self.compact_change_log();
                 StateReply::Committed(self.revision)
             }
-            StateRequest::Grant { ttl_ms } => {
+            StateRequest::GrantLease { ttl_ms } => {
                 self.next_lease_id += 1;
                 self.leases
                     .insert(self.next_lease_id, (now + ttl_ms, *ttl_ms));
                 StateReply::Granted(self.next_lease_id)
             }
-            StateRequest::Touch { lease } => match self.leases.get_mut(lease) {
+            StateRequest::RenewLease { lease } => match self.leases.get_mut(lease) {
                 Some((expires_at, duration_ms)) => {
                     *expires_at = now + *duration_ms;
-                    StateReply::Touched
+                    StateReply::LeaseUpdated
                 }
-                None => StateReply::NoLease,
+                None => StateReply::LeaseNotFound,
             },
-            StateRequest::Release { lease } => {
+            StateRequest::ReleaseLease { lease } => {
                 self.end_lease(*lease);
-                StateReply::Touched
+                StateReply::LeaseUpdated
             }
             StateRequest::Changes {
                 prefix,
                 after,
-                hold_ms,
+                max_wait_ms,
             } => {
                 assert!(self.watched_prefix.is_none_or(|watched| watched == *prefix));
                 if *after < self.compacted_revision {
-                    return Some(StateReply::TooOld);
+                    return Some(StateReply::RevisionCompacted);
                 }
                 // Revisions only increase, so the log is sorted by revision.
                 let first = self
@@ -279,7 +281,7 @@
                         }
                     })
                     .collect();
-                if events.is_empty() && *hold_ms > 0 {
+                if events.is_empty() && *max_wait_ms > 0 {
                     return None;
                 }
                 StateReply::Changes(Changes {
--- a/crates/emulators/src/worker_emulator.rs
+++ b/crates/emulators/src/worker_emulator.rs
@@ -6,7 +6,7 @@
 
 use dalelb::protocol::{
     ids::TaskId,
-    worker::{FailureCause, Order, Report, TaskReport, TaskState},
+    worker::{ExitCause, Order, Report, TaskReport, TaskState},
 };
 
 /// The properties of a task that a worker needs to start it.
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug)]
 struct HeldTask {
     state: TaskState,
-    cause: Option<FailureCause>,
+    cause: Option<ExitCause>,
     cpus: f64,
     ends_at: Option<u64>,
 }
@@ -116,7 +116,7 @@
         let mut any_completed = false;
         for ((task, _), held_task) in &mut self.tasks {
             if held_task.is_running() && held_task.ends_at.is_some_and(|at| at <= now) {
-                (held_task.state, held_task.cause) = (TaskState::Ended, Some(FailureCause::Done));
+                (held_task.state, held_task.cause) = (TaskState::Ended, Some(ExitCause::Done));
                 tasks.on_task_event(&self.identity.name, *task, TaskEvent::Removed);
                 any_completed = true;
             }
@@ -164,7 +164,7 @@
             incarnation: self.incarnation,
             seq: self.seq,
             token: self.fencing_token,
-            notice_s: None,
+            reclaim_in_s: None,
             tasks: tasks.collect(),
         }
     }
@@ -222,10 +222,10 @@
             ends_at: None,
         };
         let held_task = match tasks.describe(task) {
-            None => rejected_task(FailureCause::Unknown),
-            Some(_) if self.holds(task) => rejected_task(FailureCause::Busy),
+            None => rejected_task(ExitCause::Unknown),
+            Some(_) if self.holds(task) => rejected_task(ExitCause::AttemptExists),
             Some(spec) if self.used_cpus() + spec.cpus > self.identity.cpus => {
-                rejected_task(FailureCause::NoRoom)
+                rejected_task(ExitCause::InsufficientResources)
             }
             Some(spec) => {
                 tasks.on_task_event(&self.identity.name, task, TaskEvent::Started);
@@ -245,7 +245,7 @@
             return;
         };
         if held_task.is_running() {
-            (held_task.state, held_task.cause) = (TaskState::Ended, Some(FailureCause::Stopped));
+            (held_task.state, held_task.cause) = (TaskState::Ended, Some(ExitCause::Stopped));
             tasks.on_task_event(&self.identity.name, task, TaskEvent::Removed);
         }
     }
--- a/crates/emulators/src/worker_emulator/tests.rs
+++ b/crates/emulators/src/worker_emulator/tests.rs
@@ -43,7 +43,7 @@
     Order::Start { task, attempt }
 }
 
-fn causes(machine: &mut EmulatedWorker) -> Vec<Option<FailureCause>> {
+fn causes(machine: &mut EmulatedWorker) -> Vec<Option<ExitCause>> {
     let report = machine.report();
     report.tasks.iter().map(|task| task.cause).collect()
 }
@@ -58,7 +58,7 @@
         &task_model
     ));
     assert!(machine.execute_orders(3, vec![start_order(1, 0, 2)], 0, &task_model));
-    assert_eq!(causes(&mut machine), [None, Some(FailureCause::Busy)]);
+    assert_eq!(causes(&mut machine), [None, Some(ExitCause::AttemptExists)]);
     assert_eq!(*task_model.0.lock().unwrap(), [TaskEvent::Started]);
 }
 
@@ -71,8 +71,8 @@
     let expected = [
         None,
         None,
-        Some(FailureCause::NoRoom),
-        Some(FailureCause::Unknown),
+        Some(ExitCause::InsufficientResources),
+        Some(ExitCause::Unknown),
     ];
     assert_eq!(causes(&mut machine), expected);
 }
@@ -120,7 +120,7 @@
     assert_eq!(machine.next_completion_at(), Some(1000));
     assert!(!machine.complete_due_tasks(999, &task_model));
     assert!(machine.complete_due_tasks(1000, &task_model));
-    assert_eq!(causes(&mut machine), [Some(FailureCause::Done)]);
+    assert_eq!(causes(&mut machine), [Some(ExitCause::Done)]);
     machine.execute_orders(1, forget(), 1100, &task_model);
     assert!(machine.report().tasks.is_empty());
 }
--- a/crates/load-test/src/measure.rs
+++ b/crates/load-test/src/measure.rs
@@ -235,7 +235,7 @@
         incarnation: 1,
         seq: 1,
         token: 1,
-        notice_s: None,
+        reclaim_in_s: None,
         tasks: tasks.collect(),
     };
     let before = thread_cpu_ms();
--- a/src/cluster/attempt.rs
+++ b/src/cluster/attempt.rs
@@ -1,6 +1,6 @@
 //! Attempts: single executions of a task, each on one machine.
 
-use crate::{cluster::index::JobIndex, protocol::worker::FailureCause, time::Millis};
+use crate::{cluster::index::JobIndex, protocol::worker::ExitCause, time::Millis};
 
 /// The last known phase of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -29,7 +29,7 @@
     /// Its last known phase.
     pub phase: Phase,
     /// Why it ended.
-    pub cause: Option<FailureCause>,
+    pub cause: Option<ExitCause>,
     /// When it was placed, or recovered by a leader that took over.
     pub placed_at: Millis,
     /// When a heartbeat first reported to this leader that it is running.
--- a/src/cluster/durability.rs
+++ b/src/cluster/durability.rs
@@ -9,7 +9,7 @@
         index::JobIndex,
         task::TaskStatus,
     },
-    protocol::{ids::JobId, worker::FailureCause},
+    protocol::{ids::JobId, worker::ExitCause},
     storage::SnapshotNumber,
 };
 
@@ -36,7 +36,7 @@
     pub fn is_acknowledged(&self, attempt: &Attempt) -> bool {
         attempt.phase == Phase::Ended
             && attempt.reconciled
-            && (attempt.cause != Some(FailureCause::Done)
+            && (attempt.cause != Some(ExitCause::Done)
                 || self.job(attempt.job).closed
                 || self.is_durable(attempt.job, attempt.task))
     }
--- a/src/coordination/admission/load_shedding.rs
+++ b/src/coordination/admission/load_shedding.rs
@@ -7,7 +7,7 @@
 //! | sockets | idle connections are closed (`transport/connection_limiter.rs`) |
 //! | the node's admission quota | new submissions beyond the share of their class are deferred (`controller.rs`) |
 
-use crate::protocol::state::Urgency;
+use crate::protocol::state::StateRequestPriority;
 
 /// The priority of a request; the lowest is refused first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -28,16 +28,18 @@
 
 impl RequestPriority {
     /// The urgency of the calls to the state service that serve such a request.
-    pub fn urgency(self) -> Urgency {
+    pub fn urgency(self) -> StateRequestPriority {
         match self {
-            RequestPriority::IdlePoll | RequestPriority::Poll => Urgency::Normal,
+            RequestPriority::IdlePoll | RequestPriority::Poll => StateRequestPriority::Normal,
             // The admission controller separates the two. When submissions beyond their share left a larger reserve,
             // they got no tokens on a leader under load: its log writes are prompt too, and take all tokens above
             // the reserve of prompt calls.
             RequestPriority::SubmissionBeyondShare | RequestPriority::SubmissionWithinShare => {
-                Urgency::Prompt
+                StateRequestPriority::Prompt
+            }
+            RequestPriority::Cancellation | RequestPriority::ControlPlane => {
+                StateRequestPriority::Vital
             }
-            RequestPriority::Cancellation | RequestPriority::ControlPlane => Urgency::Vital,
         }
     }
 
@@ -55,11 +57,11 @@
 }
 
 /// The fraction of a full token bucket that calls of this urgency leave to more urgent ones.
-pub fn reserved_fraction(urgency: Urgency) -> f64 {
+pub fn reserved_fraction(urgency: StateRequestPriority) -> f64 {
     match urgency {
-        Urgency::Vital => 0.0,
-        Urgency::Prompt => 0.1,
-        Urgency::Normal => 0.25,
+        StateRequestPriority::Vital => 0.0,
+        StateRequestPriority::Prompt => 0.1,
+        StateRequestPriority::Normal => 0.25,
     }
 }
 
--- a/src/coordination/admission/mod.rs
+++ b/src/coordination/admission/mod.rs
@@ -24,7 +24,7 @@
     protocol::{
         ids::JobId,
         job::Submission,
-        state::{Condition, StateError, StateReply, StateRequest, Urgency, Write},
+        state::{Condition, StateError, StateReply, StateRequest, StateRequestPriority, Write},
     },
     scheduling::fair_share::{FairShareLedger, ShareStatus},
     storage,
@@ -479,7 +479,7 @@
         let Some(leader) = &self.leader_state else {
             return;
         };
-        let mut txn = crate::protocol::state::Txn::only_if(leader.leadership_condition());
+        let mut txn = crate::protocol::state::Txn::with_condition(leader.leadership_condition());
         txn.conditions.push(Condition {
             key: storage::ADMISSION_QUOTAS_KEY.into(),
             version,
@@ -491,7 +491,7 @@
         });
         self.admission.store_in_flight = true;
         let request = StateRequest::Txn(txn);
-        self.call_state_service(tag, request, Urgency::Normal, TXN_TIMEOUT_MS);
+        self.call_state_service(tag, request, StateRequestPriority::Normal, TXN_TIMEOUT_MS);
     }
 
     /// Handles the response to the write that marks quotas as settled. Whatever the outcome, this node applies the
--- a/src/coordination/command.rs
+++ b/src/coordination/command.rs
@@ -9,7 +9,7 @@
     config::Team,
     protocol::{
         cloud::{CloudError, CloudReply, CloudRequest},
-        state::{StateError, StateReply, StateRequest, Urgency},
+        state::{StateError, StateReply, StateRequest, StateRequestPriority},
         worker::{DirectOrders, WorkerReply},
     },
     time::Millis,
@@ -92,7 +92,7 @@
         /// The request.
         request: StateRequest,
         /// Its priority in the queue of the rate limiter.
-        urgency: Urgency,
+        urgency: StateRequestPriority,
         /// After this many milliseconds the request counts as unanswered.
         timeout_ms: u64,
     },
--- a/src/coordination/job_graph.rs
+++ b/src/coordination/job_graph.rs
@@ -13,7 +13,7 @@
     protocol::{
         ids::JobId,
         job::{JobKind, Submission},
-        state::{StateError, StateReply, StateRequest, Txn, Urgency},
+        state::{StateError, StateReply, StateRequest, StateRequestPriority, Txn},
     },
     storage::JobRecord,
     time::{Millis, millis},
@@ -48,7 +48,7 @@
         if leader.outcomes.write_in_flight || leader.outcomes.next_write_at > self.now {
             return;
         }
-        let mut txn = Txn::only_if(leader.leadership_condition());
+        let mut txn = Txn::with_condition(leader.leadership_condition());
         for (id, job) in self.registry.jobs_cancelled_by_dependency() {
             if !txn.writes.is_empty() && txn.writes.len() + 1 + job.part_count as usize > max_ops {
                 break;
@@ -66,7 +66,7 @@
         self.call_state_service(
             StateTag::WriteOutcomes { lease },
             StateRequest::Txn(txn),
-            Urgency::Normal,
+            StateRequestPriority::Normal,
             TXN_TIMEOUT_MS,
         );
     }
--- a/src/coordination/leader/election.rs
+++ b/src/coordination/leader/election.rs
@@ -7,7 +7,9 @@
 };
 use crate::{
     coordination::{Effect, Node, StateTag, write_outcome::TXN_TIMEOUT_MS},
-    protocol::state::{Condition, StateError, StateReply, StateRequest, Txn, Urgency, Write},
+    protocol::state::{
+        Condition, StateError, StateReply, StateRequest, StateRequestPriority, Txn, Write,
+    },
     storage::{self, LeaderRecord, TermRecord},
     time::Millis,
 };
@@ -110,10 +112,10 @@
         self.election.step = ElectionStep::AwaitingLease;
         self.call_state_service(
             StateTag::GrantLeaderLease,
-            StateRequest::Grant {
+            StateRequest::GrantLease {
                 ttl_ms: LEADER_LEASE_TTL_MS,
             },
-            Urgency::Vital,
+            StateRequestPriority::Vital,
             TXN_TIMEOUT_MS,
         );
     }
@@ -126,8 +128,8 @@
         self.election.released_lease = Some(lease);
         self.call_state_service(
             StateTag::ReleaseLeaderLease,
-            StateRequest::Release { lease },
-            Urgency::Vital,
+            StateRequest::ReleaseLease { lease },
+            StateRequestPriority::Vital,
             TXN_TIMEOUT_MS,
         );
     }
@@ -164,7 +166,7 @@
         self.call_state_service(
             StateTag::AcquireLeadership { lease },
             StateRequest::Txn(txn),
-            Urgency::Vital,
+            StateRequestPriority::Vital,
             TXN_TIMEOUT_MS,
         );
     }
@@ -215,7 +217,7 @@
                 StateRequest::Get {
                     key: storage::LEADER_KEY.into(),
                 },
-                Urgency::Vital,
+                StateRequestPriority::Vital,
                 TXN_TIMEOUT_MS,
             ),
             _ => {
@@ -233,7 +235,7 @@
         lease: u64,
         result: Result<StateReply, StateError>,
     ) {
-        if let Ok(StateReply::Row(row)) = result
+        if let Ok(StateReply::KeyValue(row)) = result
             && let Ok(record) = serde_json::from_value::<LeaderRecord>(row.value)
             && record.lease == lease
         {
--- a/src/coordination/leader/fencing.rs
+++ b/src/coordination/leader/fencing.rs
@@ -6,7 +6,7 @@
         Node, StateTag,
         write_outcome::{TXN_TIMEOUT_MS, WriteOutcome},
     },
-    protocol::state::{StateError, StateReply, StateRequest, Txn, Urgency},
+    protocol::state::{StateError, StateReply, StateRequest, StateRequestPriority, Txn},
     storage::{self, TermRecord},
     time::Millis,
 };
@@ -63,7 +63,7 @@
         leader.fence.in_flight = true;
         leader.fence.raised_at = self.now;
         let lease = leader.lease;
-        let mut txn = Txn::only_if(leader.leadership_condition());
+        let mut txn = Txn::with_condition(leader.leadership_condition());
         let next_term = storage::to_value(&TermRecord {
             term: leader.term + 1,
         });
@@ -75,7 +75,7 @@
         self.call_state_service(
             StateTag::RaiseTerm { lease },
             StateRequest::Txn(txn),
-            Urgency::Vital,
+            StateRequestPriority::Vital,
             TXN_TIMEOUT_MS,
         );
     }
@@ -111,7 +111,7 @@
                 StateRequest::Get {
                     key: storage::TERM_KEY.into(),
                 },
-                Urgency::Vital,
+                StateRequestPriority::Vital,
                 TXN_TIMEOUT_MS,
             ),
             WriteOutcome::Rejected => {
@@ -135,7 +135,7 @@
         };
         leader.fence.in_flight = false;
         leader.fence.requested = true;
-        if let Ok(StateReply::Row(row)) = result
+        if let Ok(StateReply::KeyValue(row)) = result
             && let Ok(record) = serde_json::from_value::<TermRecord>(row.value)
             && row.version > leader.fence.term_key_version
         {
--- a/src/coordination/leader/lease.rs
+++ b/src/coordination/leader/lease.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     coordination::{Node, StateTag},
-    protocol::state::{StateError, StateReply, StateRequest, Urgency},
+    protocol::state::{StateError, StateReply, StateRequest, StateRequestPriority},
     time::Millis,
 };
 
@@ -78,8 +78,8 @@
         let lease = leader.lease;
         self.call_state_service(
             StateTag::RenewLeaderLease { lease },
-            StateRequest::Touch { lease },
-            Urgency::Vital,
+            StateRequest::RenewLease { lease },
+            StateRequestPriority::Vital,
             LEASE_RENEWAL_TIMEOUT_MS,
         );
     }
@@ -101,10 +101,10 @@
         let leader_lease = &mut leader.leader_lease;
         leader_lease.renewal_in_flight = false;
         match result {
-            Ok(StateReply::Touched) => {
+            Ok(StateReply::LeaseUpdated) => {
                 leader_lease.confirmed_at = leader_lease.confirmed_at.max(sent_at);
             }
-            Ok(StateReply::NoLease) => {
+            Ok(StateReply::LeaseNotFound) => {
                 tracing::warn!("lost leadership: the leader's lease has expired");
                 self.step_down();
             }
--- a/src/coordination/leader_log/append.rs
+++ b/src/coordination/leader_log/append.rs
@@ -13,7 +13,7 @@
     },
     protocol::{
         ids::JobId,
-        state::{StateError, StateReply, StateRequest, Txn, Urgency},
+        state::{StateError, StateReply, StateRequest, StateRequestPriority, Txn},
     },
     storage::{self, JobRecord},
     time::Millis,
@@ -144,7 +144,7 @@
             return;
         }
         let lease = leader.lease;
-        let mut txn = Txn::only_if(leader.leadership_condition());
+        let mut txn = Txn::with_condition(leader.leadership_condition());
         let write = LogWrite {
             records: self.append_log_records(&mut txn),
             completed_jobs: self.append_completed_jobs(&mut txn),
@@ -162,7 +162,7 @@
         self.call_state_service(
             StateTag::AppendLog { lease },
             StateRequest::Txn(txn),
-            Urgency::Prompt,
+            StateRequestPriority::Prompt,
             TXN_TIMEOUT_MS,
         );
     }
--- a/src/coordination/leader_log/collection.rs
+++ b/src/coordination/leader_log/collection.rs
@@ -11,7 +11,9 @@
     },
     protocol::{
         ids::JobId,
-        state::{Condition, StateError, StateReply, StateRequest, Txn, Urgency, Write},
+        state::{
+            Condition, StateError, StateReply, StateRequest, StateRequestPriority, Txn, Write,
+        },
     },
     storage::{self, SnapshotNumber},
     time::Millis,
@@ -103,7 +105,7 @@
             return;
         }
         collection.collected_at = self.now;
-        let mut txn = Txn::only_if(condition);
+        let mut txn = Txn::with_condition(condition);
         let deletions = append_deletions(cluster, &mut txn, max_ops);
         if txn.writes.is_empty() {
             return;
@@ -113,7 +115,7 @@
         self.call_state_service(
             StateTag::DeleteSnapshots { lease },
             StateRequest::Txn(txn),
-            Urgency::Normal,
+            StateRequestPriority::Normal,
             TXN_TIMEOUT_MS,
         );
     }
--- a/src/coordination/leader_log/images.rs
+++ b/src/coordination/leader_log/images.rs
@@ -7,7 +7,7 @@
         Node, StateTag,
         write_outcome::{TXN_TIMEOUT_MS, WriteOutcome},
     },
-    protocol::state::{Condition, StateError, StateReply, StateRequest, Txn, Urgency},
+    protocol::state::{Condition, StateError, StateReply, StateRequest, StateRequestPriority, Txn},
     storage,
     time::Millis,
 };
@@ -47,7 +47,7 @@
             }
             let slot = std::mem::replace(&mut self.slots[part], SlotState::Taken);
             if let SlotState::Free(version) = slot {
-                let mut txn = Txn::only_if(condition.clone());
+                let mut txn = Txn::with_condition(condition.clone());
                 txn.put(
                     storage::images_key(part),
                     version,
@@ -85,7 +85,7 @@
             self.call_state_service(
                 StateTag::WriteImages { lease, part },
                 StateRequest::Txn(txn),
-                Urgency::Normal,
+                StateRequestPriority::Normal,
                 TXN_TIMEOUT_MS,
             );
         }
--- a/src/coordination/leader_log/snapshots.rs
+++ b/src/coordination/leader_log/snapshots.rs
@@ -14,7 +14,7 @@
     },
     protocol::{
         ids::JobId,
-        state::{StateError, StateReply, StateRequest, Txn, Urgency},
+        state::{StateError, StateReply, StateRequest, StateRequestPriority, Txn},
     },
     storage::{self, SnapshotNumber},
     time::Millis,
@@ -115,7 +115,7 @@
         if !log.ring.needs_compaction() {
             return;
         }
-        let mut txn = Txn::only_if(condition);
+        let mut txn = Txn::with_condition(condition);
         let ranges = append_snapshots(
             &log.ring,
             cluster,
@@ -135,7 +135,7 @@
         self.call_state_service(
             StateTag::WriteSnapshots { lease },
             StateRequest::Txn(txn),
-            Urgency::Normal,
+            StateRequestPriority::Normal,
             TXN_TIMEOUT_MS,
         );
     }
--- a/src/coordination/leader_log/unconfirmed.rs
+++ b/src/coordination/leader_log/unconfirmed.rs
@@ -5,7 +5,7 @@
     coordination::{Node, StateTag, write_outcome::TXN_TIMEOUT_MS},
     protocol::{
         ids::JobId,
-        state::{StateError, StateReply, StateRequest, Urgency},
+        state::{StateError, StateReply, StateRequest, StateRequestPriority},
     },
     storage::{self, SnapshotNumber},
     time::Millis,
@@ -57,7 +57,7 @@
             StateRequest::Get {
                 key: unconfirmed.store_key(),
             },
-            Urgency::Normal,
+            StateRequestPriority::Normal,
             TXN_TIMEOUT_MS,
         );
     }
@@ -78,7 +78,7 @@
         };
         let log = &mut leader.log;
         let version = match result {
-            Ok(StateReply::Row(row)) => row.version,
+            Ok(StateReply::KeyValue(row)) => row.version,
             Ok(StateReply::Missing) => 0,
             // A refusal returns immediately. Without a delay, each check would send requests back to
             // back for as long as the state service is unavailable.
--- a/src/coordination/lease_renewer.rs
+++ b/src/coordination/lease_renewer.rs
@@ -20,7 +20,9 @@
     },
     protocol::{
         job::JobStatus,
-        state::{Condition, StateError, StateReply, StateRequest, Txn, Urgency, Write},
+        state::{
+            Condition, StateError, StateReply, StateRequest, StateRequestPriority, Txn, Write,
+        },
         worker::{Order, Orders, Redirect, Report, TaskState},
     },
     storage::{self, LeaseRenewerRecord},
@@ -90,10 +92,10 @@
         match (self.lease_renewer.lease, self.lease_renewer.holds_key) {
             (None, _) => self.call_state_service(
                 StateTag::GrantRenewerLease,
-                StateRequest::Grant {
+                StateRequest::GrantLease {
                     ttl_ms: self.timeouts.renewer_lease,
                 },
-                Urgency::Vital,
+                StateRequestPriority::Vital,
                 REQUEST_TIMEOUT_MS,
             ),
             (Some(lease), false) => {
@@ -116,14 +118,14 @@
                 self.call_state_service(
                     StateTag::PutRenewerKey { lease },
                     StateRequest::Txn(txn),
-                    Urgency::Vital,
+                    StateRequestPriority::Vital,
                     REQUEST_TIMEOUT_MS,
                 );
             }
             (Some(lease), true) => self.call_state_service(
                 StateTag::TouchRenewerLease { lease },
-                StateRequest::Touch { lease },
-                Urgency::Vital,
+                StateRequest::RenewLease { lease },
+                StateRequestPriority::Vital,
                 REQUEST_TIMEOUT_MS,
             ),
         }
@@ -172,7 +174,7 @@
                 self.lease_renewer.key_version = version;
                 self.schedule_renewer_request(LEASE_TOUCH_INTERVAL_MS);
             }
-            Ok(StateReply::NoLease) => self.on_renewer_lease_lost(),
+            Ok(StateReply::LeaseNotFound) => self.on_renewer_lease_lost(),
             // The key has another version than the registry shows: an earlier process wrote it, or this
             // process did and got no answer.
             Ok(StateReply::Conflict(_)) => {
@@ -222,12 +224,12 @@
             return;
         }
         match result {
-            Ok(StateReply::Touched) => {
+            Ok(StateReply::LeaseUpdated) => {
                 self.lease_renewer.lease_confirmed_at =
                     self.lease_renewer.lease_confirmed_at.max(sent_at);
                 self.schedule_renewer_request(LEASE_TOUCH_INTERVAL_MS);
             }
-            Ok(StateReply::NoLease) => self.on_renewer_lease_lost(),
+            Ok(StateReply::LeaseNotFound) => self.on_renewer_lease_lost(),
             _ => self.schedule_renewer_request(RETRY_MS),
         }
     }
--- a/src/coordination/lease_renewer/tests.rs
+++ b/src/coordination/lease_renewer/tests.rs
@@ -65,7 +65,7 @@
         incarnation: 1,
         seq: 1,
         token: 3,
-        notice_s: None,
+        reclaim_in_s: None,
         tasks,
     }
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -45,7 +45,7 @@
     protocol::{
         cloud::MachineType,
         ids::JobId,
-        state::{StateError, StateReply, StateRequest, Urgency},
+        state::{StateError, StateReply, StateRequest, StateRequestPriority},
     },
     time::Millis,
 };
@@ -261,7 +261,7 @@
         &mut self,
         tag: StateTag,
         request: StateRequest,
-        urgency: Urgency,
+        urgency: StateRequestPriority,
         timeout_ms: u64,
     ) {
         self.effects.push(Effect::CallStateService {
--- a/src/coordination/provisioning.rs
+++ b/src/coordination/provisioning.rs
@@ -6,8 +6,10 @@
     cluster::{ClusterState, MachineState, MachineTypeIndex},
     coordination::{CloudTag, Node, StateTag, workers::mark_lost, write_outcome::TXN_TIMEOUT_MS},
     protocol::{
-        cloud::{CloudError, CloudReply, CloudRequest, ListedMachine, MachineStatus, RentRequest},
-        state::{StateRequest, Txn, Urgency},
+        cloud::{
+            CloudError, CloudReply, CloudRequest, ListedMachine, MachineStatus, ProvisionRequest,
+        },
+        state::{StateRequest, StateRequestPriority, Txn},
     },
     storage,
     time::{Millis, millis},
@@ -109,12 +111,12 @@
         for (key, value) in storage::machine_types_records(&self.machine_types, max_value_bytes) {
             // An earlier write of this leader that is applied late must not overwrite a newer one.
             let version = self.registry.machine_types_versions.get(&key);
-            let mut txn = Txn::only_if(condition.clone());
+            let mut txn = Txn::with_condition(condition.clone());
             txn.put(key, version.copied().unwrap_or(0), value);
             self.call_state_service(
                 StateTag::WriteMachineTypes,
                 StateRequest::Txn(txn),
-                Urgency::Normal,
+                StateRequestPriority::Normal,
                 TXN_TIMEOUT_MS,
             );
         }
@@ -335,7 +337,9 @@
                             lease,
                             request_name: name.clone(),
                         },
-                        CloudRequest::Rent(instance_request(cluster, &name, &addition)),
+                        CloudRequest::ProvisionMachines(instance_request(
+                            cluster, &name, &addition,
+                        )),
                     ));
                     provisioning.requests_in_flight.push((name, addition));
                 }
@@ -387,7 +391,7 @@
         let offer = request.offer;
         provisioning.planned_at = 0;
         match result {
-            Ok(CloudReply::Rented(names)) => {
+            Ok(CloudReply::Provisioned(names)) => {
                 provisioning.requests_in_flight.swap_remove(position);
                 if (names.len() as u32) < request.count {
                     provisioning.autoscaler.mark_unavailable(offer, now);
@@ -405,7 +409,8 @@
             // The request may have been executed. It is sent again under the same name, which the cloud
             // executes only once.
             Err(CloudError::NoAnswer) => {
-                let retry = CloudRequest::Rent(instance_request(cluster, name, &request));
+                let retry =
+                    CloudRequest::ProvisionMachines(instance_request(cluster, name, &request));
                 self.call_cloud(
                     CloudTag::RequestInstances {
                         lease,
@@ -443,13 +448,17 @@
     }
 }
 
-fn instance_request(cluster: &ClusterState, name: &str, request: &InstanceRequest) -> RentRequest {
+fn instance_request(
+    cluster: &ClusterState,
+    name: &str,
+    request: &InstanceRequest,
+) -> ProvisionRequest {
     let Offer {
         machine_type: type_index,
         zone,
         spot,
     } = request.offer;
-    RentRequest {
+    ProvisionRequest {
         name: name.to_owned(),
         type_name: cluster.machine_types[type_index.as_usize()].name.clone(),
         zone: cluster.zone_names[zone.as_usize()].clone(),
--- a/src/coordination/quota/records.rs
+++ b/src/coordination/quota/records.rs
@@ -14,7 +14,7 @@
         Node, StateTag,
         write_outcome::{TXN_TIMEOUT_MS, WriteOutcome},
     },
-    protocol::state::{Row, StateError, StateReply, StateRequest, Txn, Urgency},
+    protocol::state::{KeyValue, StateError, StateReply, StateRequest, StateRequestPriority, Txn},
     quota::{
         CoordinatorRecord, ParticipantRecord, TeamQuota, coordinator::Coordinator,
         participant::Participant,
@@ -70,7 +70,7 @@
 
 impl CellQuotas {
     /// Takes in a record read from the state service. One that can't be parsed is logged and skipped.
-    pub(super) fn apply_row(&mut self, row: Row, now: Millis) {
+    pub(super) fn apply_row(&mut self, row: KeyValue, now: Millis) {
         let key = row.key.as_str();
         if key == storage::QUOTA_CELLS_KEY {
             if let Some(record) = parse_record(&row) {
@@ -218,7 +218,7 @@
     }
 }
 
-fn parse_record<T: DeserializeOwned>(row: &Row) -> Option<T> {
+fn parse_record<T: DeserializeOwned>(row: &KeyValue) -> Option<T> {
     match serde_json::from_value(row.value.clone()) {
         Ok(record) => Some(record),
         Err(error) => {
@@ -252,7 +252,7 @@
         self.call_state_service(
             StateTag::ReadCellQuotas { lease },
             request,
-            Urgency::Vital,
+            StateRequestPriority::Vital,
             READ_TIMEOUT_MS,
         );
     }
@@ -300,7 +300,7 @@
         let Some(quotas) = &mut leader.cell_quotas else {
             return;
         };
-        let mut txn = Txn::only_if(condition);
+        let mut txn = Txn::with_condition(condition);
         let mut bytes = 0;
         for item in quotas.in_write_order(items) {
             let (key, version, value) = quotas.prepared_write(&item);
@@ -329,7 +329,12 @@
             lease,
             write_number: current_write,
         };
-        self.call_state_service(tag, StateRequest::Txn(txn), Urgency::Prompt, TXN_TIMEOUT_MS);
+        self.call_state_service(
+            tag,
+            StateRequest::Txn(txn),
+            StateRequestPriority::Prompt,
+            TXN_TIMEOUT_MS,
+        );
     }
 
     /// Handles the response to a write of records.
--- a/src/coordination/reachability.rs
+++ b/src/coordination/reachability.rs
@@ -6,7 +6,7 @@
 use crate::{
     cluster::MachineState,
     coordination::{Effect, LeaseRevocation, Node, StateTag, write_outcome::TXN_TIMEOUT_MS},
-    protocol::state::{StateRequest, Urgency},
+    protocol::state::{StateRequest, StateRequestPriority},
     time::Millis,
 };
 
@@ -127,8 +127,8 @@
         self.election.defer_until(self.now + RESIGNATION_BACKOFF_MS);
         self.call_state_service(
             StateTag::ReleaseLeaderLease,
-            StateRequest::Release { lease },
-            Urgency::Vital,
+            StateRequest::ReleaseLease { lease },
+            StateRequestPriority::Vital,
             TXN_TIMEOUT_MS,
         );
     }
--- a/src/coordination/takeover/mod.rs
+++ b/src/coordination/takeover/mod.rs
@@ -14,7 +14,7 @@
     protocol::{
         ids::JobId,
         job::{JobKind, Priority, Submission},
-        state::{StateError, StateReply, StateRequest, Urgency},
+        state::{StateError, StateReply, StateRequest, StateRequestPriority},
     },
     storage::{self, ImagesRecord, JobSummary, RecordedStatus},
     time::Millis,
@@ -39,7 +39,7 @@
                 after,
                 limit: PAGE_ROWS,
             },
-            Urgency::Vital,
+            StateRequestPriority::Vital,
             PAGE_TIMEOUT_MS,
         );
     }
--- a/src/coordination/takeover/recovered_state.rs
+++ b/src/coordination/takeover/recovered_state.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::{
-    protocol::{ids::JobId, state::Row},
+    protocol::{ids::JobId, state::KeyValue},
     storage::{
         self, ImagesRecord, JobSummary, LogRecord, MachineRecord, RecordedStatus, SnapshotNumber,
         SnapshotRecord, TaskRecord,
@@ -28,7 +28,7 @@
 
 impl RecoveredState {
     /// Adds a row. A value that can't be decoded is logged and ignored.
-    pub(super) fn add_row(&mut self, row: Row) {
+    pub(super) fn add_row(&mut self, row: KeyValue) {
         if let Some((id, snapshot)) = storage::parse_snapshot_key(&row.key) {
             match serde_json::from_value(row.value) {
                 Ok(record) => self.snapshots.push((id, snapshot, row.version, record)),
--- a/src/coordination/takeover/tests.rs
+++ b/src/coordination/takeover/tests.rs
@@ -4,7 +4,7 @@
 use crate::{
     cluster::{MachineIndex, TaskStatus},
     coordination::Effect,
-    protocol::state::Row,
+    protocol::state::KeyValue,
     protocol::state::{Changes, Event, Page, Write},
     storage::{LogRecord, MachineRecord, SnapshotNumber, SnapshotRecord, TaskRecord},
 };
@@ -119,7 +119,7 @@
 }
 
 /// Delivers a single page with all records of previous leaders.
-fn deliver_log_page(node: &mut Node, rows: Vec<Row>) {
+fn deliver_log_page(node: &mut Node, rows: Vec<KeyValue>) {
     let page = Page {
         rows,
         more: false,
@@ -175,7 +175,7 @@
         TaskRecord(0, 2, RecordedStatus::OnMachine(1)),
         TaskRecord(2, 1, RecordedStatus::Waiting),
     ]);
-    let row = |key: String, value, version| Row {
+    let row = |key: String, value, version| KeyValue {
         key,
         value,
         version,
@@ -252,7 +252,7 @@
     assert!(may_start_at(&mut node, 900 + 3100));
     assert!(!may_start_at(&mut node, 900 + 3300), "granted at 900");
     node.now = 4000;
-    node.on_leader_lease_renewed(7, 2000, Ok(StateReply::Touched));
+    node.on_leader_lease_renewed(7, 2000, Ok(StateReply::LeaseUpdated));
     assert!(may_start_at(&mut node, 2000 + 3100));
     assert!(!may_start_at(&mut node, 2000 + 3300), "sent at 2000");
 }
@@ -264,7 +264,7 @@
 fn rebuild_waits_for_a_read_barrier_sent_after_takeover() {
     let mut node = new_leader();
     let (slot, version, record) = log_row(3, 1, &[TaskRecord(0, 1, RecordedStatus::OnMachine(0))]);
-    let row = Row {
+    let row = KeyValue {
         key: storage::log_slot_key(slot),
         value: storage::to_value(&record),
         version,
--- a/src/coordination/user_requests/submission.rs
+++ b/src/coordination/user_requests/submission.rs
@@ -7,7 +7,7 @@
     },
     protocol::{
         job::Submission,
-        state::{StateError, StateReply, StateRequest, Txn, Urgency, Write},
+        state::{StateError, StateReply, StateRequest, StateRequestPriority, Txn, Write},
     },
     storage::{self, JobRecord},
 };
@@ -90,7 +90,7 @@
                 self.call_state_service(
                     StateTag::CheckPutJob(id),
                     StateRequest::Get { key },
-                    Urgency::Prompt,
+                    StateRequestPriority::Prompt,
                     CHECK_TIMEOUT_MS,
                 );
             }
@@ -129,7 +129,7 @@
         result: Result<StateReply, StateError>,
     ) {
         match result {
-            Ok(StateReply::Row(_)) => self.retry_after_barrier(id),
+            Ok(StateReply::KeyValue(_)) => self.retry_after_barrier(id),
             // The job is not stored yet, and may never be: the user has to retry.
             _ => self.relay_or_refuse(id),
         }
--- a/src/coordination/watch_cache/load.rs
+++ b/src/coordination/watch_cache/load.rs
@@ -3,7 +3,7 @@
 use super::RETRY_MS;
 use crate::{
     coordination::{Node, StateTag, registry::RegistryChange},
-    protocol::state::{StateError, StateReply, StateRequest, Urgency},
+    protocol::state::{StateError, StateReply, StateRequest, StateRequestPriority},
     storage,
     time::Millis,
 };
@@ -44,7 +44,7 @@
                 after,
                 limit: PAGE_ROWS,
             },
-            Urgency::Vital,
+            StateRequestPriority::Vital,
             PAGE_TIMEOUT_MS,
         );
     }
--- a/src/coordination/watch_cache/mod.rs
+++ b/src/coordination/watch_cache/mod.rs
@@ -66,7 +66,7 @@
                     self.on_registry_change(change);
                 }
             }
-            StateReply::TooOld => {
+            StateReply::RevisionCompacted => {
                 tracing::info!("registry is too far behind, loading it again");
                 self.registry_load = RegistryLoad::Needed { after: self.now };
             }
--- a/src/coordination/watch_cache/read_barrier.rs
+++ b/src/coordination/watch_cache/read_barrier.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     coordination::{Node, RequestId, StateTag},
-    protocol::state::{StateError, StateReply, StateRequest, Urgency},
+    protocol::state::{StateError, StateReply, StateRequest, StateRequestPriority},
     storage,
     time::Millis,
 };
@@ -76,9 +76,9 @@
             StateRequest::Changes {
                 prefix: storage::SHARED_PREFIX,
                 after: self.registry.revision,
-                hold_ms: 0,
+                max_wait_ms: 0,
             },
-            Urgency::Prompt,
+            StateRequestPriority::Prompt,
             BARRIER_TIMEOUT_MS,
         );
     }
--- a/src/coordination/watch_cache/watch.rs
+++ b/src/coordination/watch_cache/watch.rs
@@ -3,7 +3,7 @@
 use super::RETRY_MS;
 use crate::{
     coordination::{Node, StateTag},
-    protocol::state::{StateError, StateReply, StateRequest, Urgency},
+    protocol::state::{StateError, StateReply, StateRequest, StateRequestPriority},
     storage,
     time::Millis,
 };
@@ -34,9 +34,9 @@
             StateRequest::Changes {
                 prefix: storage::SHARED_PREFIX,
                 after: self.registry.revision,
-                hold_ms: WATCH_HOLD_MS,
+                max_wait_ms: WATCH_HOLD_MS,
             },
-            Urgency::Prompt,
+            StateRequestPriority::Prompt,
             WATCH_HOLD_MS + WATCH_TIMEOUT_MARGIN_MS,
         );
     }
--- a/src/coordination/workers/heartbeat.rs
+++ b/src/coordination/workers/heartbeat.rs
@@ -183,13 +183,17 @@
     report: &Report,
     now: Millis,
 ) {
-    let Some(notice_s) = report.notice_s else {
+    let Some(reclaim_in_s) = report.reclaim_in_s else {
         return;
     };
     let machine = &mut cluster.machines[index.as_usize()];
-    let reclaim_at = now + millis(notice_s.clamp(0.0, MAX_RECLAIM_NOTICE_S));
+    let reclaim_at = now + millis(reclaim_in_s.clamp(0.0, MAX_RECLAIM_NOTICE_S));
     if machine.reclaim_at.is_none() {
-        tracing::info!(machine = machine.name, notice_s, "reclaim notice received");
+        tracing::info!(
+            machine = machine.name,
+            reclaim_in_s,
+            "reclaim notice received"
+        );
         cluster.scheduling_needed = true;
     }
     let previous = machine.reclaim_at.unwrap_or(reclaim_at);
--- a/src/coordination/workers/reconciliation.rs
+++ b/src/coordination/workers/reconciliation.rs
@@ -7,7 +7,7 @@
     },
     protocol::{
         ids::TaskId,
-        worker::{FailureCause, Report, TaskReport, TaskState},
+        worker::{ExitCause, Report, TaskReport, TaskState},
     },
     scheduling::fair_share::{FairShareLedger, WorkloadClass},
     time::Millis,
@@ -190,7 +190,7 @@
             continue;
         }
         let (job, task, attempt_number) = (attempt.job, attempt.task, attempt.attempt);
-        let cause = attempt.cause.unwrap_or(FailureCause::Other);
+        let cause = attempt.cause.unwrap_or(ExitCause::Other);
         let closed = cluster.job(job).closed;
         let task_state = cluster.job(job).tasks[task as usize];
         // The run time of attempts started under an earlier leader is not known here.
@@ -198,7 +198,7 @@
             .running_since
             .filter(|_| attempt.placed_at > cluster.leader_since)
             .map(|since| now.saturating_sub(since));
-        if cause == FailureCause::Done {
+        if cause == ExitCause::Done {
             let is_current = !closed
                 && task_state.status == TaskStatus::Active(index)
                 && task_state.attempt == attempt_number;
@@ -261,21 +261,21 @@
     cluster: &mut ClusterState,
     index: MachineIndex,
     job_index: JobIndex,
-    cause: FailureCause,
+    cause: ExitCause,
     now: Millis,
 ) {
     let machine = &mut cluster.machines[index.as_usize()];
     let job = &mut cluster.jobs[job_index.as_usize()];
     match cause {
-        FailureCause::Done
-        | FailureCause::Stopped
-        | FailureCause::PeersGone
-        | FailureCause::Alone => {}
-        FailureCause::NoRoom | FailureCause::Busy => {
+        ExitCause::Done
+        | ExitCause::Stopped
+        | ExitCause::GangPeersLost
+        | ExitCause::IncompleteGang => {}
+        ExitCause::InsufficientResources | ExitCause::AttemptExists => {
             machine.avoid_until = now + REJECTION_COOLDOWN_MS
         }
-        FailureCause::Unknown => job.backoff_until = now + REJECTION_COOLDOWN_MS,
-        FailureCause::Error | FailureCause::Other => {
+        ExitCause::Unknown => job.backoff_until = now + REJECTION_COOLDOWN_MS,
+        ExitCause::Error | ExitCause::Other => {
             tracing::debug!(job = %job.id, machine = machine.name, "a task failed");
             cluster.on_task_failed(job_index, index, now);
         }
--- a/src/coordination/workers/tests.rs
+++ b/src/coordination/workers/tests.rs
@@ -14,7 +14,7 @@
     coordination::takeover::add_finished_job,
     protocol::{
         ids::JobId,
-        worker::{FailureCause, Order},
+        worker::{ExitCause, Order},
     },
     storage::JobSummary,
 };
@@ -91,7 +91,7 @@
     let (mut cluster, job, machine) = cluster_with_machine();
     let attempt = Attempt {
         phase: Phase::Ended,
-        cause: Some(FailureCause::Done),
+        cause: Some(ExitCause::Done),
         reconciled: true,
         ..sent_attempt(job, 0)
     };
@@ -111,7 +111,7 @@
     for (task, term) in [(0, 5), (1, 0)] {
         let attempt = Attempt {
             phase: Phase::Ended,
-            cause: Some(FailureCause::Stopped),
+            cause: Some(ExitCause::Stopped),
             reconciled: true,
             direct_start_term: term,
             ..sent_attempt(job, task)
--- a/src/daemon/effects.rs
+++ b/src/daemon/effects.rs
@@ -25,7 +25,7 @@
     metrics::Metrics,
     protocol::{
         cloud::{CloudError, CloudReply, CloudRequest},
-        state::{StateError, StateReply, StateRequest, Urgency},
+        state::{StateError, StateReply, StateRequest, StateRequestPriority},
         worker::DirectOrders,
     },
     transport::{
@@ -213,7 +213,7 @@
         self: Rc<Self>,
         tag: StateTag,
         request: StateRequest,
-        urgency: Urgency,
+        urgency: StateRequestPriority,
         timeout_ms: u64,
     ) {
         let timeout = Duration::from_millis(timeout_ms);
--- a/src/daemon/service_rate_limits.rs
+++ b/src/daemon/service_rate_limits.rs
@@ -3,7 +3,7 @@
 use crate::{
     config::Config,
     coordination::rate_limit_shares::{self, RateLimitShares},
-    protocol::state::Urgency,
+    protocol::state::StateRequestPriority,
     transport::rate_limiter::TokenBucket,
 };
 
@@ -59,7 +59,7 @@
     }
 
     /// Waits until a request with `writes` writes may be sent to the state service.
-    pub(super) async fn acquire_state_request(&self, writes: usize, urgency: Urgency) {
+    pub(super) async fn acquire_state_request(&self, writes: usize, urgency: StateRequestPriority) {
         if writes > 0 {
             self.state_writes.acquire(writes as f64, urgency).await;
         }
@@ -68,6 +68,8 @@
 
     /// Waits until a request may be sent to the cloud.
     pub(super) async fn acquire_cloud_request(&self) {
-        self.cloud_requests.acquire(1.0, Urgency::Vital).await;
+        self.cloud_requests
+            .acquire(1.0, StateRequestPriority::Vital)
+            .await;
     }
 }
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -45,7 +45,7 @@
 
 /// Requests instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RentRequest {
+pub struct ProvisionRequest {
     /// Name of the request, never reused: the cloud executes requests of one name only once.
     #[serde(rename = "hire")]
     pub name: String,
@@ -125,7 +125,7 @@
     /// Lists the machine types.
     Types,
     /// Requests instances.
-    Rent(RentRequest),
+    ProvisionMachines(ProvisionRequest),
     /// Deletes these machines.
     Delete(Vec<String>),
     /// Lists machines.
@@ -141,7 +141,7 @@
     /// The machine types.
     Types(MachineTypes),
     /// Names of the instances; there may be fewer than requested.
-    Rented(Vec<String>),
+    Provisioned(Vec<String>),
     /// No machine of that type is available in the zone.
     NoCapacity,
     /// The machines are deleted, with everything on them.
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -5,7 +5,7 @@
 
 /// A key with its value and version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Row {
+pub struct KeyValue {
     /// The key.
     #[serde(rename = "path")]
     pub key: String,
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Page {
     /// The keys on this page, with values and versions.
-    pub rows: Vec<Row>,
+    pub rows: Vec<KeyValue>,
     /// Whether more keys follow after the last one.
     #[serde(rename = "has_next", default)]
     pub more: bool,
@@ -80,7 +80,7 @@
 
 impl Txn {
     /// A transaction with one condition and no writes yet.
-    pub fn only_if(condition: Condition) -> Self {
+    pub fn with_condition(condition: Condition) -> Self {
         Txn {
             conditions: vec![condition],
             writes: Vec::new(),
@@ -191,17 +191,17 @@
     /// Executes a transaction.
     Txn(Txn),
     /// Grants a lease.
-    Grant {
+    GrantLease {
         /// Time to live without a renewal, in milliseconds.
         ttl_ms: u64,
     },
     /// Renews a lease.
-    Touch {
+    RenewLease {
         /// The lease.
         lease: u64,
     },
     /// Releases a lease, which deletes the keys attached to it.
-    Release {
+    ReleaseLease {
         /// The lease.
         lease: u64,
     },
@@ -213,7 +213,7 @@
         after: u64,
         /// Longest wait for a change, in milliseconds. With 0 the response is immediate, and the
         /// request serves as a read barrier.
-        hold_ms: u64,
+        max_wait_ms: u64,
     },
 }
 
@@ -223,7 +223,7 @@
     /// A page of keys.
     Page(Page),
     /// The requested key.
-    Row(Row),
+    KeyValue(KeyValue),
     /// The key does not exist.
     Missing,
     /// The transaction was applied at this revision.
@@ -233,13 +233,13 @@
     /// The new lease.
     Granted(u64),
     /// The lease was renewed or released.
-    Touched,
+    LeaseUpdated,
     /// The lease has expired.
-    NoLease,
+    LeaseNotFound,
     /// The changes after the requested revision.
     Changes(Changes),
     /// The service no longer stores the changes since that revision: all keys must be listed again.
-    TooOld,
+    RevisionCompacted,
 }
 
 /// Why a call to the state service has no reply.
@@ -256,7 +256,7 @@
 /// The priority of a request to a service under the rate limit: requests of a lower priority leave a
 /// reserve of tokens to those of a higher one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Urgency {
+pub enum StateRequestPriority {
     /// Lease renewals and leader election.
     Vital,
     /// Requests on which a user's request waits.
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -26,7 +26,7 @@
 
 /// Why a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum FailureCause {
+pub enum ExitCause {
     /// It completed.
     #[serde(rename = "done")]
     Done,
@@ -38,19 +38,19 @@
     Error,
     /// The start was refused: not enough free resources.
     #[serde(rename = "full")]
-    NoRoom,
+    InsufficientResources,
     /// The start was refused: another attempt of the task is on the worker.
     #[serde(rename = "in_use")]
-    Busy,
+    AttemptExists,
     /// The start was refused: no such task.
     #[serde(rename = "unknown")]
     Unknown,
     /// Other members of its gang were lost.
     #[serde(rename = "mates_gone")]
-    PeersGone,
+    GangPeersLost,
     /// Not all members of its gang became ready in time.
     #[serde(rename = "incomplete")]
-    Alone,
+    IncompleteGang,
     /// A cause that this version does not support; treated like [`Self::Error`].
     #[serde(other)]
     Other,
@@ -70,7 +70,7 @@
     pub state: TaskState,
     /// Why it ended; `None` while it has not.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub cause: Option<FailureCause>,
+    pub cause: Option<ExitCause>,
     /// Whether a checkpoint was saved when it was stopped.
     #[serde(rename = "kept", default)]
     pub saved: Option<bool>,
@@ -105,7 +105,7 @@
     pub token: u64,
     /// Seconds until the cloud reclaims the machine; `None` if no reclaim is announced.
     #[serde(rename = "recall_s", default)]
-    pub notice_s: Option<f64>,
+    pub reclaim_in_s: Option<f64>,
     /// All tasks on the machine, including ended ones until they are reaped.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskReport>,
--- a/src/transport/client/cloud.rs
+++ b/src/transport/client/cloud.rs
@@ -22,7 +22,9 @@
 pub fn cloud_request(request: &CloudRequest) -> HttpRequest {
     match request {
         CloudRequest::Types => HttpRequest::get("/machine_types"),
-        CloudRequest::Rent(rent) => HttpRequest::post("/machines", protocol::encode(rent)),
+        CloudRequest::ProvisionMachines(rent) => {
+            HttpRequest::post("/machines", protocol::encode(rent))
+        }
         CloudRequest::Delete(names) => {
             let names = MachineNames {
                 machines: names.clone(),
@@ -76,11 +78,11 @@
 fn decode_reply(request: &CloudRequest, response: &HttpResponse) -> Result<CloudReply, CloudError> {
     let reply = match (request, response.status) {
         (CloudRequest::Types, 200) => response.decode().map(CloudReply::Types),
-        (CloudRequest::Rent(_), 200) => response
+        (CloudRequest::ProvisionMachines(_), 200) => response
             .decode::<MachineNames>()
-            .map(|names| CloudReply::Rented(names.machines)),
+            .map(|names| CloudReply::Provisioned(names.machines)),
         // A 503 with any other body is a failure of the cloud itself.
-        (CloudRequest::Rent(_), 503) if says_no_capacity(&response.body) => {
+        (CloudRequest::ProvisionMachines(_), 503) if says_no_capacity(&response.body) => {
             Some(CloudReply::NoCapacity)
         }
         (CloudRequest::Delete(_), 200..=204) => Some(CloudReply::Deleted),
--- a/src/transport/client/state.rs
+++ b/src/transport/client/state.rs
@@ -5,7 +5,7 @@
 use crate::protocol::{
     self,
     state::{
-        Changes, Committed, Conflict, Lease, LeaseRequest, Page, Row, StateError, StateReply,
+        Changes, Committed, Conflict, KeyValue, Lease, LeaseRequest, Page, StateError, StateReply,
         StateRequest,
     },
 };
@@ -37,20 +37,20 @@
         }
         StateRequest::Get { key } => HttpRequest::get(format!("/kv/{key}")),
         StateRequest::Txn(txn) => HttpRequest::post("/txn", protocol::encode(txn)),
-        StateRequest::Grant { ttl_ms } => {
+        StateRequest::GrantLease { ttl_ms } => {
             let body = protocol::encode(&LeaseRequest { ttl_ms: *ttl_ms });
             HttpRequest::post("/holds", body)
         }
-        StateRequest::Touch { lease } => {
+        StateRequest::RenewLease { lease } => {
             HttpRequest::post(format!("/holds/{lease}/touch"), EMPTY_MSGPACK_MAP.to_vec())
         }
-        StateRequest::Release { lease } => HttpRequest::delete(format!("/holds/{lease}")),
+        StateRequest::ReleaseLease { lease } => HttpRequest::delete(format!("/holds/{lease}")),
         StateRequest::Changes {
             prefix,
             after,
-            hold_ms,
+            max_wait_ms,
         } => HttpRequest::get(format!(
-            "/changes?starts={prefix}&after={after}&hold_ms={hold_ms}"
+            "/changes?starts={prefix}&after={after}&hold_ms={max_wait_ms}"
         )),
     }
 }
@@ -92,7 +92,7 @@
 
     fn pool(&self, request: &StateRequest) -> &HttpClient {
         match request {
-            StateRequest::Changes { hold_ms, .. } if *hold_ms > 0 => &self.watch_http,
+            StateRequest::Changes { max_wait_ms, .. } if *max_wait_ms > 0 => &self.watch_http,
             _ => &self.http,
         }
     }
@@ -101,7 +101,7 @@
 fn decode_reply(request: &StateRequest, response: &HttpResponse) -> Result<StateReply, StateError> {
     let reply = match (request, response.status) {
         (StateRequest::List { .. }, 200) => response.decode::<Page>().map(StateReply::Page),
-        (StateRequest::Get { .. }, 200) => response.decode::<Row>().map(StateReply::Row),
+        (StateRequest::Get { .. }, 200) => response.decode::<KeyValue>().map(StateReply::KeyValue),
         (StateRequest::Get { .. }, 404) => Some(StateReply::Missing),
         (StateRequest::Txn(_), 200) => response
             .decode::<Committed>()
@@ -112,21 +112,21 @@
         (StateRequest::Txn(_), 400) => {
             let body = String::from_utf8_lossy(&response.body);
             tracing::debug!(%body, "transaction refused");
-            Some(StateReply::NoLease)
+            Some(StateReply::LeaseNotFound)
         }
-        (StateRequest::Grant { .. }, 200) => response
+        (StateRequest::GrantLease { .. }, 200) => response
             .decode::<Lease>()
             .map(|lease| StateReply::Granted(lease.id)),
-        (StateRequest::Touch { .. } | StateRequest::Release { .. }, 200..=204) => {
-            Some(StateReply::Touched)
+        (StateRequest::RenewLease { .. } | StateRequest::ReleaseLease { .. }, 200..=204) => {
+            Some(StateReply::LeaseUpdated)
         }
-        (StateRequest::Touch { .. } | StateRequest::Release { .. }, 404) => {
-            Some(StateReply::NoLease)
+        (StateRequest::RenewLease { .. } | StateRequest::ReleaseLease { .. }, 404) => {
+            Some(StateReply::LeaseNotFound)
         }
         (StateRequest::Changes { .. }, 200) => {
             response.decode::<Changes>().map(StateReply::Changes)
         }
-        (StateRequest::Changes { .. }, 410) => Some(StateReply::TooOld),
+        (StateRequest::Changes { .. }, 410) => Some(StateReply::RevisionCompacted),
         (_, status) => return Err(StateError::Refused(status)),
     };
     reply.ok_or(StateError::NoAnswer)
--- a/src/transport/rate_limiter.rs
+++ b/src/transport/rate_limiter.rs
@@ -4,7 +4,10 @@
 
 use tokio::time::Instant;
 
-use crate::{coordination::admission::load_shedding::reserved_fraction, protocol::state::Urgency};
+use crate::{
+    coordination::admission::load_shedding::reserved_fraction,
+    protocol::state::StateRequestPriority,
+};
 
 /// Minimum capacity of a bucket, in tokens, so that a single call always fits.
 const MIN_CAPACITY: f64 = 1.0;
@@ -45,7 +48,7 @@
 
     /// Waits until `cost` tokens are available, and takes them. Less urgent callers leave a reserve
     /// in the bucket. If the future is dropped before it completes, no tokens are taken.
-    pub async fn acquire(&self, cost: f64, urgency: Urgency) {
+    pub async fn acquire(&self, cost: f64, urgency: StateRequestPriority) {
         loop {
             let acquired = self.inner.borrow_mut().try_acquire(cost, urgency);
             let Err(shortfall) = acquired else {
@@ -64,7 +67,7 @@
 }
 
 impl BucketState {
-    fn try_acquire(&mut self, cost: f64, urgency: Urgency) -> Result<(), Shortfall> {
+    fn try_acquire(&mut self, cost: f64, urgency: StateRequestPriority) -> Result<(), Shortfall> {
         let capacity = self.rate_per_s.max(MIN_CAPACITY);
         self.refill(capacity);
         let reserve = capacity * reserved_fraction(urgency);
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -362,8 +362,8 @@
             return self.lose_reply(cell, tag, request, called_at);
         }
         let mut remaining = request.clone();
-        if let StateRequest::Changes { hold_ms, .. } = &mut remaining {
-            *hold_ms = hold_ms.saturating_sub(self.now - called_at);
+        if let StateRequest::Changes { max_wait_ms, .. } = &mut remaining {
+            *max_wait_ms = max_wait_ms.saturating_sub(self.now - called_at);
         }
         match self.cells[cell].store.execute(&remaining, self.now) {
             Some(reply) => {
@@ -493,7 +493,7 @@
             CloudRequest::Types => CloudReply::Types(MachineTypes {
                 types: vec![machine_type(CPUS_PER_MACHINE, 64.0, &["a".to_owned()])],
             }),
-            CloudRequest::Rent(_) => CloudReply::NoCapacity,
+            CloudRequest::ProvisionMachines(_) => CloudReply::NoCapacity,
             CloudRequest::Delete(_) => CloudReply::NoCapacity,
             CloudRequest::List { .. } => {
                 let machines = (0..MACHINES_PER_CELL).map(|number| {
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -11,7 +11,7 @@
     },
     protocol::{
         self,
-        cloud::{MachineNames, MachineTypes, RentRequest},
+        cloud::{MachineNames, MachineTypes, ProvisionRequest},
         job::{JobView, Submission},
         state::{LeaseRequest, Txn},
         worker::{DirectOrders, Orders, Redirect, Report},
@@ -178,7 +178,7 @@
             assert!(path.ends_with("/touch"), "{path}");
             round_trip_msgpack::<Value>(body)
         }
-        ("cloud", "/machines") => round_trip_msgpack::<RentRequest>(body),
+        ("cloud", "/machines") => round_trip_msgpack::<ProvisionRequest>(body),
         ("cloud", "/machines/delete") => round_trip_msgpack::<MachineNames>(body),
         ("worker", "/commands") => round_trip_msgpack::<DirectOrders>(body),
         ("mesh-progress", _) => round_trip_mesh::<proto::Progress, LeaderAnnouncement>(body),
--- a/tests/histories/effects.rs
+++ b/tests/histories/effects.rs
@@ -351,9 +351,9 @@
         };
         match request {
             CloudRequest::Types => CloudReply::Types(MachineTypes { types: vec![kind] }),
-            CloudRequest::Rent(rent) => {
+            CloudRequest::ProvisionMachines(rent) => {
                 if let Some(names) = self.provisioned_instances.get(&rent.name) {
-                    return CloudReply::Rented(names.clone());
+                    return CloudReply::Provisioned(names.clone());
                 }
                 let up = self.workers.iter().filter(|w| !w.deleted).count();
                 let count = (10usize.saturating_sub(up)).min(rent.count as usize);
@@ -365,7 +365,7 @@
                     .collect();
                 self.provisioned_instances
                     .insert(rent.name.clone(), names.clone());
-                CloudReply::Rented(names)
+                CloudReply::Provisioned(names)
             }
             CloudRequest::Delete(names) => {
                 for worker in &mut self.workers {
--- a/tests/histories/events.rs
+++ b/tests/histories/events.rs
@@ -51,7 +51,8 @@
                     return;
                 }
                 if self.is_refused_by_state_service(node) {
-                    if matches!(request, StateRequest::Changes { hold_ms, .. } if hold_ms > 0) {
+                    if matches!(request, StateRequest::Changes { max_wait_ms, .. } if max_wait_ms > 0)
+                    {
                         let until = self
                             .store
                             .down_until
@@ -97,7 +98,7 @@
                 let is_changes_request = matches!(request, StateRequest::Changes { .. });
                 if refused {
                     let result = if is_changes_request {
-                        Ok(StateReply::TooOld)
+                        Ok(StateReply::RevisionCompacted)
                     } else {
                         Err(StateError::Refused(429))
                     };
--- a/tests/histories/invariants.rs
+++ b/tests/histories/invariants.rs
@@ -96,9 +96,9 @@
                 let (sent_at, ticket) = (sent_and_ticket >> 32, sent_and_ticket & 0xffff_ffff);
                 let mut request = request;
                 if until <= self.now
-                    && let StateRequest::Changes { hold_ms, .. } = &mut request
+                    && let StateRequest::Changes { max_wait_ms, .. } = &mut request
                 {
-                    *hold_ms = 0;
+                    *max_wait_ms = 0;
                 }
                 match self.store.execute(&request, self.now) {
                     Some(reply) => {
--- a/tests/histories/main.rs
+++ b/tests/histories/main.rs
@@ -156,7 +156,7 @@
 struct TaskOnWorker {
     attempt: u64,
     state: TaskState,
-    cause: Option<FailureCause>,
+    cause: Option<ExitCause>,
     ends_at: u64,
 }
 
--- a/tests/histories/workers.rs
+++ b/tests/histories/workers.rs
@@ -16,7 +16,7 @@
             incarnation: worker.incarnation,
             seq: worker.seq,
             token: worker.token,
-            notice_s: None,
+            reclaim_in_s: None,
             tasks: worker
                 .tasks
                 .iter()
@@ -86,7 +86,7 @@
                     .get_mut(&task)
                     .expect("the task is on the worker");
                 entry.state = TaskState::Ended;
-                entry.cause = Some(FailureCause::Done);
+                entry.cause = Some(ExitCause::Done);
             }
             let worker = &mut self.workers[worker_index];
             worker.report_at = worker.report_at.min(now + 500);
@@ -254,7 +254,7 @@
                         // new one.
                         continue;
                     } else {
-                        (used + spec.cpus > 16.0 + 1e-6).then_some(FailureCause::NoRoom)
+                        (used + spec.cpus > 16.0 + 1e-6).then_some(ExitCause::InsufficientResources)
                     };
                     let new_entry = TaskOnWorker {
                         attempt,
@@ -274,7 +274,7 @@
                         && present.state != TaskState::Ended
                     {
                         present.state = TaskState::Ended;
-                        present.cause = Some(FailureCause::Stopped);
+                        present.cause = Some(ExitCause::Stopped);
                     }
                 }
                 Order::Forget { task, attempt } => {
--- a/tests/wire/mod.rs
+++ b/tests/wire/mod.rs
@@ -5,7 +5,7 @@
 
 use dalelb::{
     coordination::Effect,
-    protocol::state::Urgency,
+    protocol::state::StateRequestPriority,
     transport::{
         client::{HttpRequest, cloud_request, state_request, worker_request},
         mesh::{messages::encode_relayed_request, proto},
@@ -90,9 +90,9 @@
                 ..
             } => {
                 let urgency = match urgency {
-                    Urgency::Vital => 0,
-                    Urgency::Prompt => 1,
-                    Urgency::Normal => 2,
+                    StateRequestPriority::Vital => 0,
+                    StateRequestPriority::Prompt => 1,
+                    StateRequestPriority::Normal => 2,
                 };
                 let details = format!("{urgency} {timeout_ms}");
                 Sent::http(Channel::State, state_request(request), details)
