--- a/crates/admission-simulation/src/main.rs
+++ b/crates/admission-simulation/src/main.rs
@@ -266,7 +266,7 @@
         let seq = self.stored.as_ref().map_or(1, |quotas| quotas.seq + 1);
         let floor = quotas::floor_rate(node_rate);
         let quotas = quotas::allocate_quotas(&demands, floor, (seq, 1), 20);
-        let quotas = quotas.following(self.stored.as_ref(), node_rate, floor);
+        let quotas = quotas.with_previous_totals(self.stored.as_ref(), node_rate, floor);
         if self
             .stored
             .as_ref()
--- a/src/coordination/admission/load_shedding.rs
+++ b/src/coordination/admission/load_shedding.rs
@@ -27,8 +27,8 @@
 }
 
 impl RequestPriority {
-    /// The urgency of the calls to the state service that serve such a request.
-    pub fn urgency(self) -> StateRequestPriority {
+    /// The priority of the calls to the state service that serve such a request.
+    pub fn state_request_priority(self) -> StateRequestPriority {
         match self {
             RequestPriority::IdlePoll | RequestPriority::Poll => StateRequestPriority::Normal,
             // The admission controller separates the two. When submissions beyond their share left a larger reserve,
@@ -56,9 +56,9 @@
     }
 }
 
-/// The fraction of a full token bucket that calls of this urgency leave to more urgent ones.
-pub fn reserved_fraction(urgency: StateRequestPriority) -> f64 {
-    match urgency {
+/// The fraction of a full token bucket that calls of this priority leave to those of a higher one.
+pub fn reserved_fraction(priority: StateRequestPriority) -> f64 {
+    match priority {
         StateRequestPriority::Vital => 0.0,
         StateRequestPriority::Prompt => 0.1,
         StateRequestPriority::Normal => 0.25,
--- a/src/coordination/admission/load_shedding/tests.rs
+++ b/src/coordination/admission/load_shedding/tests.rs
@@ -13,11 +13,14 @@
     for pair in priorities.windows(2) {
         let (lower, higher) = (pair[0], pair[1]);
         assert!(lower < higher);
-        assert!(reserved_fraction(lower.urgency()) >= reserved_fraction(higher.urgency()));
+        assert!(
+            reserved_fraction(lower.state_request_priority())
+                >= reserved_fraction(higher.state_request_priority())
+        );
         assert!(lower.max_lateness() <= higher.max_lateness());
     }
     assert_eq!(
-        reserved_fraction(RequestPriority::ControlPlane.urgency()),
+        reserved_fraction(RequestPriority::ControlPlane.state_request_priority()),
         0.0
     );
     assert!(
--- a/src/coordination/admission/mod.rs
+++ b/src/coordination/admission/mod.rs
@@ -106,7 +106,7 @@
 impl Admission {
     /// Records that a step of the node began `gap_ms` after the one before. After more than `late_after_ms`, the
     /// processor counts as late for the whole gap, of which at most 1000 ms count.
-    pub(super) fn record_pass(&mut self, gap_ms: Millis, late_after_ms: Millis) {
+    pub(super) fn record_step_gap(&mut self, gap_ms: Millis, late_after_ms: Millis) {
         let late_ms = if gap_ms > late_after_ms {
             gap_ms.min(1000) as f64
         } else {
@@ -461,7 +461,7 @@
             max_bytes.saturating_sub(QUOTAS_OVERHEAD_BYTES + 72 * demands.len()) / bytes_per_class;
         let seq = stored_quotas.map_or(0, |quotas| quotas.seq) + 1;
         let new_quotas = quotas::allocate_quotas(&demands, floor, (seq, leader.term), max_classes);
-        let new_quotas = new_quotas.following(stored_quotas, default_rate, floor);
+        let new_quotas = new_quotas.with_previous_totals(stored_quotas, default_rate, floor);
         if stored_quotas.is_some_and(|stored| !new_quotas.differs_by(stored, MIN_SHARE_CHANGE)) {
             return;
         }
--- a/src/coordination/admission/quotas.rs
+++ b/src/coordination/admission/quotas.rs
@@ -111,7 +111,7 @@
 
     /// These quotas with [`AdmissionQuotas::previous_totals`] taken from the quotas `previous` that they replace. If
     /// there were none, each node used the rate `default_rate`; a node that they did not list used its `floor`.
-    pub fn following(
+    pub fn with_previous_totals(
         mut self,
         previous: Option<&AdmissionQuotas>,
         default_rate: f64,
--- a/src/coordination/admission/quotas/tests.rs
+++ b/src/coordination/admission/quotas/tests.rs
@@ -135,7 +135,7 @@
             ("n1", CAPACITY_PER_S, &[]),
         ])
     };
-    let first = allocate_quotas(&demands_by_node(3.0), floor, (1, 1), 9).following(
+    let first = allocate_quotas(&demands_by_node(3.0), floor, (1, 1), 9).with_previous_totals(
         None,
         CAPACITY_PER_S,
         floor,
@@ -145,12 +145,12 @@
         .get_mut("n0")
         .expect("the node is listed")
         .lateness = 0.5;
-    let second = allocate_quotas(&late_demands, floor, (2, 1), 9).following(
+    let second = allocate_quotas(&late_demands, floor, (2, 1), 9).with_previous_totals(
         Some(&first),
         CAPACITY_PER_S,
         floor,
     );
-    let third = allocate_quotas(&demands_by_node(9.0), floor, (3, 1), 9).following(
+    let third = allocate_quotas(&demands_by_node(9.0), floor, (3, 1), 9).with_previous_totals(
         Some(&second),
         CAPACITY_PER_S,
         floor,
@@ -220,7 +220,8 @@
                 let mut quotas = allocate_quotas(&demands_by_node, floor, (seq, 1), 9);
                 // A leader of an earlier version does not store the previous totals.
                 if seed % 4 > 0 {
-                    quotas = quotas.following(stored_quotas.as_ref(), CAPACITY_PER_S, floor);
+                    quotas =
+                        quotas.with_previous_totals(stored_quotas.as_ref(), CAPACITY_PER_S, floor);
                 }
                 stored_quotas = Some(quotas);
                 stored_at = now;
--- a/src/coordination/command.rs
+++ b/src/coordination/command.rs
@@ -92,7 +92,7 @@
         /// The request.
         request: StateRequest,
         /// Its priority in the queue of the rate limiter.
-        urgency: StateRequestPriority,
+        priority: StateRequestPriority,
         /// After this many milliseconds the request counts as unanswered.
         timeout_ms: u64,
     },
--- a/src/coordination/job_graph.rs
+++ b/src/coordination/job_graph.rs
@@ -28,7 +28,7 @@
 
 /// The state of the leader's writes of records of jobs cancelled because of a dependency.
 #[derive(Default)]
-pub struct JobOutcomes {
+pub struct CancellationWrites {
     write_in_flight: bool,
     next_write_at: Millis,
 }
@@ -38,14 +38,16 @@
     /// these writes, as every node derives the cancellations itself, but a cancelled job's record no
     /// longer needs to hold the submission. The cancellation of a dependency is stored before or
     /// together with those that it causes.
-    pub(super) fn store_outcomes(&mut self) {
+    pub(super) fn store_derived_cancellations(&mut self) {
         // Each write uses at most half of a transaction: a job with many dependents must not use up the
         // writes that other work needs.
         let max_ops = (self.config.settings.state.max_txn_ops / 2).max(1) as usize;
         let Some(leader) = &mut self.leader_state else {
             return;
         };
-        if leader.outcomes.write_in_flight || leader.outcomes.next_write_at > self.now {
+        if leader.cancellation_writes.write_in_flight
+            || leader.cancellation_writes.next_write_at > self.now
+        {
             return;
         }
         let mut txn = Txn::with_condition(leader.leadership_condition());
@@ -58,20 +60,20 @@
         if txn.writes.is_empty() {
             return;
         }
-        leader.outcomes = JobOutcomes {
+        leader.cancellation_writes = CancellationWrites {
             write_in_flight: true,
             next_write_at: self.now + OUTCOME_WRITE_INTERVAL_MS,
         };
         let lease = leader.lease;
         self.call_state_service(
-            StateTag::WriteOutcomes { lease },
+            StateTag::WriteCancellations { lease },
             StateRequest::Txn(txn),
             StateRequestPriority::Normal,
             TXN_TIMEOUT_MS,
         );
     }
 
-    pub(super) fn on_outcomes_stored(
+    pub(super) fn on_derived_cancellations_stored(
         &mut self,
         lease: u64,
         result: Result<StateReply, StateError>,
@@ -80,7 +82,7 @@
             return;
         };
         if let Some(leader) = &mut self.leader_state {
-            leader.outcomes.write_in_flight = false;
+            leader.cancellation_writes.write_in_flight = false;
         }
         // The read barrier brings the jobs' records, as written here or as cancelled by a user in the
         // meantime.
--- a/src/coordination/leader/cycle.rs
+++ b/src/coordination/leader/cycle.rs
@@ -104,7 +104,7 @@
         self.retry_unconfirmed_checks();
         self.write_log();
         self.write_snapshots();
-        self.store_outcomes();
+        self.store_derived_cancellations();
         self.store_images();
         self.raise_term();
         self.collect_finished_jobs();
--- a/src/coordination/leader/election/tests.rs
+++ b/src/coordination/leader/election/tests.rs
@@ -91,7 +91,7 @@
         };
         let reply = RenewalReply {
             renewals: vec![renewal],
-            workers_heard: 0,
+            reporting_workers: 0,
         };
         node.on_revocation_reply(7, "n1".into(), sent_at, Some(reply));
         let leader = node.leader_state.as_ref().expect("it leads");
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -19,7 +19,7 @@
 use crate::{
     cluster::{ClusterState, InheritedUrgency},
     coordination::{
-        job_graph::JobOutcomes, leader_log::LeaderLog, provisioning::Provisioning,
+        job_graph::CancellationWrites, leader_log::LeaderLog, provisioning::Provisioning,
         reachability::WorkerReachability,
     },
     protocol::{ids::JobId, state::Condition},
@@ -59,7 +59,7 @@
     /// When all machines were last checked for expired leases.
     pub machines_checked_at: Millis,
     /// When all machines were last checked for commands that are due.
-    pub all_orders_checked_at: Millis,
+    pub last_command_sweep_at: Millis,
     /// Requests to the cloud that are pending.
     pub provisioning: Provisioning,
     /// Replies of the lease renewers about unresponsive machines.
@@ -67,7 +67,7 @@
     /// Whether the workers can reach this node.
     pub reachability: WorkerReachability,
     /// Writes of the final status of jobs that were cancelled because a dependency was cancelled.
-    pub outcomes: JobOutcomes,
+    pub cancellation_writes: CancellationWrites,
     /// Urgency that jobs inherit from the jobs that depend on them.
     pub inherited_urgency: HashMap<JobId, InheritedUrgency>,
     /// Quotas shared with other cells; `None` if this is the only cell.
@@ -99,11 +99,11 @@
             scheduling: SchedulingTimers::new(now),
             progress_announced_at: 0,
             machines_checked_at: 0,
-            all_orders_checked_at: 0,
+            last_command_sweep_at: 0,
             provisioning: Provisioning::default(),
             revocations: RenewerRevocations::default(),
             reachability: WorkerReachability::default(),
-            outcomes: JobOutcomes::default(),
+            cancellation_writes: CancellationWrites::default(),
             inherited_urgency: HashMap::new(),
             cell_quotas: None,
         }
--- a/src/coordination/lease_renewer.rs
+++ b/src/coordination/lease_renewer.rs
@@ -15,7 +15,7 @@
         ApiResponse, Effect, LeaseRenewalAge, LeaseRevocation, Node, RenewalReply, RequestId,
         StateTag,
         registry::RegisteredJob,
-        timeouts::{RENEWER_LEASE_MARGIN_MS, UNREACHABLE_NODE_COST_MS},
+        timeouts::{RENEWER_LEASE_MARGIN_MS, UNREACHABLE_NODE_TIMEOUT_MS},
         workers::REPLY_VALIDITY_MS,
     },
     protocol::{
@@ -60,7 +60,7 @@
     request_in_flight: bool,
     next_request_at: Millis,
     /// When the last announcement of a leader arrived.
-    pub leader_heard_at: Option<Millis>,
+    pub leader_announced_at: Option<Millis>,
     /// A leader whose announcement has a higher term than the registry: its term, its label, and when the
     /// announcement arrived.
     announced_leader: Option<(u64, String, Millis)>,
@@ -201,7 +201,7 @@
     }
 
     /// Handles a lease renewer's key that was deleted.
-    pub(super) fn on_renewer_gone(&mut self, label: String, version: u64) {
+    pub(super) fn on_renewer_deregistered(&mut self, label: String, version: u64) {
         if label == self.config.label {
             if self.lease_renewer.holds_key && version > self.lease_renewer.key_version {
                 self.on_renewer_lease_lost();
@@ -263,11 +263,12 @@
         let leader = self.current_other_leader();
         let leader_is_alive = self
             .lease_renewer
-            .leader_heard_at
+            .leader_announced_at
             .is_some_and(|at| at + ANNOUNCEMENT_TIMEOUT_MS > now);
         // A worker that reports here again this soon after its redirect did not reach the leader. Before it
         // came back, it may have tried all other nodes and timed out on each.
-        let max_return_ms = UNREACHABLE_NODE_COST_MS * self.config.members.len() as Millis + 1000;
+        let max_return_ms =
+            UNREACHABLE_NODE_TIMEOUT_MS * self.config.members.len() as Millis + 1000;
         let redirected_at = self
             .lease_renewer
             .redirected_at
@@ -429,7 +430,7 @@
         let mut renewals = Vec::new();
         let clock_error_ms = 2 * self.config.settings.clock_error_ms as u64;
         let is_stale =
-            self.wall_ms > revocation.asked_at_ms + MAX_REVOCATION_AGE_MS + clock_error_ms;
+            self.wall_ms > revocation.requested_at_ms + MAX_REVOCATION_AGE_MS + clock_error_ms;
         if revocation.term >= self.registry.term && !is_stale {
             for machine in revocation.machines {
                 let last_renewal = self.lease_renewer.renewals.get(&machine.name).copied();
@@ -454,7 +455,7 @@
             id,
             RenewalReply {
                 renewals,
-                workers_heard: reporting_workers,
+                reporting_workers,
             },
         ));
     }
--- a/src/coordination/lease_renewer/tests.rs
+++ b/src/coordination/lease_renewer/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::{
     config::Config,
-    coordination::{LeaderAnnouncement, SilentMachine},
+    coordination::{LeaderAnnouncement, UnresponsiveMachine},
     protocol::worker::TaskReport,
     storage::LeaderRecord,
 };
@@ -41,12 +41,12 @@
 fn revoke_and_count_renewals(node: &mut Node, sent_at: Millis, inquiry: bool) -> usize {
     let revocation = LeaseRevocation {
         term: 3,
-        machines: vec![SilentMachine {
+        machines: vec![UnresponsiveMachine {
             name: "vm-1".into(),
             incarnation: 1,
             is_inquiry: inquiry,
         }],
-        asked_at_ms: WALL + sent_at,
+        requested_at_ms: WALL + sent_at,
     };
     node.handle_revocation(1, revocation);
     match node.effects.pop() {
@@ -133,12 +133,12 @@
     let mut node = renewer_node(3000);
     let revocation = LeaseRevocation {
         term: 3,
-        machines: vec![SilentMachine {
+        machines: vec![UnresponsiveMachine {
             name: "vm-1".into(),
             incarnation: 1,
             is_inquiry: false,
         }],
-        asked_at_ms: WALL + 3000,
+        requested_at_ms: WALL + 3000,
     };
     node.handle_revocation(1, revocation);
     let Some(Effect::RespondRevocation(_, reply)) = node.effects.pop() else {
@@ -181,7 +181,7 @@
 /// The HTTP status of the answer to a report at a time when an announcement of the leader has just arrived.
 fn heartbeat_status(node: &mut Node, report: &Report, now: Millis) -> u16 {
     set_time(node, now);
-    node.lease_renewer.leader_heard_at = Some(now);
+    node.lease_renewer.leader_announced_at = Some(now);
     node.handle_heartbeat_as_renewer(1, report);
     match node.effects.pop() {
         Some(Effect::Respond(_, response)) => response.status,
--- a/src/coordination/member_messages.rs
+++ b/src/coordination/member_messages.rs
@@ -34,14 +34,14 @@
     /// The leader's term.
     pub term: u64,
     /// Machines from which the leader has received no heartbeat for a long time.
-    pub machines: Vec<SilentMachine>,
+    pub machines: Vec<UnresponsiveMachine>,
     /// The leader's wall clock when it sent the request, in milliseconds since the epoch.
-    pub asked_at_ms: u64,
+    pub requested_at_ms: u64,
 }
 
 /// A machine from which the leader has received no heartbeat for a long time.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SilentMachine {
+pub struct UnresponsiveMachine {
     /// Its name.
     pub name: String,
     /// The worker's incarnation in the last heartbeat that the leader received; 0 if unknown.
@@ -56,7 +56,7 @@
     /// The last renewals of the machines in the request.
     pub renewals: Vec<LeaseRenewalAge>,
     /// How many workers have recently sent the member a heartbeat.
-    pub workers_heard: usize,
+    pub reporting_workers: usize,
 }
 
 /// How long ago a member last renewed a machine's lease.
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -33,7 +33,8 @@
 pub use command::{Command, Effect};
 pub use leader::LeaderState;
 pub use member_messages::{
-    JobProgress, LeaderAnnouncement, LeaseRenewalAge, LeaseRevocation, RenewalReply, SilentMachine,
+    JobProgress, LeaderAnnouncement, LeaseRenewalAge, LeaseRevocation, RenewalReply,
+    UnresponsiveMachine,
 };
 pub use quota::{CellGrants, CellReport, QuotaStatus};
 pub use registry::JobRegistry;
@@ -84,8 +85,8 @@
     pending_requests: HashMap<RequestId, user_requests::PendingRequest>,
     relay: user_requests::RelayState,
     machine_types: Vec<MachineType>,
-    machine_types_asked_at: Option<Millis>,
-    machine_types_known_at: Option<Millis>,
+    machine_types_requested_at: Option<Millis>,
+    machine_types_received_at: Option<Millis>,
     election: leader::Election,
     lease_renewer: lease_renewer::LeaseRenewer,
     timeouts: timeouts::Timeouts,
@@ -114,8 +115,8 @@
             pending_requests: HashMap::new(),
             relay: user_requests::RelayState::default(),
             machine_types: Vec::new(),
-            machine_types_asked_at: None,
-            machine_types_known_at: None,
+            machine_types_requested_at: None,
+            machine_types_received_at: None,
             election: leader::Election::default(),
             lease_renewer: lease_renewer::LeaseRenewer::default(),
             leader_state: None,
@@ -152,7 +153,7 @@
             tracing::debug!(gap_ms, "late step");
         }
         if !is_first_step {
-            self.admission.record_pass(gap_ms, LATE_STEP_MS);
+            self.admission.record_step_gap(gap_ms, LATE_STEP_MS);
         }
         self.now = self.now.max(now.monotonic_ms);
         self.wall_ms = now.wall_ms;
@@ -225,7 +226,9 @@
             StateTag::RaiseTerm { lease } => self.on_fence_response(lease, result),
             StateTag::CheckTerm { lease } => self.on_fence_check(lease, result),
             StateTag::DeleteSnapshots { lease } => self.on_snapshots_deleted(lease, result),
-            StateTag::WriteOutcomes { lease } => self.on_outcomes_stored(lease, result),
+            StateTag::WriteCancellations { lease } => {
+                self.on_derived_cancellations_stored(lease, result)
+            }
             StateTag::WriteMachineTypes => {}
             StateTag::WriteImages { lease, part } => self.on_images_stored(lease, part, result),
             StateTag::WriteAdmissionQuotas { lease } => {
@@ -261,13 +264,13 @@
         &mut self,
         tag: StateTag,
         request: StateRequest,
-        urgency: StateRequestPriority,
+        priority: StateRequestPriority,
         timeout_ms: u64,
     ) {
         self.effects.push(Effect::CallStateService {
             tag,
             request,
-            urgency,
+            priority,
             timeout_ms,
         });
     }
--- a/src/coordination/provisioning.rs
+++ b/src/coordination/provisioning.rs
@@ -58,20 +58,20 @@
 impl Node {
     /// Requests the machine types from the cloud: until they are known, and regularly while leading.
     pub(super) fn request_machine_types(&mut self) {
-        let interval_ms = match self.machine_types_known_at {
+        let interval_ms = match self.machine_types_received_at {
             None => TYPES_RETRY_MS,
             Some(_) => TYPES_INTERVAL_MS,
         };
         // A follower needs no current prices.
-        let is_due = self.machine_types_known_at.is_none() || self.leader_state.is_some();
+        let is_due = self.machine_types_received_at.is_none() || self.leader_state.is_some();
         if !is_due
             || self
-                .machine_types_asked_at
+                .machine_types_requested_at
                 .is_some_and(|at| at + interval_ms > self.now)
         {
             return;
         }
-        self.machine_types_asked_at = Some(self.now);
+        self.machine_types_requested_at = Some(self.now);
         self.effects.push(crate::coordination::Effect::CallCloud {
             tag: CloudTag::MachineTypes,
             request: CloudRequest::Types,
@@ -143,7 +143,7 @@
                     && types.types.len() <= 64
                 {
                     self.machine_types = types.types;
-                    self.machine_types_known_at = Some(self.now);
+                    self.machine_types_received_at = Some(self.now);
                     if let Some(cluster) =
                         self.leader_state.as_mut().and_then(|l| l.cluster.as_mut())
                     {
--- a/src/coordination/quota/exchange.rs
+++ b/src/coordination/quota/exchange.rs
@@ -87,7 +87,7 @@
         CellReport {
             from: self.own_cell.clone(),
             cells: self.cells.clone(),
-            positions: teams,
+            team_reports: teams,
         }
     }
 
@@ -102,7 +102,7 @@
             return None;
         }
         let mut teams = Vec::new();
-        for (team, team_report) in &report.positions {
+        for (team, team_report) in &report.team_reports {
             let Some(coordinator) = self.coordinators.get_mut(team) else {
                 continue;
             };
--- a/src/coordination/quota/messages.rs
+++ b/src/coordination/quota/messages.rs
@@ -14,7 +14,7 @@
     /// The names of all cells that the sender has configured, sorted.
     pub cells: Vec<String>,
     /// The report for each of those teams, by the team's name.
-    pub positions: Vec<(String, ParticipantReport)>,
+    pub team_reports: Vec<(String, ParticipantReport)>,
 }
 
 /// A coordinator's response to a [`CellReport`].
--- a/src/coordination/quota/status.rs
+++ b/src/coordination/quota/status.rs
@@ -37,7 +37,7 @@
     /// force in all cells; 0: there is none.
     pub oldest_change_ms: Millis,
     /// For each cell, the number of those teams whose latest version it has not reported to enforce.
-    pub cells_behind: Vec<(String, usize)>,
+    pub outdated_teams_by_cell: Vec<(String, usize)>,
     /// The number of rejected messages from other cells.
     pub rejected_messages: u64,
 }
@@ -46,7 +46,7 @@
     /// Logs changes that are not in force in all cells yet, changes that now are, and cells that do not respond.
     pub(super) fn log_changes(&mut self, now: Millis) {
         for (team, coordinator) in &self.coordinators {
-            match coordinator.pending_for(now) {
+            match coordinator.change_pending_for(now) {
                 Some(_) => {
                     if self.teams_changing.insert(team.clone()) {
                         let version = coordinator.stored().version;
@@ -105,8 +105,8 @@
         let pending_ms = self
             .coordinators
             .values()
-            .filter_map(|coordinator| coordinator.pending_for(now));
-        let cells_behind = self.cells.iter().map(|cell| {
+            .filter_map(|coordinator| coordinator.change_pending_for(now));
+        let outdated_teams_by_cell = self.cells.iter().map(|cell| {
             let coordinators = self.coordinators.values();
             let outdated = coordinators
                 .filter(|coordinator| coordinator.outdated_cells().contains(&cell.as_str()));
@@ -116,7 +116,7 @@
             own_cell: self.own_cell.clone(),
             teams: teams.collect(),
             oldest_change_ms: pending_ms.max().unwrap_or(0),
-            cells_behind: cells_behind.collect(),
+            outdated_teams_by_cell: outdated_teams_by_cell.collect(),
             rejected_messages: self.rejected_messages,
         }
     }
--- a/src/coordination/quota/tests.rs
+++ b/src/coordination/quota/tests.rs
@@ -52,7 +52,7 @@
     CellReport {
         from: from.into(),
         cells: cells.iter().map(|cell| (*cell).to_owned()).collect(),
-        positions: Vec::new(),
+        team_reports: Vec::new(),
     }
 }
 
--- a/src/coordination/reachability.rs
+++ b/src/coordination/reachability.rs
@@ -70,7 +70,7 @@
     /// and resigns the leadership if another node should lead.
     pub(super) fn check_reachability(&mut self) {
         let now = self.now;
-        let asked_ms = self.wall_ms;
+        let requested_at_ms = self.wall_ms;
         let just_resumed = self.just_resumed();
         let Some(leader) = &mut self.leader_state else {
             return;
@@ -83,7 +83,7 @@
         let (total, unresponsive) = machines_up.fold((0, 0), |(total, unresponsive), machine| {
             (total + 1, unresponsive + usize::from(machine.unresponsive))
         });
-        let settled = leader.takeover_at + self.timeouts.takeover_settling <= now && !just_resumed;
+        let settled = leader.takeover_at + self.timeouts.takeover_grace <= now && !just_resumed;
         if !settled
             || self.config.members.is_empty()
             || unresponsive * UNRESPONSIVE_FLEET_DIVISOR <= total
@@ -112,7 +112,7 @@
                 revocation: LeaseRevocation {
                     term,
                     machines: Vec::new(),
-                    asked_at_ms: asked_ms,
+                    requested_at_ms,
                 },
             });
         }
--- a/src/coordination/registry/mod.rs
+++ b/src/coordination/registry/mod.rs
@@ -76,7 +76,7 @@
     /// The key of the standby renewer with this label was written, with this version.
     RenewerRegistered(String, u64),
     /// The key of the standby renewer with this label was deleted, as of this version.
-    RenewerGone(String, u64),
+    RenewerDeregistered(String, u64),
     /// Nothing: the same or a newer version of the row was read before.
     Nothing,
 }
--- a/src/coordination/registry/rows.rs
+++ b/src/coordination/registry/rows.rs
@@ -179,7 +179,7 @@
                 .is_some_and(|current| *current < version)
             {
                 self.lease_renewers.remove(label);
-                return RegistryChange::RenewerGone(label.to_owned(), version);
+                return RegistryChange::RenewerDeregistered(label.to_owned(), version);
             }
             return RegistryChange::Nothing;
         }
--- a/src/coordination/status.rs
+++ b/src/coordination/status.rs
@@ -14,11 +14,11 @@
     /// The latest term in the node's registry.
     pub term: u64,
     /// For how many milliseconds the node may still renew workers' leases without another read barrier.
-    pub entitlement_ms: Millis,
+    pub renewal_remaining_ms: Millis,
     /// Unfinished jobs that wait for jobs that they depend on.
     pub jobs_awaiting_dependencies: usize,
     /// Jobs that were cancelled with a dependency, and whose stored records don't show that yet.
-    pub outcomes_unwritten: usize,
+    pub unwritten_cancellations: usize,
     /// On the leader, for each team: its name, its waiting tasks, and its reserved GPUs, or CPUs in a cluster
     /// without GPUs.
     pub teams: Vec<(String, usize, f64)>,
@@ -31,7 +31,7 @@
     /// The sequence number of the admission quotas that this node applies.
     pub admission_quotas_seq: u64,
     /// How many submissions a second these quotas allow this node to accept.
-    pub admitted_per_s: f64,
+    pub admission_rate_per_s: f64,
     /// The fraction of recent time in which the processor could not keep up, from 0 to 1.
     pub lateness: f64,
     /// On the leader: the fair share of each class of each team.
@@ -53,12 +53,12 @@
                 .live_jobs()
                 .filter(awaits_dependencies)
                 .count(),
-            outcomes_unwritten: self.registry.jobs_cancelled_by_dependency().count(),
+            unwritten_cancellations: self.registry.jobs_cancelled_by_dependency().count(),
             term: self.registry.term,
-            entitlement_ms: renewal_ends_at.saturating_sub(self.now),
+            renewal_remaining_ms: renewal_ends_at.saturating_sub(self.now),
             submissions: self.local_admission_counts(),
             admission_quotas_seq: self.admission.quotas_seq(),
-            admitted_per_s: self.quota_shares().total(),
+            admission_rate_per_s: self.quota_shares().total(),
             lateness: self.admission.lateness(),
             quotas: self.quota_status(),
             ..NodeStatus::default()
--- a/src/coordination/tags.rs
+++ b/src/coordination/tags.rs
@@ -92,7 +92,7 @@
         lease: u64,
     },
     /// Writes the final status of jobs that were cancelled because a dependency was cancelled.
-    WriteOutcomes {
+    WriteCancellations {
         /// The leader's lease.
         lease: u64,
     },
--- a/src/coordination/takeover/mod.rs
+++ b/src/coordination/takeover/mod.rs
@@ -84,7 +84,7 @@
         };
         let mut cluster = ClusterState::new(&self.config.settings, &self.machine_types);
         cluster.leader_since = self.now;
-        cluster.workers_expected_by = self.now + self.timeouts.takeover_settling;
+        cluster.workers_expected_by = self.now + self.timeouts.takeover_grace;
         cluster.set_time_of_day(self.now, self.wall_ms);
         let dependencies = self.add_live_jobs(&mut cluster, &mut leader);
         let mut recovered = std::mem::take(&mut leader.recovered);
--- a/src/coordination/timeouts.rs
+++ b/src/coordination/timeouts.rs
@@ -11,7 +11,7 @@
 /// Twice the allowed relative drift between the monotonic clocks of two machines.
 pub const CLOCK_DRIFT: f64 = 0.001;
 /// By the protocol, the time that a worker spends on a node that it can't reach before it tries the next.
-pub const UNREACHABLE_NODE_COST_MS: Millis = 5000;
+pub const UNREACHABLE_NODE_TIMEOUT_MS: Millis = 5000;
 /// How much later than its interval a heartbeat may arrive, for a retransmitted packet or a late step of
 /// the node.
 const MAX_HEARTBEAT_DELAY_MS: Millis = 2000;
@@ -41,7 +41,7 @@
     pub renewer_lease: Millis,
     /// How long after a takeover workers may take to find the new leader. Each dead node that they try
     /// first costs them time.
-    pub takeover_settling: Millis,
+    pub takeover_grace: Millis,
 }
 
 impl Timeouts {
@@ -60,8 +60,8 @@
             renewal_allowance,
             renewer_lease: (renewal_allowance + RENEWER_LEASE_MARGIN_MS)
                 .clamp(MIN_RENEWER_LEASE_MS, MAX_RENEWER_LEASE_MS),
-            takeover_settling: millis(workers.report_interval_s * 1.25)
-                + UNREACHABLE_NODE_COST_MS * members.min(2) as Millis,
+            takeover_grace: millis(workers.report_interval_s * 1.25)
+                + UNREACHABLE_NODE_TIMEOUT_MS * members.min(2) as Millis,
         }
     }
 }
--- a/src/coordination/user_requests/mod.rs
+++ b/src/coordination/user_requests/mod.rs
@@ -182,7 +182,7 @@
                 self.call_state_service(
                     StateTag::CancelJob(id),
                     StateRequest::Txn(txn),
-                    RequestPriority::Cancellation.urgency(),
+                    RequestPriority::Cancellation.state_request_priority(),
                     TXN_TIMEOUT_MS,
                 );
             }
--- a/src/coordination/user_requests/relay.rs
+++ b/src/coordination/user_requests/relay.rs
@@ -93,7 +93,7 @@
         if announcement.term < self.registry.term {
             return;
         }
-        self.lease_renewer.leader_heard_at = Some(self.now);
+        self.lease_renewer.leader_announced_at = Some(self.now);
         self.admission
             .add_remote_reservations(&announcement.reservations, self.now);
         self.on_leader_announced(announcement.term, announcement.leader);
--- a/src/coordination/user_requests/submission.rs
+++ b/src/coordination/user_requests/submission.rs
@@ -64,7 +64,7 @@
                 single_key: parts.is_empty(),
             },
             StateRequest::Txn(txn),
-            priority.urgency(),
+            priority.state_request_priority(),
             TXN_TIMEOUT_MS,
         );
     }
--- a/src/coordination/watch_cache/load.rs
+++ b/src/coordination/watch_cache/load.rs
@@ -114,7 +114,7 @@
             .collect();
         for label in removed {
             self.registry.lease_renewers.remove(&label);
-            changes.push(RegistryChange::RenewerGone(label, revision));
+            changes.push(RegistryChange::RenewerDeregistered(label, revision));
         }
         self.registry.revision = revision;
         self.registry.loaded = true;
--- a/src/coordination/watch_cache/mod.rs
+++ b/src/coordination/watch_cache/mod.rs
@@ -90,7 +90,9 @@
             RegistryChange::RenewerRegistered(label, version) => {
                 self.on_renewer_registered(label, version)
             }
-            RegistryChange::RenewerGone(label, version) => self.on_renewer_gone(label, version),
+            RegistryChange::RenewerDeregistered(label, version) => {
+                self.on_renewer_deregistered(label, version)
+            }
             RegistryChange::Nothing => {}
         }
     }
--- a/src/coordination/workers/commands.rs
+++ b/src/coordination/workers/commands.rs
@@ -71,7 +71,7 @@
             cluster: Some(cluster),
             term,
             lease,
-            all_orders_checked_at,
+            last_command_sweep_at,
             ..
         }) = self.leader_state.as_deref_mut()
         else {
@@ -84,8 +84,8 @@
         };
         let mut machines = std::mem::take(&mut cluster.machines_needing_commands);
         // After a change of term, or once tasks may be started again, any machine may need commands.
-        if *all_orders_checked_at + ORDER_SWEEP_INTERVAL_MS <= now {
-            *all_orders_checked_at = now;
+        if *last_command_sweep_at + ORDER_SWEEP_INTERVAL_MS <= now {
+            *last_command_sweep_at = now;
             machines.extend((0..cluster.machines.len() as u32).map(MachineIndex));
         }
         for index in machines {
--- a/src/coordination/workers/failure_detection.rs
+++ b/src/coordination/workers/failure_detection.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     cluster::{Attempt, ClusterState, Machine, MachineIndex, MachineState, Phase},
-    coordination::{Effect, LeaseRevocation, Node, RenewalReply, SilentMachine},
+    coordination::{Effect, LeaseRevocation, Node, RenewalReply, UnresponsiveMachine},
     protocol::job::JobKind,
     time::Millis,
 };
@@ -187,11 +187,11 @@
                         && reply.lease_ends_at < now + REVOCATION_LEAD_MS
                 })
         };
-        let machines: Vec<SilentMachine> = cluster
+        let machines: Vec<UnresponsiveMachine> = cluster
             .machines
             .iter()
             .filter(|m| m.state == MachineState::Up && m.lease_until < now + INQUIRY_LEAD_MS)
-            .map(|m| SilentMachine {
+            .map(|m| UnresponsiveMachine {
                 name: m.name.clone(),
                 incarnation: m.incarnation,
                 is_inquiry: m.lease_until > now + REVOCATION_LEAD_MS
@@ -203,7 +203,7 @@
         }
         leader.revocations.asked_at = now;
         let (lease, term) = (leader.lease, leader.term);
-        let asked_at_ms = self.wall_ms;
+        let requested_at_ms = self.wall_ms;
         self.request_read_barrier();
         for label in labels {
             self.effects.push(Effect::RequestRevocation {
@@ -212,7 +212,7 @@
                 revocation: LeaseRevocation {
                     term,
                     machines: machines.clone(),
-                    asked_at_ms,
+                    requested_at_ms,
                 },
             });
         }
@@ -236,7 +236,7 @@
         let Some(reply) = reply else { return };
         leader
             .reachability
-            .record_member_report(label.clone(), reply.workers_heard, now);
+            .record_member_report(label.clone(), reply.reporting_workers, now);
         // The request was sent before that member's key was written again: the reply may come from a
         // process that has ended since, and does not bind its successor.
         let revocations = &mut leader.revocations;
--- a/src/daemon/effects.rs
+++ b/src/daemon/effects.rs
@@ -106,9 +106,9 @@
             Effect::CallStateService {
                 tag,
                 request,
-                urgency,
+                priority,
                 timeout_ms,
-            } => self.spawn(|outbound| outbound.call_state(tag, request, urgency, timeout_ms)),
+            } => self.spawn(|outbound| outbound.call_state(tag, request, priority, timeout_ms)),
             Effect::CallCloud {
                 tag,
                 request,
@@ -213,7 +213,7 @@
         self: Rc<Self>,
         tag: StateTag,
         request: StateRequest,
-        urgency: StateRequestPriority,
+        priority: StateRequestPriority,
         timeout_ms: u64,
     ) {
         let timeout = Duration::from_millis(timeout_ms);
@@ -221,7 +221,7 @@
             StateRequest::Txn(txn) => txn.writes.len(),
             _ => 0,
         };
-        let permit = self.rate_limits.acquire_state_request(writes, urgency);
+        let permit = self.rate_limits.acquire_state_request(writes, priority);
         let has_permit = tokio::time::timeout(timeout, permit).await.is_ok();
         let sent_at = self.clock.monotonic_ms();
         let result = if has_permit {
--- a/src/daemon/service_rate_limits.rs
+++ b/src/daemon/service_rate_limits.rs
@@ -59,11 +59,15 @@
     }
 
     /// Waits until a request with `writes` writes may be sent to the state service.
-    pub(super) async fn acquire_state_request(&self, writes: usize, urgency: StateRequestPriority) {
+    pub(super) async fn acquire_state_request(
+        &self,
+        writes: usize,
+        priority: StateRequestPriority,
+    ) {
         if writes > 0 {
-            self.state_writes.acquire(writes as f64, urgency).await;
+            self.state_writes.acquire(writes as f64, priority).await;
         }
-        self.state_requests.acquire(1.0, urgency).await;
+        self.state_requests.acquire(1.0, priority).await;
     }
 
     /// Waits until a request may be sent to the cloud.
--- a/src/metrics/admission.rs
+++ b/src/metrics/admission.rs
@@ -88,7 +88,7 @@
     /// Sets the metrics from the node's status. Only the leader's status has values for classes.
     pub(super) fn record(&self, status: &NodeStatus) {
         self.quota_version.set(status.admission_quotas_seq as i64);
-        self.admission_rate.set(status.admitted_per_s);
+        self.admission_rate.set(status.admission_rate_per_s);
         self.cpu_overload_fraction.set(status.lateness);
         self.record_submissions(status);
         self.clear_classes();
--- a/src/metrics/node.rs
+++ b/src/metrics/node.rs
@@ -99,12 +99,12 @@
         self.is_leading.set(i64::from(status.is_leader));
         self.term.set(status.term as i64);
         self.renewal_entitlement_s
-            .set(status.entitlement_ms as f64 / MILLIS_PER_SECOND);
+            .set(status.renewal_remaining_ms as f64 / MILLIS_PER_SECOND);
         self.unwritten_tasks.set(status.unlogged_tasks as i64);
         self.jobs_awaiting_dependencies
             .set(status.jobs_awaiting_dependencies as i64);
         self.unwritten_job_outcomes
-            .set(status.outcomes_unwritten as i64);
+            .set(status.unwritten_cancellations as i64);
     }
 
     /// Sets the metrics that only the leader has values for; other nodes export no series of them.
--- a/src/metrics/quotas.rs
+++ b/src/metrics/quotas.rs
@@ -82,7 +82,7 @@
                 .get_or_create(&team)
                 .set(quota.quota_version as i64);
         }
-        for (cell, teams) in status.cells_behind {
+        for (cell, teams) in status.outdated_teams_by_cell {
             let cell = CellLabels { cell };
             self.cells_behind.get_or_create(&cell).set(teams as i64);
         }
--- a/src/quota/coordinator.rs
+++ b/src/quota/coordinator.rs
@@ -295,7 +295,7 @@
     }
 
     /// For how long, in milliseconds, the latest change has not been in force in all cells; `None`: it is in force.
-    pub fn pending_for(&self, now: Millis) -> Option<Millis> {
+    pub fn change_pending_for(&self, now: Millis) -> Option<Millis> {
         let exceeds_limit = !self.outstanding().fits_within(self.stored.quota.limit);
         (exceeds_limit || !self.outdated_cells().is_empty())
             .then(|| now.saturating_sub(self.version_since))
--- a/src/quota/coordinator/tests.rs
+++ b/src/quota/coordinator/tests.rs
@@ -61,7 +61,10 @@
     assert_eq!((granted("b"), granted("c")), (quota(100), quota(100)));
     coordinator.on_stored(record, 2, after_timeout);
     assert_eq!(coordinator.outdated_cells(), ["a", "b", "c"]);
-    assert_eq!(coordinator.pending_for(after_timeout + 700), Some(700));
+    assert_eq!(
+        coordinator.change_pending_for(after_timeout + 700),
+        Some(700)
+    );
 }
 
 #[test]
@@ -115,7 +118,7 @@
     assert_eq!(coordinator.grant("a").unwrap().target, quota(10));
     for (number, cell) in cells().into_iter().enumerate() {
         assert_eq!(
-            coordinator.pending_for(20),
+            coordinator.change_pending_for(20),
             Some(10),
             "after {number} reports"
         );
@@ -130,7 +133,7 @@
         };
         coordinator.on_report(&cell, report, 20).unwrap();
     }
-    assert_eq!(coordinator.pending_for(20), None);
+    assert_eq!(coordinator.change_pending_for(20), None);
     assert_eq!(
         coordinator.next_record(configured(30), 20),
         None,
--- a/src/transport/client/cloud.rs
+++ b/src/transport/client/cloud.rs
@@ -22,8 +22,8 @@
 pub fn cloud_request(request: &CloudRequest) -> HttpRequest {
     match request {
         CloudRequest::Types => HttpRequest::get("/machine_types"),
-        CloudRequest::ProvisionMachines(rent) => {
-            HttpRequest::post("/machines", protocol::encode(rent))
+        CloudRequest::ProvisionMachines(request) => {
+            HttpRequest::post("/machines", protocol::encode(request))
         }
         CloudRequest::Delete(names) => {
             let names = MachineNames {
--- a/src/transport/mesh/cell_messages.rs
+++ b/src/transport/mesh/cell_messages.rs
@@ -24,7 +24,7 @@
 
 impl From<CellReport> for proto::CellStatement {
     fn from(report: CellReport) -> Self {
-        let teams = report.positions.into_iter();
+        let teams = report.team_reports.into_iter();
         let teams = teams.map(|(team, position)| proto::TeamPosition {
             team,
             version: position.version,
@@ -62,7 +62,7 @@
         CellReport {
             from: message.from,
             cells: message.cells,
-            positions: teams.collect(),
+            team_reports: teams.collect(),
         }
     }
 }
--- a/src/transport/mesh/cell_messages/tests.rs
+++ b/src/transport/mesh/cell_messages/tests.rs
@@ -35,7 +35,7 @@
         let report = CellReport {
             from: from.clone(),
             cells: cells.clone(),
-            positions: vec![(team.clone(), position)],
+            team_reports: vec![(team.clone(), position)],
         };
         let message = proto::CellStatement::from(report.clone());
         prop_assert_eq!(CellReport::from(message), report);
--- a/src/transport/mesh/messages.rs
+++ b/src/transport/mesh/messages.rs
@@ -4,7 +4,7 @@
 use crate::{
     coordination::{
         AdmissionCounts, ApiRequest, JobProgress, LeaderAnnouncement, LeaseRenewalAge,
-        LeaseRevocation, MemberStatus, RenewalReply, ReservationNotice, SilentMachine,
+        LeaseRevocation, MemberStatus, RenewalReply, ReservationNotice, UnresponsiveMachine,
         WorkloadClassName,
     },
     protocol::{self, ids::JobId},
@@ -125,15 +125,18 @@
 
 impl From<proto::Revocation> for LeaseRevocation {
     fn from(message: proto::Revocation) -> Self {
-        let machines = message.machines.into_iter().map(|machine| SilentMachine {
-            name: machine.name,
-            incarnation: machine.session,
-            is_inquiry: machine.inquiry,
-        });
+        let machines = message
+            .machines
+            .into_iter()
+            .map(|machine| UnresponsiveMachine {
+                name: machine.name,
+                incarnation: machine.session,
+                is_inquiry: machine.inquiry,
+            });
         LeaseRevocation {
             term: message.term,
             machines: machines.collect(),
-            asked_at_ms: message.asked_ms,
+            requested_at_ms: message.asked_ms,
         }
     }
 }
@@ -149,7 +152,7 @@
         proto::Revocation {
             term: revocation.term,
             machines: machines.collect(),
-            asked_ms: revocation.asked_at_ms,
+            asked_ms: revocation.requested_at_ms,
         }
     }
 }
@@ -163,7 +166,7 @@
         });
         RenewalReply {
             renewals: renewals.collect(),
-            workers_heard: message.hears as usize,
+            reporting_workers: message.hears as usize,
         }
     }
 }
@@ -177,7 +180,7 @@
         });
         Renewals {
             renewals: renewals.collect(),
-            hears: reply.workers_heard as u32,
+            hears: reply.reporting_workers as u32,
         }
     }
 }
--- a/src/transport/rate_limiter.rs
+++ b/src/transport/rate_limiter.rs
@@ -48,9 +48,9 @@
 
     /// Waits until `cost` tokens are available, and takes them. Less urgent callers leave a reserve
     /// in the bucket. If the future is dropped before it completes, no tokens are taken.
-    pub async fn acquire(&self, cost: f64, urgency: StateRequestPriority) {
+    pub async fn acquire(&self, cost: f64, priority: StateRequestPriority) {
         loop {
-            let acquired = self.inner.borrow_mut().try_acquire(cost, urgency);
+            let acquired = self.inner.borrow_mut().try_acquire(cost, priority);
             let Err(shortfall) = acquired else {
                 return;
             };
@@ -67,10 +67,10 @@
 }
 
 impl BucketState {
-    fn try_acquire(&mut self, cost: f64, urgency: StateRequestPriority) -> Result<(), Shortfall> {
+    fn try_acquire(&mut self, cost: f64, priority: StateRequestPriority) -> Result<(), Shortfall> {
         let capacity = self.rate_per_s.max(MIN_CAPACITY);
         self.refill(capacity);
-        let reserve = capacity * reserved_fraction(urgency);
+        let reserve = capacity * reserved_fraction(priority);
         // A call that costs more than the bucket's capacity is allowed once the bucket is full.
         let needed = (cost + reserve).min(capacity);
         if self.tokens >= needed - ROUNDING_TOLERANCE {
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -643,7 +643,7 @@
             };
             oldest_ms = oldest_ms.max(quotas.oldest_change_ms);
             let cells = quotas
-                .cells_behind
+                .outdated_teams_by_cell
                 .into_iter()
                 .filter(|(_, teams)| *teams > 0);
             cells_behind.extend(cells.map(|(cell, _)| cell));
--- a/tests/histories/combined_faults.rs
+++ b/tests/histories/combined_faults.rs
@@ -186,7 +186,7 @@
         "WriteSnapshots",
         "RaiseTerm",
         "DeleteSnapshots",
-        "WriteOutcomes",
+        "WriteCancellations",
         "WriteMachineTypes",
         "WriteImages",
         "WriteAdmissionQuotas",
--- a/tests/histories/effects.rs
+++ b/tests/histories/effects.rs
@@ -351,20 +351,20 @@
         };
         match request {
             CloudRequest::Types => CloudReply::Types(MachineTypes { types: vec![kind] }),
-            CloudRequest::ProvisionMachines(rent) => {
-                if let Some(names) = self.provisioned_instances.get(&rent.name) {
+            CloudRequest::ProvisionMachines(request) => {
+                if let Some(names) = self.provisioned_instances.get(&request.name) {
                     return CloudReply::Provisioned(names.clone());
                 }
                 let up = self.workers.iter().filter(|w| !w.deleted).count();
-                let count = (10usize.saturating_sub(up)).min(rent.count as usize);
+                let count = (10usize.saturating_sub(up)).min(request.count as usize);
                 if count == 0 {
                     return CloudReply::NoCapacity;
                 }
                 let names: Vec<String> = (0..count)
-                    .map(|_| self.add_worker(&rent.zone, rent.spot))
+                    .map(|_| self.add_worker(&request.zone, request.spot))
                     .collect();
                 self.provisioned_instances
-                    .insert(rent.name.clone(), names.clone());
+                    .insert(request.name.clone(), names.clone());
                 CloudReply::Provisioned(names)
             }
             CloudRequest::Delete(names) => {
--- a/tests/quota_escrow.rs
+++ b/tests/quota_escrow.rs
@@ -466,7 +466,7 @@
         }
         simulation.run_until_converged();
         prop_assert_eq!(
-            simulation.coordinator.pending_for(simulation.now),
+            simulation.coordinator.change_pending_for(simulation.now),
             None,
             "the quota is in force in all cells"
         );
@@ -612,7 +612,7 @@
                 }
                 simulation.run_until_converged();
                 assert_eq!(
-                    simulation.coordinator.pending_for(simulation.now),
+                    simulation.coordinator.change_pending_for(simulation.now),
                     None,
                     "{crash:?} after step {crash_step}, response lost: {response_lost}"
                 );
--- a/tests/wire/mod.rs
+++ b/tests/wire/mod.rs
@@ -85,16 +85,16 @@
             }
             Effect::CallStateService {
                 request,
-                urgency,
+                priority,
                 timeout_ms,
                 ..
             } => {
-                let urgency = match urgency {
+                let priority = match priority {
                     StateRequestPriority::Vital => 0,
                     StateRequestPriority::Prompt => 1,
                     StateRequestPriority::Normal => 2,
                 };
-                let details = format!("{urgency} {timeout_ms}");
+                let details = format!("{priority} {timeout_ms}");
                 Sent::http(Channel::State, state_request(request), details)
             }
             Effect::CallCloud {
