--- a/src/cluster/durability.rs
+++ b/src/cluster/durability.rs
@@ -42,7 +42,7 @@
     }
 
     /// Whether all changes of the job's tasks are stored or in the write that is in flight.
-    pub fn is_fully_submitted(&self, job: JobIndex) -> bool {
+    pub fn has_no_unlogged_tasks(&self, job: JobIndex) -> bool {
         self.unlogged_tasks
             .range(task_keys_of_job(job))
             .next()
--- a/src/cluster/fault_attribution/tests.rs
+++ b/src/cluster/fault_attribution/tests.rs
@@ -6,7 +6,7 @@
     cluster::{MachineTypeIndex, records::images_records},
     config::Settings,
     protocol::{cloud::MachineType, ids::JobId, job::Submission},
-    scheduling::{self, PreemptionScope, fair_share::FairShareLedger},
+    scheduling::{self, PreemptionScope, fair_share::FairShareTracker},
 };
 
 fn cluster_with_machines(machines: usize) -> ClusterState {
@@ -54,7 +54,7 @@
 ) -> (Vec<u64>, Vec<usize>, usize) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut cluster = cluster_with_machines(30);
-    let mut fair_share = FairShareLedger::default();
+    let mut fair_share = FairShareTracker::default();
     let mut late_starts = 0;
     for step in 0..240u64 {
         let now = step * 500;
--- a/src/cluster/job.rs
+++ b/src/cluster/job.rs
@@ -107,7 +107,7 @@
     /// It is over: none of its tasks is placed any more.
     pub closed: bool,
     /// A write of its outcome is in flight.
-    pub finishing: bool,
+    pub outcome_write_in_flight: bool,
     /// After failures, none of its tasks is placed before this time.
     pub backoff_until: Millis,
     /// Failures since a task last made progress.
@@ -200,7 +200,7 @@
     }
 
     /// How many of its tasks may be placed now. A quarantined job may run one task at a time.
-    pub fn placeable_tasks(&self) -> usize {
+    pub fn placeable_task_count(&self) -> usize {
         let waiting = self.waiting.len();
         if !self.quarantined {
             return waiting;
--- a/src/cluster/machine.rs
+++ b/src/cluster/machine.rs
@@ -24,8 +24,8 @@
     Lost,
     /// A request to delete it is in flight.
     Deleting,
-    /// Deleted.
-    Gone,
+    /// Its deletion is confirmed.
+    Deleted,
 }
 
 /// A provisioned machine and its worker.
@@ -58,7 +58,7 @@
     /// When the cloud reclaims it, if the worker got a notice.
     pub reclaim_at: Option<Millis>,
     /// When it was added to the cluster state.
-    pub known_since: Millis,
+    pub added_at: Millis,
     /// When it was provisioned, by this node's clock; 0 if that was before the clock began.
     pub provisioned_at: Millis,
     /// A listing of the cloud has contained it.
@@ -66,7 +66,7 @@
     /// The number of consecutive latest listings of the cloud that lacked it.
     pub missed_listings: u32,
     /// When the cloud first listed it as running.
-    pub listed_running: Option<Millis>,
+    pub listed_running_at: Option<Millis>,
     /// The cloud lists it as failed.
     pub listed_failed: bool,
     /// The attempts that may be running on it, and the ended ones that are not reaped yet.
@@ -139,7 +139,7 @@
     /// Whether the worker may reap an attempt that has ended. A delayed duplicate of its start would run it a
     /// second time, in parallel with the next attempt or with other tasks that its team runs by then,
     /// unless the worker has received a higher fencing token since.
-    pub fn can_reap(&self, attempt: &Attempt) -> bool {
+    pub fn can_forget(&self, attempt: &Attempt) -> bool {
         attempt.direct_start_term < self.token || attempt.direct_start_term == 0
     }
 
@@ -181,11 +181,11 @@
             last_heartbeat_at: None,
             lease_until: 0,
             reclaim_at: None,
-            known_since: now,
+            added_at: now,
             provisioned_at: now,
             listed: false,
             missed_listings: 0,
-            listed_running: None,
+            listed_running_at: None,
             listed_failed: false,
             attempts: Vec::new(),
             reserved: Resources::default(),
--- a/src/cluster/straggler.rs
+++ b/src/cluster/straggler.rs
@@ -36,7 +36,7 @@
 
 /// Records that a task of the job completed on the machine after `run_s` seconds. Returns whether the machine
 /// counts as slow.
-pub fn record_completion(
+pub fn record_run_time(
     job_mean: &mut RunningMean,
     machine_mean: &mut RunningMean,
     run_s: f64,
--- a/src/cluster/straggler/tests.rs
+++ b/src/cluster/straggler/tests.rs
@@ -31,7 +31,7 @@
     );
     let mut detected_after = None;
     for n in 0..200 {
-        let is_slow = record_completion(
+        let is_slow = record_run_time(
             &mut job_mean,
             &mut normal_machine,
             30.0 * run_time_factor(n),
@@ -42,7 +42,7 @@
         );
         // One task in nine runs on the slow machine, where it takes three times as long.
         if n % 8 == 7
-            && record_completion(
+            && record_run_time(
                 &mut job_mean,
                 &mut slow_machine,
                 90.0 * run_time_factor(n / 8),
--- a/src/cluster/submission.rs
+++ b/src/cluster/submission.rs
@@ -170,7 +170,7 @@
             running_count: 0,
             active_by_zone: vec![0; self.zone_names.len()],
             closed: false,
-            finishing: false,
+            outcome_write_in_flight: false,
             backoff_until: 0,
             consecutive_failures: 0,
             quarantined: false,
--- a/src/coordination/admission/mod.rs
+++ b/src/coordination/admission/mod.rs
@@ -26,7 +26,7 @@
         job::Submission,
         state::{Condition, StateError, StateReply, StateRequest, StateRequestPriority, Write},
     },
-    scheduling::fair_share::{FairShareLedger, ShareStatus},
+    scheduling::fair_share::{FairShareStatus, FairShareTracker},
     storage,
     time::Millis,
 };
@@ -167,9 +167,12 @@
     }
 }
 
-impl FairShareLedger {
+impl FairShareTracker {
     /// The fair share status of each class, by the names of team and class.
-    pub fn named_statuses(&self, cluster: &ClusterState) -> Vec<(WorkloadClassName, ShareStatus)> {
+    pub fn named_statuses(
+        &self,
+        cluster: &ClusterState,
+    ) -> Vec<(WorkloadClassName, FairShareStatus)> {
         let statuses = self.statuses();
         let named_statuses = statuses.map(|(class, status)| {
             let class = WorkloadClassName {
@@ -535,7 +538,7 @@
         }
         self.admission.served_logged_at = now;
         let counts_by_class = self.total_admission_counts();
-        let share_statuses: BTreeMap<WorkloadClassName, ShareStatus> = leader
+        let share_statuses: BTreeMap<WorkloadClassName, FairShareStatus> = leader
             .fair_share
             .named_statuses(cluster)
             .into_iter()
--- a/src/coordination/leader/cycle.rs
+++ b/src/coordination/leader/cycle.rs
@@ -5,7 +5,7 @@
     coordination::Node,
     scheduling::{
         self, PreemptionScope, PreemptionVictim,
-        fair_share::{FairShareLedger, WorkloadClass},
+        fair_share::{FairShareTracker, WorkloadClass},
     },
     time::Millis,
 };
@@ -46,7 +46,7 @@
     fn place_waiting_tasks(
         &mut self,
         cluster: &mut ClusterState,
-        fair_share: &mut FairShareLedger,
+        fair_share: &mut FairShareTracker,
         now: Millis,
     ) {
         let interval_ms = if cluster.scheduling_needed {
@@ -149,7 +149,7 @@
 /// Stops a victim's attempt and reserves its machine for the job that it was preempted for.
 fn preempt(
     cluster: &mut ClusterState,
-    fair_share: &mut FairShareLedger,
+    fair_share: &mut FairShareTracker,
     victim: &PreemptionVictim,
     now: Millis,
 ) {
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -23,7 +23,7 @@
         reachability::WorkerReachability,
     },
     protocol::{ids::JobId, state::Condition},
-    scheduling::fair_share::FairShareLedger,
+    scheduling::fair_share::FairShareTracker,
     storage,
     time::Millis,
 };
@@ -51,7 +51,7 @@
     /// Jobs and machines; `None` until they have been rebuilt after the takeover.
     pub cluster: Option<ClusterState>,
     /// What each workload class of each team is entitled to, and what it has received.
-    pub fair_share: FairShareLedger,
+    pub fair_share: FairShareTracker,
     /// The log and snapshots in the state service.
     pub log: LeaderLog,
     scheduling: SchedulingTimers,
@@ -94,7 +94,7 @@
             takeover_at: now,
             recovered: RecoveredState::default(),
             cluster: None,
-            fair_share: FairShareLedger::default(),
+            fair_share: FairShareTracker::default(),
             log: LeaderLog::default(),
             scheduling: SchedulingTimers::new(now),
             progress_announced_at: 0,
--- a/src/coordination/leader_log/append.rs
+++ b/src/coordination/leader_log/append.rs
@@ -239,7 +239,7 @@
                 cluster.completed_jobs.remove(&job);
                 continue;
             };
-            if !cluster.is_fully_submitted(job) || entry.finishing {
+            if !cluster.has_no_unlogged_tasks(job) || entry.outcome_write_in_flight {
                 continue;
             }
             if txn.writes.len() + 1 + live.part_count as usize > max_ops {
@@ -247,7 +247,7 @@
             }
             let at_ms = Some(self.wall_ms);
             live.append_outcome(id, &JobRecord::Done { at_ms }, txn);
-            cluster.jobs[job.as_usize()].finishing = true;
+            cluster.jobs[job.as_usize()].outcome_write_in_flight = true;
             appended.push((job, id));
         }
         appended
@@ -272,7 +272,7 @@
             return;
         };
         for (job, _) in &write.completed_jobs {
-            cluster.jobs[job.as_usize()].finishing = false;
+            cluster.jobs[job.as_usize()].outcome_write_in_flight = false;
         }
         let logged = std::mem::take(&mut cluster.tasks_being_logged);
         if let WriteOutcome::Stored(version) = outcome {
--- a/src/coordination/provisioning.rs
+++ b/src/coordination/provisioning.rs
@@ -193,8 +193,8 @@
         let unreported: Vec<(String, String)> = cluster
             .machines
             .iter()
-            .filter(|m| m.last_heartbeat_at.is_none() && m.state != MachineState::Gone)
-            .filter(|m| m.state == MachineState::Up || m.listed_running.is_some())
+            .filter(|m| m.last_heartbeat_at.is_none() && m.state != MachineState::Deleted)
+            .filter(|m| m.state == MachineState::Up || m.listed_running_at.is_some())
             .filter_map(|m| Some((m.name.clone(), m.addr.clone()?)))
             .collect();
         for (name, addr) in unreported {
@@ -255,7 +255,7 @@
             match machine.status {
                 MachineStatus::Booting => {}
                 MachineStatus::Running => {
-                    entry.listed_running.get_or_insert(now);
+                    entry.listed_running_at.get_or_insert(now);
                 }
                 MachineStatus::Failed => entry.listed_failed = true,
             }
@@ -263,7 +263,7 @@
         // A machine stays on the list until it is gone, but a list may be older than the previous one, and
         // even older than the machine.
         for (machine, present) in cluster.machines.iter_mut().zip(present) {
-            let is_established = machine.known_since + millis(4.0 * list_lag_s) <= now;
+            let is_established = machine.added_at + millis(4.0 * list_lag_s) <= now;
             if !present && machine.listed && is_established {
                 machine.missed_listings += 1;
             }
@@ -442,7 +442,7 @@
         for name in names {
             if let Some(&index) = cluster.machines_by_name.get(name) {
                 mark_lost(cluster, index, now);
-                cluster.machines[index.as_usize()].state = MachineState::Gone;
+                cluster.machines[index.as_usize()].state = MachineState::Deleted;
             }
         }
     }
@@ -485,12 +485,12 @@
                 .last_heartbeat_at
                 .is_none_or(|at| at + heartbeat_timeout < now);
             match machine.state {
-                MachineState::Gone => false,
+                MachineState::Deleted => false,
                 MachineState::Deleting => true,
                 _ if machine.listed_failed => true,
                 MachineState::Booting => {
                     machine.provisioned_at + millis(max_boot_s) < now
-                        && machine.known_since + 10_000 < now
+                        && machine.added_at + 10_000 < now
                 }
                 MachineState::Lost => {
                     machine.missed_listings > 0 || machine.idle_since + LOST_MACHINE_GRACE_MS < now
--- a/src/coordination/quota/demand.rs
+++ b/src/coordination/quota/demand.rs
@@ -50,7 +50,7 @@
     let mut largest_tasks = vec![Resources::default(); cluster.teams.len()];
     let jobs = cluster.jobs_by_id.values().map(|index| cluster.job(*index));
     for job in jobs.filter(|job| !job.closed) {
-        let (team, task_count) = (job.team.as_usize(), job.placeable_tasks() as f64);
+        let (team, task_count) = (job.team.as_usize(), job.placeable_task_count() as f64);
         waiting[team].cpus += job.requested.cpus * task_count;
         waiting[team].gpus += job.requested.gpus * task_count;
         if job.tasks.len() > job.waiting.len() + job.done_count as usize {
@@ -76,7 +76,7 @@
     };
     let job = cluster.job(first_job);
     let task_count = if job.kind == JobKind::Gang {
-        job.placeable_tasks() as f64
+        job.placeable_task_count() as f64
     } else {
         1.0
     };
--- a/src/coordination/quota/mod.rs
+++ b/src/coordination/quota/mod.rs
@@ -176,7 +176,7 @@
             continue;
         }
         let name = team.name.clone();
-        let victims = scheduling::select_stops_over_limit(
+        let victims = scheduling::select_preemptions_over_limit(
             cluster,
             TeamIndex(index),
             &quota_to_resources(excess),
--- a/src/coordination/status.rs
+++ b/src/coordination/status.rs
@@ -3,7 +3,7 @@
 use super::{AdmissionCounts, Node, QuotaStatus, WorkloadClassName};
 use crate::{
     cluster::MachineState, coordination::registry::LiveJob, protocol::ids::JobId,
-    scheduling::fair_share::ShareStatus, time::Millis,
+    scheduling::fair_share::FairShareStatus, time::Millis,
 };
 
 /// A snapshot of a node's state for the metrics. Values that only a leader has are 0 or empty on other nodes.
@@ -35,7 +35,7 @@
     /// The fraction of recent time in which the processor could not keep up, from 0 to 1.
     pub lateness: f64,
     /// On the leader: the fair share of each class of each team.
-    pub share_statuses: Vec<(WorkloadClassName, ShareStatus)>,
+    pub share_statuses: Vec<(WorkloadClassName, FairShareStatus)>,
     /// On the leader: how long each task that has started since the last status had waited, in milliseconds.
     pub start_waits: Vec<Millis>,
     /// On the leader, where cells share quotas: the state of those quotas.
--- a/src/coordination/workers/heartbeat.rs
+++ b/src/coordination/workers/heartbeat.rs
@@ -138,7 +138,7 @@
     }
     let machine = cluster.machine(index);
     let is_current =
-        machine.state != MachineState::Gone && report.incarnation >= machine.incarnation;
+        machine.state != MachineState::Deleted && report.incarnation >= machine.incarnation;
     is_current.then_some(index)
 }
 
@@ -234,7 +234,7 @@
             (Phase::Saving, Some(grace_s)) if grace_s > 0.0 => {}
             (Phase::Ended, _) => {
                 if cluster.is_acknowledged(entry)
-                    && machine.can_reap(entry)
+                    && machine.can_forget(entry)
                     && !machine.has_start_in_flight(entry)
                 {
                     orders.push(Order::Forget { task, attempt });
--- a/src/coordination/workers/reconciliation.rs
+++ b/src/coordination/workers/reconciliation.rs
@@ -9,7 +9,7 @@
         ids::TaskId,
         worker::{ExitCause, Report, TaskReport, TaskState},
     },
-    scheduling::fair_share::{FairShareLedger, WorkloadClass},
+    scheduling::fair_share::{FairShareTracker, WorkloadClass},
     time::Millis,
 };
 
@@ -82,7 +82,7 @@
 /// and the cluster state does not have.
 pub(super) fn reconcile_tasks(
     cluster: &mut ClusterState,
-    fair_share: &mut FairShareLedger,
+    fair_share: &mut FairShareTracker,
     index: MachineIndex,
     report: &Report,
     now: Millis,
@@ -132,7 +132,7 @@
 /// Logs and counts the start of an attempt.
 fn record_start(
     cluster: &mut ClusterState,
-    fair_share: &mut FairShareLedger,
+    fair_share: &mut FairShareTracker,
     index: MachineIndex,
     position: usize,
     now: Millis,
@@ -179,7 +179,7 @@
 /// Processes attempts that have ended: completes or requeues their tasks.
 pub(super) fn settle_ended_attempts(
     cluster: &mut ClusterState,
-    fair_share: &mut FairShareLedger,
+    fair_share: &mut FairShareTracker,
     index: MachineIndex,
     now: Millis,
 ) {
@@ -223,7 +223,7 @@
 /// Processes an attempt that has completed its task. `is_current`: no later attempt has replaced it.
 fn settle_completion(
     cluster: &mut ClusterState,
-    fair_share: &mut FairShareLedger,
+    fair_share: &mut FairShareTracker,
     index: MachineIndex,
     position: usize,
     is_current: bool,
@@ -245,7 +245,7 @@
     machine.recent_failures.clear();
     cluster.on_task_progress(job);
     let Some(ran_ms) = ran_ms else { return };
-    let is_slow = straggler::record_completion(
+    let is_slow = straggler::record_run_time(
         &mut cluster.jobs[job.as_usize()].mean_runtime_s,
         &mut cluster.machines[index.as_usize()].mean_slowdown,
         ran_ms as f64 / 1000.0,
--- a/src/metrics/admission.rs
+++ b/src/metrics/admission.rs
@@ -5,7 +5,7 @@
     registry::{Registry, Unit},
 };
 
-use crate::{coordination::NodeStatus, scheduling::fair_share::ShareStatus};
+use crate::{coordination::NodeStatus, scheduling::fair_share::FairShareStatus};
 
 use super::labels::{ClassLabels, FloatGauge, IntGauge, OutcomeLabels};
 
@@ -126,7 +126,7 @@
         self.job_outcomes.clear();
     }
 
-    fn record_class(&self, labels: &ClassLabels, share: &ShareStatus) {
+    fn record_class(&self, labels: &ClassLabels, share: &FairShareStatus) {
         let waiting = share.waiting_tasks as i64;
         self.class_waiting_tasks.get_or_create(labels).set(waiting);
         let oldest_s = share.oldest_wait_ms as f64 / 1000.0;
--- a/src/scheduling/candidates.rs
+++ b/src/scheduling/candidates.rs
@@ -91,7 +91,7 @@
 
 impl CandidateCache {
     /// A cache that searches all machines for each task, for tests to compare with.
-    pub fn without_cache() -> Self {
+    pub fn disabled() -> Self {
         CandidateCache {
             cache_disabled: true,
             ..CandidateCache::default()
--- a/src/scheduling/cycle.rs
+++ b/src/scheduling/cycle.rs
@@ -14,7 +14,7 @@
         MAX_PLACEMENTS_PER_CYCLE, UNITS_EPSILON,
         candidates::{CandidateCache, UnmetRequest},
         deserved_shares::{compute_deserved_shares, schedulable_capacity},
-        fair_share::{self, FairShareLedger, WorkloadClass},
+        fair_share::{self, FairShareTracker, WorkloadClass},
         gang::find_gang_placement,
         replica::find_replica_placement,
         scoring::{elapsed_run_s, meets_start_objective},
@@ -56,17 +56,17 @@
 /// heap. Returns the number of tasks placed.
 pub fn run_scheduling_cycle(
     cluster: &mut ClusterState,
-    fair_share: &mut FairShareLedger,
+    fair_share: &mut FairShareTracker,
     now: Millis,
 ) -> usize {
-    run_scheduling_cycle_with(cluster, fair_share, now, &mut CandidateCache::default())
+    run_scheduling_cycle_with_cache(cluster, fair_share, now, &mut CandidateCache::default())
 }
 
 /// Like [`run_scheduling_cycle`], with the given candidate cache, which counts the machines that
 /// were scored.
-pub fn run_scheduling_cycle_with(
+pub fn run_scheduling_cycle_with_cache(
     cluster: &mut ClusterState,
-    fair_share: &mut FairShareLedger,
+    fair_share: &mut FairShareTracker,
     now: Millis,
     candidates: &mut CandidateCache,
 ) -> usize {
@@ -92,7 +92,7 @@
 /// The state of one cycle of the heap of teams.
 struct SchedulingCycle<'a> {
     cluster: &'a mut ClusterState,
-    fair_share: &'a mut FairShareLedger,
+    fair_share: &'a mut FairShareTracker,
     now: Millis,
     candidates: &'a mut CandidateCache,
     capacity: f64,
@@ -114,7 +114,7 @@
 impl<'a> SchedulingCycle<'a> {
     fn new(
         cluster: &'a mut ClusterState,
-        fair_share: &'a mut FairShareLedger,
+        fair_share: &'a mut FairShareTracker,
         now: Millis,
         candidates: &'a mut CandidateCache,
         capacity: f64,
@@ -220,7 +220,7 @@
         let job = self.cluster.job(job_index);
         let task = job.waiting.first().copied();
         let is_ready = job.backoff_until <= self.now
-            && job.placeable_tasks() > 0
+            && job.placeable_task_count() > 0
             && self.cluster.teams[team.as_usize()].allows(&job.requested);
         let ready_task = task.filter(|_| is_ready);
         if let Some(placement) = ready_task.and_then(|task| self.find_placement(job_index, task)) {
@@ -287,7 +287,7 @@
         let (victim, beneficiary) = (cluster.job(attempt.job), cluster.job(beneficiary).id);
         let task = victim.task_id(attempt.task);
         let ran_s = elapsed_run_s(attempt, self.now) as u64;
-        tracing::info!(%task, %beneficiary, reason = "Image", ran_s, "preempted");
+        tracing::info!(%task, %beneficiary, reason = "Image", ran_s, "task preempted");
         let class = WorkloadClass::of_job(victim);
         self.fair_share.status_mut(class).attempts_preempted += 1;
         cluster.request_stop(machine, attempt_index, 0.0);
@@ -327,7 +327,7 @@
                 };
                 if job.kind == JobKind::Gang
                     || job.backoff_until > now
-                    || job.placeable_tasks() == 0
+                    || job.placeable_task_count() == 0
                     || !team.allows(&job.requested)
                     || !cluster.is_feasible(job, machine)
                     || machine.avoid_until > now
@@ -359,7 +359,7 @@
 /// them.
 fn place_starved_classes(
     cluster: &mut ClusterState,
-    fair_share: &mut FairShareLedger,
+    fair_share: &mut FairShareTracker,
     now: Millis,
     candidates: &mut CandidateCache,
 ) -> usize {
@@ -384,7 +384,7 @@
                 let Some(&task) = job.waiting.first() else {
                     break;
                 };
-                if job.placeable_tasks() == 0
+                if job.placeable_task_count() == 0
                     || !cluster.teams[job.team.as_usize()].allows(&requested)
                 {
                     break;
--- a/src/scheduling/deserved_shares.rs
+++ b/src/scheduling/deserved_shares.rs
@@ -33,7 +33,7 @@
                 .iter()
                 .map(|&(_, _, job_index)| {
                     let job = cluster.job(job_index);
-                    cluster.accounted_units(&job.requested) * job.placeable_tasks() as f64
+                    cluster.accounted_units(&job.requested) * job.placeable_task_count() as f64
                 })
                 .sum();
             let demand = cluster.accounted_units(&team.reserved) + waiting_units;
--- a/src/scheduling/fair_share.rs
+++ b/src/scheduling/fair_share.rs
@@ -77,7 +77,7 @@
 /// The entitlement, allocation and counters of one class of one team. Amounts are in units: GPUs,
 /// or CPUs where there are no GPUs.
 #[derive(Clone, Debug, Default)]
-pub struct ShareStatus {
+pub struct FairShareStatus {
     /// The units that it could use now: of its placed and running attempts and its waiting tasks.
     pub demand: f64,
     /// How many of its tasks wait to be placed.
@@ -105,7 +105,7 @@
     pub jobs_on_time: u64,
 }
 
-impl ShareStatus {
+impl FairShareStatus {
     fn update_means(&mut self, entitled: f64, allocated: f64, weight: f64) {
         self.currently_served = allocated >= STARVED_BELOW_FRACTION * entitled;
         self.entitled += (entitled - self.entitled) * weight;
@@ -135,8 +135,8 @@
 /// The share status of each class of each team that this leader has seen, and the credit of starved
 /// classes.
 #[derive(Default)]
-pub struct FairShareLedger {
-    statuses: BTreeMap<WorkloadClass, ShareStatus>,
+pub struct FairShareTracker {
+    statuses: BTreeMap<WorkloadClass, FairShareStatus>,
     updated_at: Option<Millis>,
     /// Units that may still be placed for starved classes before others; negative if they got more
     /// than their part.
@@ -145,14 +145,14 @@
     blocked_arrays: Option<(Priority, Millis)>,
 }
 
-impl FairShareLedger {
+impl FairShareTracker {
     /// All classes and their share statuses.
-    pub fn statuses(&self) -> impl Iterator<Item = (WorkloadClass, &ShareStatus)> {
+    pub fn statuses(&self) -> impl Iterator<Item = (WorkloadClass, &FairShareStatus)> {
         self.statuses.iter().map(|(class, status)| (*class, status))
     }
 
     /// The share status of a class, which is created if the class is new.
-    pub fn status_mut(&mut self, class: WorkloadClass) -> &mut ShareStatus {
+    pub fn status_mut(&mut self, class: WorkloadClass) -> &mut FairShareStatus {
         self.statuses.entry(class).or_default()
     }
 
@@ -222,7 +222,7 @@
     parts
 }
 
-impl FairShareLedger {
+impl FairShareTracker {
     /// Counts a job whose last task has completed, and whether the job met the earliest of its
     /// completion objectives.
     pub fn record_job_completion(
@@ -266,13 +266,13 @@
             status.update_means(entitled(*class), usage.allocated, weight);
         }
         for (class, usage) in usages {
-            let status = ShareStatus {
+            let status = FairShareStatus {
                 demand: usage.demand,
                 waiting_tasks: usage.waiting_tasks,
                 oldest_wait_ms: usage.oldest_wait_ms,
                 entitled: entitled(class),
                 allocated: usage.allocated,
-                ..ShareStatus::default()
+                ..FairShareStatus::default()
             };
             self.statuses.insert(class, status);
         }
@@ -294,7 +294,7 @@
     }
 }
 
-fn log_starvation_change(cluster: &ClusterState, class: WorkloadClass, status: &ShareStatus) {
+fn log_starvation_change(cluster: &ClusterState, class: WorkloadClass, status: &FairShareStatus) {
     let name = cluster
         .class_interner
         .name(class.class.0)
@@ -351,7 +351,7 @@
         if job.kind == JobKind::Gang || job.quarantined {
             continue;
         }
-        let placeable = job.placeable_tasks();
+        let placeable = job.placeable_task_count();
         let usage = usages.entry(WorkloadClass::of_job(job)).or_default();
         usage.demand += cluster.accounted_units(&job.requested) * placeable as f64;
         usage.waiting_tasks += placeable;
--- a/src/scheduling/fair_share/tests.rs
+++ b/src/scheduling/fair_share/tests.rs
@@ -12,12 +12,12 @@
 /// stays so until it gets all of its entitlement.
 #[test]
 fn starved_class_stays_starved_until_caught_up() {
-    let mut status = ShareStatus {
+    let mut status = FairShareStatus {
         waiting_tasks: 3,
         oldest_wait_ms: STARVATION_DELAY_MS,
         entitled: 10.0,
         allocated: 4.0,
-        ..ShareStatus::default()
+        ..FairShareStatus::default()
     };
     assert!(
         !status.update_starvation(0),
--- a/src/scheduling/limit_enforcement.rs
+++ b/src/scheduling/limit_enforcement.rs
@@ -13,7 +13,7 @@
 /// machine and its position among that machine's attempts. The least urgent come first, then those
 /// whose stop costs least; gangs are stopped whole. Attempts that are already being stopped count
 /// towards `excess`.
-pub fn select_stops_over_limit(
+pub fn select_preemptions_over_limit(
     cluster: &ClusterState,
     team: TeamIndex,
     excess: &Resources,
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -19,9 +19,9 @@
 
 pub use self::{
     candidates::CandidateCache,
-    cycle::{run_scheduling_cycle, run_scheduling_cycle_with},
+    cycle::{run_scheduling_cycle, run_scheduling_cycle_with_cache},
     deserved_shares::compute_deserved_shares,
-    limit_enforcement::select_stops_over_limit,
+    limit_enforcement::select_preemptions_over_limit,
     preemption::{PreemptionReason, PreemptionScope, PreemptionVictim, select_preemptions},
 };
 
--- a/tests/floods.rs
+++ b/tests/floods.rs
@@ -6,7 +6,7 @@
 use dalelb::{
     cluster::{Attempt, ClusterState, JobIndex, MachineIndex, Phase},
     protocol::job::{JobKind, Priority, Submission},
-    scheduling::{self, PreemptionScope, fair_share::FairShareLedger},
+    scheduling::{self, PreemptionScope, fair_share::FairShareTracker},
 };
 
 mod fixtures;
@@ -25,7 +25,7 @@
 /// A fleet whose tasks run for exactly their estimated time.
 struct SimulatedFleet {
     cluster: ClusterState,
-    fair_share: FairShareLedger,
+    fair_share: FairShareTracker,
     now: u64,
     counts: HashMap<&'static str, TaskCounts>,
 }
@@ -34,7 +34,7 @@
     fn new(cluster: ClusterState) -> Self {
         SimulatedFleet {
             cluster,
-            fair_share: FairShareLedger::default(),
+            fair_share: FairShareTracker::default(),
             now: 0,
             counts: HashMap::new(),
         }
@@ -272,12 +272,17 @@
     timed(
         "scheduling cycle that also computes entitlements",
         &mut || {
-            scheduling::run_scheduling_cycle_with(cluster, fair_share, 10_000, &mut candidates);
+            scheduling::run_scheduling_cycle_with_cache(
+                cluster,
+                fair_share,
+                10_000,
+                &mut candidates,
+            );
         },
     );
     let mut candidates = scheduling::CandidateCache::default();
     let cycle = timed("scheduling cycle", &mut || {
-        scheduling::run_scheduling_cycle_with(cluster, fair_share, 10_040, &mut candidates);
+        scheduling::run_scheduling_cycle_with_cache(cluster, fair_share, 10_040, &mut candidates);
     });
     assert!(
         candidates.machines_scored <= 30 * 1300,
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -12,7 +12,7 @@
         ids::JobId,
         job::{JobKind, Priority, Submission},
     },
-    scheduling::{self, CandidateCache, PreemptionScope, fair_share::FairShareLedger},
+    scheduling::{self, CandidateCache, PreemptionScope, fair_share::FairShareTracker},
     storage,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -32,7 +32,7 @@
 #[test]
 fn equal_teams_get_equal_reservations_regardless_of_arrival_and_backlog() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 4);
-    let mut fair_share = FairShareLedger::default();
+    let mut fair_share = FairShareTracker::default();
     cluster.add_job(&job(1, "red", 1000, 4.0), 0, 0);
     cluster.add_job(&job(2, "blue", 10, 4.0), 99, 0);
     scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0);
@@ -42,7 +42,7 @@
 #[test]
 fn guarantee_is_enforced_by_preempting_only_excess_of_other_teams() {
     let mut cluster = cluster((16.0, 0.0), (0.0, 0.0), 4);
-    let mut fair_share = FairShareLedger::default();
+    let mut fair_share = FairShareTracker::default();
     let with_objectives = Submission {
         deadline_s: Some(1000.0),
         ..job(1, "blue", 16, 4.0)
@@ -105,7 +105,7 @@
     for seed in 0..40 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut cluster = cluster((8.0, 24.0), (0.0, 48.0), 6);
-        let mut fair_share = FairShareLedger::default();
+        let mut fair_share = FairShareTracker::default();
         cluster.machines[5].spot = true;
         let mut now = 0;
         for number in 1..60 {
@@ -170,7 +170,7 @@
 #[test]
 fn replica_preempts_array_task_on_machine_that_has_its_image() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 2);
-    let mut fair_share = FairShareLedger::default();
+    let mut fair_share = FairShareTracker::default();
     let mut array_with_image = job(1, "red", 4, 4.0);
     array_with_image.image = "front-img".into();
     cluster.add_job(&array_with_image, 0, 0);
@@ -246,7 +246,7 @@
 #[test]
 fn waiting_tasks_scale_out_and_idle_machines_scale_in() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 0);
-    let mut fair_share = FairShareLedger::default();
+    let mut fair_share = FairShareTracker::default();
     let mut autoscaler = Autoscaler::default();
     let mut replica = job(1, "red", 4, 4.0);
     replica.kind = JobKind::Service;
@@ -336,7 +336,7 @@
 #[test]
 fn largest_job_fits_snapshot_value_limit_and_scheduling_cycle() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 40);
-    let mut fair_share = FairShareLedger::default();
+    let mut fair_share = FairShareTracker::default();
     let index = cluster.add_job(&job(1, "red", 100_000, 0.1), 0, 0).unwrap();
     while scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0) > 0 {}
     assert!(cluster.job(index).waiting.len() < 100_000);
@@ -356,7 +356,7 @@
 #[test]
 fn image_records_stay_within_value_limit() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 600);
-    let mut fair_share = FairShareLedger::default();
+    let mut fair_share = FairShareTracker::default();
     cluster.add_job(&job(1, "red", 1200, 8.0), 0, 0);
     while scheduling::run_scheduling_cycle(&mut cluster, &mut fair_share, 0) > 0 {}
     advance_all_to_running(&mut cluster, 0);
@@ -406,7 +406,7 @@
 #[test]
 fn log_records_fit_value_limit_and_contain_each_change_once() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 600);
-    let mut fair_share = FairShareLedger::default();
+    let mut fair_share = FairShareTracker::default();
     for number in 0..300 {
         let team = ["red", "blue"][number as usize % 2];
         cluster.add_job(&job(number, team, 7, 4.0), 0, 0);
@@ -436,7 +436,7 @@
 #[test]
 fn gang_is_placed_atomically() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 4);
-    let mut fair_share = FairShareLedger::default();
+    let mut fair_share = FairShareTracker::default();
     let mut gang = job(1, "red", 9, 4.0);
     gang.kind = JobKind::Gang;
     gang.one_zone = true;
@@ -501,15 +501,15 @@
             partly_filled_cluster(seed, 12, 20, 20),
             partly_filled_cluster(seed, 12, 20, 20),
         );
-        let mut cached_fair_share = FairShareLedger::default();
-        let mut uncached_fair_share = FairShareLedger::default();
+        let mut cached_fair_share = FairShareTracker::default();
+        let mut uncached_fair_share = FairShareTracker::default();
         for now in (0..4000).step_by(40) {
             scheduling::run_scheduling_cycle(&mut cached, &mut cached_fair_share, now);
-            scheduling::run_scheduling_cycle_with(
+            scheduling::run_scheduling_cycle_with_cache(
                 &mut uncached,
                 &mut uncached_fair_share,
                 now,
-                &mut CandidateCache::without_cache(),
+                &mut CandidateCache::disabled(),
             );
             assert_eq!(
                 placements(&cached),
@@ -537,7 +537,7 @@
 #[test]
 fn scheduling_cycle_scores_bounded_number_of_machines() {
     let mut cluster = partly_filled_cluster(1, 600, 30, 4000);
-    let mut fair_share = FairShareLedger::default();
+    let mut fair_share = FairShareTracker::default();
     let tasks: usize = cluster.jobs.iter().map(|job| job.tasks.len()).sum();
     assert!(tasks > 20_000, "{tasks} tasks");
     let mut total = 0;
@@ -548,7 +548,7 @@
         let replicas: usize = services.iter().map(|job| job.waiting.len()).sum();
         let (jobs, teams) = (arrays.len() + services.len(), cluster.teams.len());
         let mut candidates = CandidateCache::default();
-        let placed = scheduling::run_scheduling_cycle_with(
+        let placed = scheduling::run_scheduling_cycle_with_cache(
             &mut cluster,
             &mut fair_share,
             now,
@@ -592,7 +592,7 @@
 #[test]
 fn room_freed_by_preemption_is_reserved_for_the_preemptor() {
     let mut cluster = cluster((16.0, 0.0), (0.0, 0.0), 4);
-    let mut fair_share = FairShareLedger::default();
+    let mut fair_share = FairShareTracker::default();
     let without_guarantee = Submission {
         priority: Priority::Low,
         ..job(1, "blue", 100, 1.0)
@@ -636,7 +636,7 @@
 #[test]
 fn task_with_objective_is_preempted_once_by_arrays_and_always_by_services() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 1);
-    let mut fair_share = FairShareLedger::default();
+    let mut fair_share = FairShareTracker::default();
     let without_guarantee = Submission {
         priority: Priority::Low,
         class: "batch".into(),
@@ -682,7 +682,7 @@
 fn arrays_do_not_preempt_work_within_another_teams_guarantee() {
     for (guarantee, stopped) in [(16.0, 0), (8.0, 2), (0.0, 4)] {
         let mut cluster = cluster((0.0, 0.0), (guarantee, 0.0), 1);
-        let mut fair_share = FairShareLedger::default();
+        let mut fair_share = FairShareTracker::default();
         let guaranteed = Submission {
             priority: Priority::Low,
             ..job(1, "blue", 4, 4.0)
@@ -780,7 +780,7 @@
 #[test]
 fn job_inherits_priority_and_deadline_of_its_dependents() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 1);
-    let mut fair_share = FairShareLedger::default();
+    let mut fair_share = FairShareTracker::default();
     let low_priority = Submission {
         priority: Priority::Low,
         estimate_s: 10.0,
@@ -830,7 +830,7 @@
 #[test]
 fn job_without_objective_is_not_starved_by_blocked_array() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 2);
-    let mut fair_share = FairShareLedger::default();
+    let mut fair_share = FairShareTracker::default();
     let replicas = Submission {
         kind: JobKind::Service,
         priority: Priority::Production,
@@ -877,7 +877,7 @@
 #[test]
 fn job_retries_failed_machine_after_avoidance_period() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 1);
-    let mut fair_share = FairShareLedger::default();
+    let mut fair_share = FairShareTracker::default();
     let index = cluster
         .add_job(&job(1, "red", 1, 4.0), 0, 0)
         .expect("a known team");
@@ -903,7 +903,7 @@
 #[test]
 fn long_waiting_job_is_placed_on_slow_machine() {
     let mut cluster = cluster((0.0, 0.0), (0.0, 0.0), 1);
-    let mut fair_share = FairShareLedger::default();
+    let mut fair_share = FairShareTracker::default();
     let replica = Submission {
         kind: JobKind::Service,
         priority: Priority::Production,
@@ -971,7 +971,7 @@
     let team = cluster.job(normal).team;
     let stopped_tasks = |cpus: f64, cluster: &ClusterState| -> Vec<(JobIndex, u32)> {
         let victims =
-            scheduling::select_stops_over_limit(cluster, team, &excess_cpus(cpus), 60_000);
+            scheduling::select_preemptions_over_limit(cluster, team, &excess_cpus(cpus), 60_000);
         let attempts = victims
             .iter()
             .map(|(machine, index)| &cluster.machine(*machine).attempts[*index]);
@@ -1009,7 +1009,8 @@
     add_running_job(&mut cluster, &gang, &[0, 1, 2]);
     add_running_job(&mut cluster, &job(2, "red", 1, 4.0), &[0]);
     let team = cluster.job(JobIndex(0)).team;
-    let victims = scheduling::select_stops_over_limit(&cluster, team, &excess_cpus(4.0), 60_000);
+    let victims =
+        scheduling::select_preemptions_over_limit(&cluster, team, &excess_cpus(4.0), 60_000);
     assert_eq!(victims.len(), 3);
     assert!(
         victims
