--- a/crates/emulators/src/cloud_emulator.rs
+++ b/crates/emulators/src/cloud_emulator.rs
@@ -24,7 +24,7 @@
 
 /// A running emulated cloud.
 #[derive(Clone)]
-pub struct Cloud {
+pub struct CloudEmulator {
     machine_type: MachineType,
     machines: Arc<Mutex<BTreeMap<String, ListedMachine>>>,
     on_deleted: Arc<DeletionCallback>,
@@ -67,7 +67,7 @@
     }
 }
 
-impl Cloud {
+impl CloudEmulator {
     /// Starts serving on `listener`, until the runtime shuts down; `deletion_callback` is called with the names in each
     /// deletion request.
     pub fn start(
@@ -77,7 +77,7 @@
         deletion_callback: impl Fn(&[String]) + Send + Sync + 'static,
     ) -> Self {
         let machines = machines.into_iter().map(|each| (each.id.clone(), each));
-        let cloud = Cloud {
+        let cloud = CloudEmulator {
             machine_type,
             machines: Arc::new(Mutex::new(machines.collect())),
             on_deleted: Arc::new(deletion_callback),
--- a/crates/emulators/src/state_service.rs
+++ b/crates/emulators/src/state_service.rs
@@ -1,4 +1,4 @@
-//! The state service: a [`Store`] served over HTTP, with rate limits, latency and counters.
+//! The state service: a [`StateStore`] served over HTTP, with rate limits, latency and counters.
 
 use std::{
     collections::BTreeMap,
@@ -20,7 +20,7 @@
 
 use crate::{
     responses::msgpack_response,
-    state_store::{Store, StoreLimits},
+    state_store::{StateStore, StoreLimits},
 };
 
 /// How often a waiting watch checks for expired leases; writes wake it immediately.
@@ -103,7 +103,7 @@
 }
 
 struct ServiceState {
-    store: Store,
+    store: StateStore,
     counters: RequestCounters,
     requests: TokenBucket,
     writes: TokenBucket,
@@ -111,7 +111,7 @@
 
 /// A running state service.
 #[derive(Clone)]
-pub struct StateService {
+pub struct StateServiceEmulator {
     state: Arc<Mutex<ServiceState>>,
     changed: Arc<Notify>,
     latency: Duration,
@@ -167,14 +167,14 @@
     }
 }
 
-impl StateService {
+impl StateServiceEmulator {
     /// Starts serving on `listener`, until the runtime shuts down.
     pub fn start(listener: TcpListener, limits: StoreLimits, rates: ServiceRates) -> Self {
-        let mut store = Store::new(limits);
+        let mut store = StateStore::new(limits);
         store.max_retained_changes = MAX_RETAINED_CHANGES;
         // Nodes watch only this prefix. Retaining the changes of all other keys would take gigabytes.
         store.watched_prefix = Some(schema::SHARED_PREFIX);
-        let service = StateService {
+        let service = StateServiceEmulator {
             state: Arc::new(Mutex::new(ServiceState {
                 store,
                 counters: RequestCounters::default(),
--- a/crates/emulators/src/state_store.rs
+++ b/crates/emulators/src/state_store.rs
@@ -49,7 +49,7 @@
 }
 
 /// Keys, versions, leases and the change log, following the published protocol. Times are in milliseconds.
-pub struct Store {
+pub struct StateStore {
     /// Limits on transactions.
     pub limits: StoreLimits,
     /// By key: value, version (the revision of its last write) and the lease to which it is attached.
@@ -69,13 +69,13 @@
     /// Id of the last lease that was granted.
     pub next_lease_id: u64,
     /// Time until which the service is unavailable; leases do not expire before.
-    pub down_until: u64,
+    pub unavailable_until: u64,
 }
 
-impl Store {
+impl StateStore {
     /// An empty store that retains all changes of all keys.
     pub fn new(limits: StoreLimits) -> Self {
-        Store {
+        StateStore {
             limits,
             keys: BTreeMap::new(),
             revision: 0,
@@ -85,13 +85,13 @@
             watched_prefix: None,
             compacted_revision: 0,
             next_lease_id: 0,
-            down_until: 0,
+            unavailable_until: 0,
         }
     }
 
     /// Ends all leases that have expired at `now`, unless the service is unavailable.
     pub fn expire_leases(&mut self, now: u64) {
-        if self.down_until > now {
+        if self.unavailable_until > now {
             return;
         }
         let expired: Vec<u64> = self
--- a/crates/emulators/src/worker_fleet.rs
+++ b/crates/emulators/src/worker_fleet.rs
@@ -45,7 +45,7 @@
 
 /// Settings of a fleet of emulated workers.
 #[derive(Clone, Debug)]
-pub struct FleetSettings {
+pub struct WorkerFleetSettings {
     /// Number of workers.
     pub workers: usize,
     /// Second octet of the addresses: 127.`subnet`.x.y.
@@ -79,7 +79,7 @@
 
 /// A running fleet of emulated workers.
 #[derive(Clone)]
-pub struct Fleet {
+pub struct WorkerFleet {
     workers: Arc<Vec<Worker>>,
     traffic: Arc<FleetTraffic>,
 }
@@ -102,7 +102,7 @@
 }
 
 struct FleetContext {
-    settings: FleetSettings,
+    settings: WorkerFleetSettings,
     tasks: Arc<dyn TaskModel>,
     traffic: Arc<FleetTraffic>,
     started_at: Instant,
@@ -134,9 +134,9 @@
     Some(usize::from(high) * WORKERS_PER_SUBNET + usize::from(low).checked_sub(1)?)
 }
 
-impl Fleet {
+impl WorkerFleet {
     /// Starts the workers; they send heartbeats until the runtime shuts down. Fails if the port is in use.
-    pub fn start(settings: FleetSettings, tasks: Arc<dyn TaskModel>) -> io::Result<Self> {
+    pub fn start(settings: WorkerFleetSettings, tasks: Arc<dyn TaskModel>) -> io::Result<Self> {
         let (listener, addr) = responses::bind(&format!("0.0.0.0:{}", settings.port))?;
         let workers = (0..settings.workers).map(|index| Worker::new(&settings, index, addr.port()));
         let workers: Arc<Vec<Worker>> = Arc::new(workers.collect());
@@ -151,7 +151,7 @@
         for index in 0..workers.len() {
             tokio::spawn(run_reporting_loop(workers.clone(), index, context.clone()));
         }
-        Ok(Fleet { workers, traffic })
+        Ok(WorkerFleet { workers, traffic })
     }
 
     /// The entries of the workers in the machine list of the cloud.
@@ -200,7 +200,7 @@
 }
 
 impl Worker {
-    fn new(settings: &FleetSettings, index: usize, port: u16) -> Self {
+    fn new(settings: &WorkerFleetSettings, index: usize, port: u16) -> Self {
         let addr = SocketAddr::from((worker_ip(settings.subnet, index), port));
         let zone = settings.zones[index % settings.zones.len()].clone();
         let name = format!("vm-{:06}", index + 1);
--- a/crates/load-test/src/region.rs
+++ b/crates/load-test/src/region.rs
@@ -12,13 +12,13 @@
     storage::{self, JobRecord},
 };
 use dalelb_emulators::{
-    cloud_emulator::{Cloud, machine_type},
+    cloud_emulator::{CloudEmulator, machine_type},
     http_connection::{HttpConnection, Traffic},
     link_emulator::EmulatedLink,
     responses::bind,
-    state_service::{ServiceRates, StateService},
+    state_service::{ServiceRates, StateServiceEmulator},
     state_store::StoreLimits,
-    worker_fleet::{Fleet, FleetSettings},
+    worker_fleet::{WorkerFleet, WorkerFleetSettings},
 };
 use http::Method;
 use serde_json::{Value, json};
@@ -123,11 +123,11 @@
     /// The controllers, by node index.
     pub controllers: Vec<Controller>,
     /// The emulated workers.
-    pub fleet: Fleet,
+    pub fleet: WorkerFleet,
     /// The emulated state service.
-    pub state: StateService,
+    pub state: StateServiceEmulator,
     /// The emulated cloud.
-    pub cloud: Cloud,
+    pub cloud: CloudEmulator,
     /// Traffic on the connections of users.
     pub user_traffic: Arc<Traffic>,
     /// Links to the controllers from the other controllers of the region, by node index.
@@ -423,7 +423,7 @@
     Ok(listener)
 }
 
-fn start_state(region: usize, experiment: &Experiment) -> Result<StateService, RunError> {
+fn start_state(region: usize, experiment: &Experiment) -> Result<StateServiceEmulator, RunError> {
     let addr = SocketAddr::new(region_ip(region, 1), experiment.port + STATE_PORT);
     let limits = StoreLimits {
         txn_ops: TXN_OPS,
@@ -434,7 +434,7 @@
         write_rps: Some(experiment.state_write_rps),
         latency: Duration::from_millis(experiment.state_latency_ms),
     };
-    let state = StateService::start(bind_listener(addr)?, limits, rates);
+    let state = StateServiceEmulator::start(bind_listener(addr)?, limits, rates);
     let finished_job = JobRecord::Done {
         at_ms: Some(1_700_000_000_000),
     };
@@ -450,9 +450,9 @@
     experiment: &Experiment,
     checker: &Arc<InvariantChecker>,
     addresses: &[Address],
-) -> Result<Fleet, RunError> {
+) -> Result<WorkerFleet, RunError> {
     let nodes = addresses.iter();
-    let settings = FleetSettings {
+    let settings = WorkerFleetSettings {
         workers: experiment.workers,
         subnet: FIRST_SUBNET + region as u8,
         port: experiment.port + FLEET_PORT + region as u16,
@@ -465,7 +465,7 @@
         lease_ttl: Duration::from_secs_f64(experiment.lease_s),
     };
     let port = settings.port;
-    Fleet::start(settings, checker.clone()).map_err(|source| RunError::Listen {
+    WorkerFleet::start(settings, checker.clone()).map_err(|source| RunError::Listen {
         addr: format!("0.0.0.0:{port}"),
         source,
     })
@@ -476,15 +476,15 @@
     region: usize,
     experiment: &Experiment,
     checker: &Arc<InvariantChecker>,
-    fleet: &Fleet,
-) -> Result<Cloud, RunError> {
+    fleet: &WorkerFleet,
+) -> Result<CloudEmulator, RunError> {
     let addr = SocketAddr::new(region_ip(region, 1), experiment.port + CLOUD_PORT);
     let offered_type = machine_type(experiment.worker_cpus, 1000.0, &zones(experiment));
     let (checker, workers) = (checker.clone(), fleet.clone());
     let on_deleted = move |names: &[String]| {
         workers.delete_workers(names, &*checker);
     };
-    Ok(Cloud::start(
+    Ok(CloudEmulator::start(
         bind_listener(addr)?,
         offered_type,
         fleet.listed_machines(),
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -36,11 +36,11 @@
 };
 use dalelb_emulators::{
     cloud_emulator::{listed_machine, machine_type},
-    state_store::{Store, StoreLimits},
+    state_store::{StateStore, StoreLimits},
     worker_emulator::{EmulatedWorker, TaskEvent, TaskModel, TaskSpec, WorkerIdentity},
 };
 use serde_json::json;
-use wire::{Channel, Sent, Trace};
+use wire::{Channel, MessageDigest, SentMessage};
 
 /// One-way latency between two cells.
 const LINK_LATENCY_MS: u64 = 150;
@@ -109,7 +109,7 @@
     /// Counts the processes of the controller; events for an earlier one are dropped.
     incarnation: u64,
     started_at: u64,
-    store: Store,
+    store: StateStore,
     machines: Vec<EmulatedWorker>,
     /// Pending requests of users (`None`) and of machines (the machine's index).
     pending_requests: HashMap<RequestId, Option<usize>>,
@@ -135,9 +135,9 @@
     /// Number of reports that were delivered between cells.
     delivered_messages: Rc<RefCell<u64>>,
     /// Digest of all messages that the cells sent, in their wire format.
-    sent: Trace,
+    sent: MessageDigest,
     /// Messages between cells, if they are recorded.
-    recorded: Option<Vec<Sent>>,
+    recorded: Option<Vec<SentMessage>>,
 }
 
 /// With `CELL_DIGESTS=FILE`, the digest of the messages that a test's cells sent must be in that file. If
@@ -227,7 +227,7 @@
             loses_quota_write_replies: false,
             quota_writes: 0,
             delivered_messages: Rc::default(),
-            sent: Trace::default(),
+            sent: MessageDigest::default(),
             recorded: None,
         };
         for cell in 0..cells {
@@ -252,7 +252,7 @@
             node: Node::new(config),
             incarnation: 0,
             started_at: 0,
-            store: Store::new(StoreLimits {
+            store: StateStore::new(StoreLimits {
                 txn_ops: 24,
                 value_kb: 16.0,
             }),
@@ -423,7 +423,7 @@
 
     #[expect(clippy::too_many_lines, reason = "still to be split")]
     fn execute_effect(&mut self, cell: usize, effect: Effect) {
-        let message = Sent::of(&effect);
+        let message = SentMessage::from_effect(&effect);
         let incarnation = self.cells[cell].incarnation;
         self.sent.add(self.now, cell, incarnation, &message);
         let cell_channels = [Channel::CellStatement, Channel::CellAnswer];
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -12,12 +12,12 @@
     transport::client::{HttpClient, HttpRequest},
 };
 use dalelb_emulators::{
-    cloud_emulator::{Cloud, machine_type},
+    cloud_emulator::{CloudEmulator, machine_type},
     responses::bind_any_port,
-    state_service::{ServiceRates, StateService},
+    state_service::{ServiceRates, StateServiceEmulator},
     state_store::StoreLimits,
     worker_emulator::{TaskEvent, TaskModel, TaskSpec},
-    worker_fleet::{Fleet, FleetSettings},
+    worker_fleet::{WorkerFleet, WorkerFleetSettings},
 };
 use http::Method;
 use serde_json::{Value, json};
@@ -48,19 +48,19 @@
         value_kb: 16.0,
     };
     let (listener, addr) = bind_any_port();
-    StateService::start(listener, limits, ServiceRates::UNLIMITED);
+    StateServiceEmulator::start(listener, limits, ServiceRates::UNLIMITED);
     addr
 }
 
-fn start_cloud(fleet: &Fleet) -> SocketAddr {
+fn start_cloud(fleet: &WorkerFleet) -> SocketAddr {
     let (listener, addr) = bind_any_port();
     let machine_type = machine_type(8.0, 32.0, &["a".to_owned()]);
-    Cloud::start(listener, machine_type, fleet.listed_machines(), |_| {});
+    CloudEmulator::start(listener, machine_type, fleet.listed_machines(), |_| {});
     addr
 }
 
-fn start_worker(nodes: Vec<(String, SocketAddr)>) -> Fleet {
-    let settings = FleetSettings {
+fn start_worker(nodes: Vec<(String, SocketAddr)>) -> WorkerFleet {
+    let settings = WorkerFleetSettings {
         workers: 1,
         subnet: 10,
         port: 0,
@@ -70,7 +70,7 @@
         report_interval: Duration::from_millis(300),
         lease_ttl: Duration::from_secs(14),
     };
-    Fleet::start(settings, Arc::new(FixedDurationTasks)).expect("a free port")
+    WorkerFleet::start(settings, Arc::new(FixedDurationTasks)).expect("a free port")
 }
 
 fn free_port() -> u16 {
--- a/tests/histories/effects.rs
+++ b/tests/histories/effects.rs
@@ -7,8 +7,8 @@
     pub(crate) fn execute_effect(&mut self, node: usize, incarnation: u64, effect: Effect) {
         let send_time = self.now - self.booted_at[node];
         format!("{effect:?}").hash(&mut self.effects_digest);
-        let message = Sent::of(&effect);
-        self.sent_trace.add(self.now, node, incarnation, &message);
+        let message = SentMessage::from_effect(&effect);
+        self.sent_digest.add(self.now, node, incarnation, &message);
         if let Some(messages) = &mut self.recorded_messages {
             messages.push(message);
         }
--- a/tests/histories/events.rs
+++ b/tests/histories/events.rs
@@ -55,7 +55,7 @@
                     {
                         let until = self
                             .store
-                            .down_until
+                            .unavailable_until
                             .max(self.state_service_refuses_until[node]);
                         self.watches.push((
                             node,
--- a/tests/histories/faults.rs
+++ b/tests/histories/faults.rs
@@ -126,7 +126,7 @@
     /// Returns whether the state service responds to this node with 503.
     pub(crate) fn is_refused_by_state_service(&self, node: usize) -> bool {
         self.store
-            .down_until
+            .unavailable_until
             .max(self.state_service_refuses_until[node])
             > self.now
     }
@@ -134,8 +134,8 @@
     /// Takes the state service down for all nodes; afterwards all leases get their full time again.
     pub(crate) fn start_state_service_outage(&mut self, until: u64) {
         self.store.expire_leases(self.now);
-        let until = until.max(self.store.down_until);
-        self.store.down_until = until;
+        let until = until.max(self.store.unavailable_until);
+        self.store.unavailable_until = until;
         for (end, ttl_ms) in self.store.leases.values_mut() {
             *end = until + *ttl_ms;
         }
--- a/tests/histories/golden.rs
+++ b/tests/histories/golden.rs
@@ -30,7 +30,7 @@
 }
 
 /// Returns one line per key, with its value, its version and the lease that it is attached to.
-fn dump_rows(store: &Store, prefix: &str) -> String {
+fn dump_rows(store: &StateStore, prefix: &str) -> String {
     let rows = store.keys.iter().filter(|(key, _)| key.starts_with(prefix));
     let lines = rows.map(|(key, (value, version, lease))| {
         json!({"key": key, "value": value, "version": version, "lease": lease}).to_string()
@@ -39,7 +39,7 @@
 }
 
 /// Returns the kind of a message: its channel and what it requests.
-fn message_kind(sent: &Sent) -> String {
+fn message_kind(sent: &SentMessage) -> String {
     let mut words = sent.head.split([' ', '?']);
     let verb = words.next().unwrap_or_default();
     let path = words.next().unwrap_or_default();
@@ -61,7 +61,7 @@
 
 /// Returns a few messages of each kind, one per line: the channel, what is sent beside the body,
 /// and the body.
-fn sample_messages(sent_messages: &[Sent]) -> String {
+fn sample_messages(sent_messages: &[SentMessage]) -> String {
     let mut count: BTreeMap<String, usize> = BTreeMap::new();
     let mut lines = BTreeSet::new();
     for sent in sent_messages.iter().filter(|sent| !sent.body.is_empty()) {
--- a/tests/histories/history.rs
+++ b/tests/histories/history.rs
@@ -165,7 +165,7 @@
     HistoryResult {
         fault_counts,
         effects_digest: cluster.effects_digest.finish(),
-        sent_digest: cluster.sent_trace.digest(),
+        sent_digest: cluster.sent_digest.digest(),
     }
 }
 
--- a/tests/histories/invariants.rs
+++ b/tests/histories/invariants.rs
@@ -84,7 +84,7 @@
             self.start_state_service_outage(until);
         }
         self.store.expire_leases(self.now);
-        if self.store.down_until <= self.now {
+        if self.store.unavailable_until <= self.now {
             for (node, incarnation, tag, request, sent_and_ticket, until) in
                 std::mem::take(&mut self.watches)
             {
@@ -153,7 +153,7 @@
                 && self.workers_unreachable_until[node] + grace_ms <= self.now
                 && self.frozen_until[node] + 5000 <= self.now
         };
-        if self.store.down_until.max(self.fault_until) + grace_ms > self.now
+        if self.store.unavailable_until.max(self.fault_until) + grace_ms > self.now
             || !(0..NODE_COUNT).all(is_stable)
             || self.zone_partition.2 + grace_ms > self.now
         {
--- a/tests/histories/main.rs
+++ b/tests/histories/main.rs
@@ -39,11 +39,11 @@
         worker::*,
     },
 };
-use dalelb_emulators::state_store::{Store, StoreLimits};
+use dalelb_emulators::state_store::{StateStore, StoreLimits};
 use history::{init_logging, run_history, run_second_with_faults};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use serde_json::{Value, json};
-use wire::{Sent, Trace};
+use wire::{MessageDigest, SentMessage};
 
 const NODE_COUNT: usize = 3;
 /// Limit of team red, in CPUs.
@@ -366,7 +366,7 @@
     /// Requests to the state service, and puts and deletes in them.
     requests: usize,
     writes: usize,
-    store: Store,
+    store: StateStore,
     watches: Vec<(usize, u64, coordination::Tag, StateRequest, u64, u64)>,
     answered_tickets: HashSet<u64>,
     workers: Vec<Worker>,
@@ -413,9 +413,9 @@
     /// Digest of all effects of the nodes, in order, with their internal fields.
     effects_digest: DefaultHasher,
     /// Digest of all messages of the nodes, in order, as encoded on the wire.
-    sent_trace: Trace,
+    sent_digest: MessageDigest,
     /// Messages as they were sent, if they are recorded.
-    recorded_messages: Option<Vec<Sent>>,
+    recorded_messages: Option<Vec<SentMessage>>,
     /// Probability that a command to a worker is delayed, for less than the timeout of its sender.
     late_command_probability: f64,
     faults_enabled: bool,
--- a/tests/wire/mod.rs
+++ b/tests/wire/mod.rs
@@ -54,15 +54,15 @@
 /// A message as a node sends it: its channel, what is sent besides the body (such as a path, an address or a number),
 /// and the body.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sent {
+pub struct SentMessage {
     pub channel: Channel,
     pub head: String,
     pub body: Vec<u8>,
 }
 
-impl Sent {
+impl SentMessage {
     fn new(channel: Channel, head: String, body: Vec<u8>) -> Self {
-        Sent {
+        SentMessage {
             channel,
             head,
             body,
@@ -71,17 +71,17 @@
 
     fn http(channel: Channel, request: HttpRequest, details: String) -> Self {
         let head = format!("{} {} {details}", request.method, request.path);
-        Sent::new(channel, head, request.body)
+        SentMessage::new(channel, head, request.body)
     }
 
     /// The message that an effect sends.
     #[expect(clippy::too_many_lines, reason = "still to be split")]
-    pub fn of(effect: &Effect) -> Self {
+    pub fn from_effect(effect: &Effect) -> Self {
         match effect {
             Effect::Respond(id, response) => {
                 let retry_after_s = response.retry_after_s.unwrap_or(0);
                 let head = format!("{id} {} {retry_after_s}", response.status);
-                Sent::new(Channel::User, head, response.body.clone())
+                SentMessage::new(Channel::User, head, response.body.clone())
             }
             Effect::CallStateService {
                 request,
@@ -95,13 +95,13 @@
                     StateRequestPriority::Normal => 2,
                 };
                 let details = format!("{priority} {timeout_ms}");
-                Sent::http(Channel::State, state_request(request), details)
+                SentMessage::http(Channel::State, state_request(request), details)
             }
             Effect::CallCloud {
                 request,
                 timeout_ms,
                 ..
-            } => Sent::http(
+            } => SentMessage::http(
                 Channel::Cloud,
                 cloud_request(request),
                 timeout_ms.to_string(),
@@ -113,11 +113,11 @@
                 timeout_ms,
             } => {
                 let details = format!("{} {addr} {timeout_ms}", tag.machine);
-                Sent::http(Channel::Worker, worker_request(orders.as_ref()), details)
+                SentMessage::http(Channel::Worker, worker_request(orders.as_ref()), details)
             }
             Effect::AnnounceProgress(progress) => {
                 let message = proto::Progress::from(progress);
-                Sent::new(
+                SentMessage::new(
                     Channel::MeshProgress,
                     String::new(),
                     message.encode_to_vec(),
@@ -125,19 +125,19 @@
             }
             Effect::PublishMemberStatus(status) => {
                 let message = proto::Told::from(&**status);
-                Sent::new(Channel::MeshStatus, String::new(), message.encode_to_vec())
+                SentMessage::new(Channel::MeshStatus, String::new(), message.encode_to_vec())
             }
             Effect::RequestRevocation {
                 label, revocation, ..
             } => {
                 let message = proto::Revocation::from(revocation.clone());
                 let body = message.encode_to_vec();
-                Sent::new(Channel::MeshRevocation, label.clone(), body)
+                SentMessage::new(Channel::MeshRevocation, label.clone(), body)
             }
             Effect::RespondRevocation(id, reply) => {
                 let message = proto::Renewals::from(reply.clone());
                 let body = message.encode_to_vec();
-                Sent::new(Channel::MeshRenewals, id.to_string(), body)
+                SentMessage::new(Channel::MeshRenewals, id.to_string(), body)
             }
             Effect::RelayRequest {
                 id,
@@ -147,7 +147,7 @@
                 let message =
                     encode_relayed_request(relayed).expect("only users' requests are relayed");
                 let head = format!("{id} {label}");
-                Sent::new(Channel::MeshRelay, head, message.encode_to_vec())
+                SentMessage::new(Channel::MeshRelay, head, message.encode_to_vec())
             }
             Effect::SendCellReport {
                 cell,
@@ -156,16 +156,16 @@
             } => {
                 let message = proto::CellStatement::from((**cell_report).clone());
                 let body = message.encode_to_vec();
-                Sent::new(Channel::CellStatement, cell.clone(), body)
+                SentMessage::new(Channel::CellStatement, cell.clone(), body)
             }
             Effect::RespondCellReport(id, grants) => {
                 let message = grants.clone().map(proto::CellAnswer::from);
                 let body = message.map(|message| message.encode_to_vec());
                 let head = format!("{id} {}", body.is_some());
-                Sent::new(Channel::CellAnswer, head, body.unwrap_or_default())
+                SentMessage::new(Channel::CellAnswer, head, body.unwrap_or_default())
             }
             Effect::SetLeadership(is_leader) => {
-                Sent::new(Channel::Rates, is_leader.to_string(), Vec::new())
+                SentMessage::new(Channel::Rates, is_leader.to_string(), Vec::new())
             }
         }
     }
@@ -173,13 +173,13 @@
 
 /// A digest of all messages that the nodes of a simulation sent, in order.
 #[derive(Default)]
-pub struct Trace {
+pub struct MessageDigest {
     hasher: DefaultHasher,
 }
 
-impl Trace {
+impl MessageDigest {
     /// Adds a message that a node's process of the given incarnation sent at the simulated time `now`, in milliseconds.
-    pub fn add(&mut self, now: u64, node: usize, incarnation: u64, sent: &Sent) {
+    pub fn add(&mut self, now: u64, node: usize, incarnation: u64, sent: &SentMessage) {
         for number in [now, node as u64, incarnation, sent.channel as u64] {
             self.hasher.write_u64(number);
         }
