--- a/src/cluster/placement.rs
+++ b/src/cluster/placement.rs
@@ -1,4 +1,4 @@
-//! Resource reservations: placing attempts, tracking their phases, and releasing their resources.
+//! Placing attempts: reserving their resources, tracking their phases, and releasing the resources.
 
 use crate::{
     cluster::{
--- a/src/coordination/reachability.rs
+++ b/src/coordination/reachability.rs
@@ -18,7 +18,7 @@
 /// How long a node that has resigned does not try to lead again: its lease is released, and another node
 /// acquires a new one well within this time, whatever the timings of the workers are.
 pub(super) const RESIGNATION_BACKOFF_MS: Millis = 8000;
-/// The members are asked while more than one in this many machines is unresponsive.
+/// Inquiries are sent to the members while more than one in this many machines is unresponsive.
 const UNRESPONSIVE_FLEET_DIVISOR: usize = 4;
 /// The leader resigns if a member receives reports of more machines than it does, by more than the number
 /// of all machines divided by this.
@@ -32,8 +32,8 @@
 pub struct WorkerReachability {
     /// Since when many machines have been unresponsive.
     many_unresponsive_since: Option<Millis>,
-    /// When the members were last asked.
-    asked_at: Millis,
+    /// When inquiries were last sent to the members.
+    last_inquiry_at: Millis,
     /// How many workers recently reported to each member, and when its reply arrived.
     member_reports: HashMap<String, (Millis, usize)>,
 }
@@ -100,10 +100,10 @@
             tracing::warn!(reached, total, members = ?leader.reachability.member_reports, "resigning leadership: too few workers reach this node");
             return self.resign_leadership();
         }
-        if leader.reachability.asked_at + MEMBER_INQUIRY_INTERVAL_MS > now {
+        if leader.reachability.last_inquiry_at + MEMBER_INQUIRY_INTERVAL_MS > now {
             return;
         }
-        leader.reachability.asked_at = now;
+        leader.reachability.last_inquiry_at = now;
         let (lease, term) = (leader.lease, leader.term);
         for member in &self.config.members {
             self.effects.push(Effect::RequestRevocation {
--- a/src/coordination/watch_cache/watch.rs
+++ b/src/coordination/watch_cache/watch.rs
@@ -8,8 +8,8 @@
     time::Millis,
 };
 
-/// How long the state service holds a watch when there are no changes.
-const WATCH_HOLD_MS: Millis = 10_000;
+/// How long the state service waits for changes before it responds to a watch without any.
+const WATCH_MAX_WAIT_MS: Millis = 10_000;
 /// How long after that the response may take to arrive.
 const WATCH_TIMEOUT_MARGIN_MS: Millis = 3000;
 
@@ -34,10 +34,10 @@
             StateRequest::Changes {
                 prefix: storage::SHARED_PREFIX,
                 after: self.registry.revision,
-                max_wait_ms: WATCH_HOLD_MS,
+                max_wait_ms: WATCH_MAX_WAIT_MS,
             },
             StateRequestPriority::Prompt,
-            WATCH_HOLD_MS + WATCH_TIMEOUT_MARGIN_MS,
+            WATCH_MAX_WAIT_MS + WATCH_TIMEOUT_MARGIN_MS,
         );
     }
 
--- a/src/coordination/workers/failure_detection.rs
+++ b/src/coordination/workers/failure_detection.rs
@@ -46,14 +46,14 @@
 /// replied about unresponsive machines.
 #[derive(Default)]
 pub struct RenewerRevocations {
-    /// When the keys of former renewers were seen to be deleted, since the takeover.
+    /// When the watch reported that the keys of former renewers were deleted, since the takeover.
     lost_at: HashMap<String, Millis>,
-    /// When each renewer's key was last seen to be written again.
+    /// When the watch last reported that each renewer's key was written again.
     registered_at: HashMap<String, Millis>,
     /// The latest reply of each member about each machine.
     replies: HashMap<(String, String), RevocationReply>,
-    /// When the renewers were last asked.
-    asked_at: Millis,
+    /// When inquiries were last sent to the renewers.
+    last_inquiry_at: Millis,
 }
 
 impl RenewerRevocations {
@@ -171,7 +171,7 @@
         let Some(leader) = &mut self.leader_state else {
             return;
         };
-        if leader.revocations.asked_at + RENEWER_INQUIRY_INTERVAL_MS > now {
+        if leader.revocations.last_inquiry_at + RENEWER_INQUIRY_INTERVAL_MS > now {
             return;
         }
         let Some(cluster) = &leader.cluster else {
@@ -201,7 +201,7 @@
         if machines.is_empty() {
             return;
         }
-        leader.revocations.asked_at = now;
+        leader.revocations.last_inquiry_at = now;
         let (lease, term) = (leader.lease, leader.term);
         let requested_at_ms = self.wall_ms;
         self.request_read_barrier();
--- a/src/quota/plan.rs
+++ b/src/quota/plan.rs
@@ -15,7 +15,7 @@
 /// Spare units are granted only to a cell that lacks more than its share divided by this.
 const SPARE_GRANT_DIVISOR: Units = 8;
 
-/// What one cell holds, uses and wants of a team's limit.
+/// How much of a team's limit one cell holds, uses and demands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CellShare {
     /// What the cell may hold: granted and not returned.
--- a/src/scheduling/candidates.rs
+++ b/src/scheduling/candidates.rs
@@ -90,7 +90,7 @@
 }
 
 impl CandidateCache {
-    /// A cache that searches all machines for each task, for tests to compare with.
+    /// A disabled cache: all machines are searched for each task. Tests compare the cache with it.
     pub fn disabled() -> Self {
         CandidateCache {
             cache_disabled: true,
--- a/src/scheduling/fair_share.rs
+++ b/src/scheduling/fair_share.rs
@@ -70,7 +70,7 @@
     /// The units of the attempts that run and are not being stopped.
     allocated: f64,
     waiting_tasks: usize,
-    /// How long this node has known its oldest waiting job, in milliseconds.
+    /// How long ago its oldest waiting job was added to this node's cluster state, in milliseconds.
     oldest_wait_ms: Millis,
 }
 
@@ -86,20 +86,20 @@
     pub entitled: f64,
     /// The units of its running attempts, as a moving average.
     pub allocated: f64,
-    /// How long this node has known its oldest waiting job, in milliseconds.
+    /// How long ago its oldest waiting job was added to this node's cluster state, in milliseconds.
     pub oldest_wait_ms: Millis,
     /// At this moment, not on average, it has at least half of its entitlement.
     currently_served: bool,
     below_share_since: Option<Millis>,
     /// It has had too little for too long, and has not caught up yet.
     pub starved: bool,
-    /// Tasks that this leader has seen start.
+    /// Tasks whose start was reported to this leader.
     pub tasks_started: u64,
-    /// Tasks that this leader has seen complete.
+    /// Tasks whose completion was reported to this leader.
     pub tasks_completed: u64,
     /// Attempts that this leader has preempted.
     pub attempts_preempted: u64,
-    /// Jobs that this leader has seen complete.
+    /// Jobs that completed under this leader.
     pub jobs_completed: u64,
     /// Completed jobs that met the earliest of their completion objectives.
     pub jobs_on_time: u64,
--- a/src/scheduling/limit_enforcement.rs
+++ b/src/scheduling/limit_enforcement.rs
@@ -9,7 +9,7 @@
     time::Millis,
 };
 
-/// Selects the attempts to stop for the team's use to fall by `excess`. Each is given by its
+/// Selects the attempts to preempt for the team's use to fall by `excess`. Each is given by its
 /// machine and its position among that machine's attempts. The least urgent come first, then those
 /// whose stop costs least; gangs are stopped whole. Attempts that are already being stopped count
 /// towards `excess`.
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -454,8 +454,8 @@
         accepted.len()
     );
     let http = Rc::new(HttpClient::new(1, Duration::from_secs(30), false));
-    // All accepted jobs must be known. One machine needs long for all of them, so completion is awaited for the
-    // first 20 only.
+    // The controller must return the status of all accepted jobs. One machine needs long for all of them, so
+    // completion is awaited for the first 20 only.
     for (number, id) in accepted.into_iter().enumerate() {
         wait_until("done (first 20) or known", || {
             let (http, addr, path) = (http.clone(), addrs[1].to_string(), format!("/v2/runs/{id}"));
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -253,14 +253,14 @@
     replica.spread = true;
     replica.spot = false;
     cluster.add_job(&replica, 0, 0);
-    let (rentals, _) = autoscaler.plan_scaling(&cluster, &[], 0, 0);
-    let count: u32 = rentals.iter().map(|rental| rental.count).sum();
+    let (requests, _) = autoscaler.plan_scaling(&cluster, &[], 0, 0);
+    let count: u32 = requests.iter().map(|request| request.count).sum();
     assert_eq!(count, 2, "half of a spread job in each zone");
-    assert!(rentals.iter().all(|rental| !rental.offer.spot));
-    let (further_rentals, _) = autoscaler.plan_scaling(&cluster, &rentals, 0, 0);
-    assert!(further_rentals.is_empty(), "pending rentals are counted");
-    for rental in &rentals {
-        autoscaler.mark_unavailable(rental.offer, 0);
+    assert!(requests.iter().all(|request| !request.offer.spot));
+    let (further_requests, _) = autoscaler.plan_scaling(&cluster, &requests, 0, 0);
+    assert!(further_requests.is_empty(), "pending requests are counted");
+    for request in &requests {
+        autoscaler.mark_unavailable(request.offer, 0);
     }
     assert!(
         autoscaler.plan_scaling(&cluster, &[], 0, 0).0.is_empty(),
@@ -290,8 +290,8 @@
         for second in 0..110 {
             autoscaler.record_service_arrival(request, arrivals_per_second, 2000 + second * 1000);
         }
-        let (rentals, _) = autoscaler.plan_scaling(&cluster, &[], 112_000, 112_000);
-        let machines: u32 = rentals.iter().map(|rental| rental.count).sum();
+        let (requests, _) = autoscaler.plan_scaling(&cluster, &[], 112_000, 112_000);
+        let machines: u32 = requests.iter().map(|request| request.count).sum();
         16 * machines as usize
     };
     // Arrivals during 15 s of booting, with a margin of half as much.
@@ -321,16 +321,19 @@
     let booting = cluster.add_machine("vm-000100", MachineTypeIndex(0), zone, false, 0);
     assert_eq!(cluster.machine(booting).state, MachineState::Booting);
     cluster.add_job(&job(1, "red", 64, 16.0), 0, 0);
-    let (rentals, _) = Autoscaler::default().plan_scaling(&cluster, &[], 0, 0);
-    let rented: u32 = rentals.iter().map(|rental| rental.count).sum();
-    assert!(rentals.iter().all(|rental| rental.offer.zone != zone));
-    assert_eq!(rented, 50, "as many as one request may ask for");
+    let (requests, _) = Autoscaler::default().plan_scaling(&cluster, &[], 0, 0);
+    let requested: u32 = requests.iter().map(|request| request.count).sum();
+    assert!(requests.iter().all(|request| request.offer.zone != zone));
+    assert_eq!(
+        requested, 50,
+        "the most instances that one request may contain"
+    );
     // Half of the machines in the zone respond: the zone is not partitioned.
     for machine in cluster.machines.iter_mut().step_by(4) {
         machine.unresponsive = false;
     }
-    let (rentals, _) = Autoscaler::default().plan_scaling(&cluster, &[], 0, 0);
-    assert!(rentals.iter().any(|rental| rental.offer.zone == zone));
+    let (requests, _) = Autoscaler::default().plan_scaling(&cluster, &[], 0, 0);
+    assert!(requests.iter().any(|request| request.offer.zone == zone));
 }
 
 #[test]
