--- a/src/cluster/durability.rs
+++ b/src/cluster/durability.rs
@@ -9,7 +9,7 @@
         index::JobIndex,
         task::TaskStatus,
     },
-    protocol::{ids::JobId, worker::FailureCause},
+    protocol::{ids::JobId, worker::ExitCause},
     storage::SnapshotNumber,
 };
 
@@ -36,13 +36,13 @@
     pub fn is_acknowledged(&self, attempt: &Attempt) -> bool {
         attempt.phase == Phase::Ended
             && attempt.reconciled
-            && (attempt.cause != Some(FailureCause::Done)
+            && (attempt.cause != Some(ExitCause::Done)
                 || self.job(attempt.job).closed
                 || self.is_durable(attempt.job, attempt.task))
     }
 
     /// Whether all changes of the job's tasks are stored or in the write that is in flight.
-    pub fn is_fully_submitted(&self, job: JobIndex) -> bool {
+    pub fn has_no_unlogged_tasks(&self, job: JobIndex) -> bool {
         self.unlogged_tasks
             .range(task_keys_of_job(job))
             .next()
--- a/src/coordination/admission/mod.rs
+++ b/src/coordination/admission/mod.rs
@@ -24,9 +24,9 @@
     protocol::{
         ids::JobId,
         job::Submission,
-        state::{Condition, StateError, StateReply, StateRequest, Urgency, Write},
+        state::{Condition, StateError, StateReply, StateRequest, StateRequestPriority, Write},
     },
-    scheduling::fair_share::{FairShareLedger, ShareStatus},
+    scheduling::fair_share::{FairShareStatus, FairShareTracker},
     storage,
     time::Millis,
 };
@@ -106,7 +106,7 @@
 impl Admission {
     /// Records that a step of the node began `gap_ms` after the one before. After more than `late_after_ms`, the
     /// processor counts as late for the whole gap, of which at most 1000 ms count.
-    pub(super) fn record_pass(&mut self, gap_ms: Millis, late_after_ms: Millis) {
+    pub(super) fn record_step_gap(&mut self, gap_ms: Millis, late_after_ms: Millis) {
         let late_ms = if gap_ms > late_after_ms {
             gap_ms.min(1000) as f64
         } else {
@@ -167,9 +167,12 @@
     }
 }
 
-impl FairShareLedger {
+impl FairShareTracker {
     /// The fair share status of each class, by the names of team and class.
-    pub fn named_statuses(&self, cluster: &ClusterState) -> Vec<(WorkloadClassName, ShareStatus)> {
+    pub fn named_statuses(
+        &self,
+        cluster: &ClusterState,
+    ) -> Vec<(WorkloadClassName, FairShareStatus)> {
         let statuses = self.statuses();
         let named_statuses = statuses.map(|(class, status)| {
             let class = WorkloadClassName {
@@ -461,7 +464,7 @@
             max_bytes.saturating_sub(QUOTAS_OVERHEAD_BYTES + 72 * demands.len()) / bytes_per_class;
         let seq = stored_quotas.map_or(0, |quotas| quotas.seq) + 1;
         let new_quotas = quotas::allocate_quotas(&demands, floor, (seq, leader.term), max_classes);
-        let new_quotas = new_quotas.following(stored_quotas, default_rate, floor);
+        let new_quotas = new_quotas.with_previous_totals(stored_quotas, default_rate, floor);
         if stored_quotas.is_some_and(|stored| !new_quotas.differs_by(stored, MIN_SHARE_CHANGE)) {
             return;
         }
@@ -479,7 +482,7 @@
         let Some(leader) = &self.leader_state else {
             return;
         };
-        let mut txn = crate::protocol::state::Txn::only_if(leader.leadership_condition());
+        let mut txn = crate::protocol::state::Txn::with_condition(leader.leadership_condition());
         txn.conditions.push(Condition {
             key: storage::ADMISSION_QUOTAS_KEY.into(),
             version,
@@ -491,7 +494,7 @@
         });
         self.admission.store_in_flight = true;
         let request = StateRequest::Txn(txn);
-        self.call_state_service(tag, request, Urgency::Normal, TXN_TIMEOUT_MS);
+        self.call_state_service(tag, request, StateRequestPriority::Normal, TXN_TIMEOUT_MS);
     }
 
     /// Handles the response to the write that marks quotas as settled. Whatever the outcome, this node applies the
@@ -535,7 +538,7 @@
         }
         self.admission.served_logged_at = now;
         let counts_by_class = self.total_admission_counts();
-        let share_statuses: BTreeMap<WorkloadClassName, ShareStatus> = leader
+        let share_statuses: BTreeMap<WorkloadClassName, FairShareStatus> = leader
             .fair_share
             .named_statuses(cluster)
             .into_iter()
--- a/src/coordination/lease_renewer.rs
+++ b/src/coordination/lease_renewer.rs
@@ -15,12 +15,14 @@
         ApiResponse, Effect, LeaseRenewalAge, LeaseRevocation, Node, RenewalReply, RequestId,
         StateTag,
         registry::RegisteredJob,
-        timeouts::{RENEWER_LEASE_MARGIN_MS, UNREACHABLE_NODE_COST_MS},
+        timeouts::{RENEWER_LEASE_MARGIN_MS, UNREACHABLE_NODE_TIMEOUT_MS},
         workers::REPLY_VALIDITY_MS,
     },
     protocol::{
         job::JobStatus,
-        state::{Condition, StateError, StateReply, StateRequest, Txn, Urgency, Write},
+        state::{
+            Condition, StateError, StateReply, StateRequest, StateRequestPriority, Txn, Write,
+        },
         worker::{Order, Orders, Redirect, Report, TaskState},
     },
     storage::{self, LeaseRenewerRecord},
@@ -58,7 +60,7 @@
     request_in_flight: bool,
     next_request_at: Millis,
     /// When the last announcement of a leader arrived.
-    pub leader_heard_at: Option<Millis>,
+    pub leader_announced_at: Option<Millis>,
     /// A leader whose announcement has a higher term than the registry: its term, its label, and when the
     /// announcement arrived.
     announced_leader: Option<(u64, String, Millis)>,
@@ -90,10 +92,10 @@
         match (self.lease_renewer.lease, self.lease_renewer.holds_key) {
             (None, _) => self.call_state_service(
                 StateTag::GrantRenewerLease,
-                StateRequest::Grant {
+                StateRequest::GrantLease {
                     ttl_ms: self.timeouts.renewer_lease,
                 },
-                Urgency::Vital,
+                StateRequestPriority::Vital,
                 REQUEST_TIMEOUT_MS,
             ),
             (Some(lease), false) => {
@@ -116,14 +118,14 @@
                 self.call_state_service(
                     StateTag::PutRenewerKey { lease },
                     StateRequest::Txn(txn),
-                    Urgency::Vital,
+                    StateRequestPriority::Vital,
                     REQUEST_TIMEOUT_MS,
                 );
             }
             (Some(lease), true) => self.call_state_service(
                 StateTag::TouchRenewerLease { lease },
-                StateRequest::Touch { lease },
-                Urgency::Vital,
+                StateRequest::RenewLease { lease },
+                StateRequestPriority::Vital,
                 REQUEST_TIMEOUT_MS,
             ),
         }
@@ -172,7 +174,7 @@
                 self.lease_renewer.key_version = version;
                 self.schedule_renewer_request(LEASE_TOUCH_INTERVAL_MS);
             }
-            Ok(StateReply::NoLease) => self.on_renewer_lease_lost(),
+            Ok(StateReply::LeaseNotFound) => self.on_renewer_lease_lost(),
             // The key has another version than the registry shows: an earlier process wrote it, or this
             // process did and got no answer.
             Ok(StateReply::Conflict(_)) => {
@@ -199,7 +201,7 @@
     }
 
     /// Handles a lease renewer's key that was deleted.
-    pub(super) fn on_renewer_gone(&mut self, label: String, version: u64) {
+    pub(super) fn on_renewer_deregistered(&mut self, label: String, version: u64) {
         if label == self.config.label {
             if self.lease_renewer.holds_key && version > self.lease_renewer.key_version {
                 self.on_renewer_lease_lost();
@@ -222,12 +224,12 @@
             return;
         }
         match result {
-            Ok(StateReply::Touched) => {
+            Ok(StateReply::LeaseUpdated) => {
                 self.lease_renewer.lease_confirmed_at =
                     self.lease_renewer.lease_confirmed_at.max(sent_at);
                 self.schedule_renewer_request(LEASE_TOUCH_INTERVAL_MS);
             }
-            Ok(StateReply::NoLease) => self.on_renewer_lease_lost(),
+            Ok(StateReply::LeaseNotFound) => self.on_renewer_lease_lost(),
             _ => self.schedule_renewer_request(RETRY_MS),
         }
     }
@@ -261,11 +263,12 @@
         let leader = self.current_other_leader();
         let leader_is_alive = self
             .lease_renewer
-            .leader_heard_at
+            .leader_announced_at
             .is_some_and(|at| at + ANNOUNCEMENT_TIMEOUT_MS > now);
         // A worker that reports here again this soon after its redirect did not reach the leader. Before it
         // came back, it may have tried all other nodes and timed out on each.
-        let max_return_ms = UNREACHABLE_NODE_COST_MS * self.config.members.len() as Millis + 1000;
+        let max_return_ms =
+            UNREACHABLE_NODE_TIMEOUT_MS * self.config.members.len() as Millis + 1000;
         let redirected_at = self
             .lease_renewer
             .redirected_at
@@ -427,7 +430,7 @@
         let mut renewals = Vec::new();
         let clock_error_ms = 2 * self.config.settings.clock_error_ms as u64;
         let is_stale =
-            self.wall_ms > revocation.asked_at_ms + MAX_REVOCATION_AGE_MS + clock_error_ms;
+            self.wall_ms > revocation.requested_at_ms + MAX_REVOCATION_AGE_MS + clock_error_ms;
         if revocation.term >= self.registry.term && !is_stale {
             for machine in revocation.machines {
                 let last_renewal = self.lease_renewer.renewals.get(&machine.name).copied();
@@ -452,7 +455,7 @@
             id,
             RenewalReply {
                 renewals,
-                workers_heard: reporting_workers,
+                reporting_workers,
             },
         ));
     }
--- a/src/coordination/provisioning.rs
+++ b/src/coordination/provisioning.rs
@@ -6,8 +6,10 @@
     cluster::{ClusterState, MachineState, MachineTypeIndex},
     coordination::{CloudTag, Node, StateTag, workers::mark_lost, write_outcome::TXN_TIMEOUT_MS},
     protocol::{
-        cloud::{CloudError, CloudReply, CloudRequest, ListedMachine, MachineStatus, RentRequest},
-        state::{StateRequest, Txn, Urgency},
+        cloud::{
+            CloudError, CloudReply, CloudRequest, ListedMachine, MachineStatus, ProvisionRequest,
+        },
+        state::{StateRequest, StateRequestPriority, Txn},
     },
     storage,
     time::{Millis, millis},
@@ -56,20 +58,20 @@
 impl Node {
     /// Requests the machine types from the cloud: until they are known, and regularly while leading.
     pub(super) fn request_machine_types(&mut self) {
-        let interval_ms = match self.machine_types_known_at {
+        let interval_ms = match self.machine_types_received_at {
             None => TYPES_RETRY_MS,
             Some(_) => TYPES_INTERVAL_MS,
         };
         // A follower needs no current prices.
-        let is_due = self.machine_types_known_at.is_none() || self.leader_state.is_some();
+        let is_due = self.machine_types_received_at.is_none() || self.leader_state.is_some();
         if !is_due
             || self
-                .machine_types_asked_at
+                .machine_types_requested_at
                 .is_some_and(|at| at + interval_ms > self.now)
         {
             return;
         }
-        self.machine_types_asked_at = Some(self.now);
+        self.machine_types_requested_at = Some(self.now);
         self.effects.push(crate::coordination::Effect::CallCloud {
             tag: CloudTag::MachineTypes,
             request: CloudRequest::Types,
@@ -109,12 +111,12 @@
         for (key, value) in storage::machine_types_records(&self.machine_types, max_value_bytes) {
             // An earlier write of this leader that is applied late must not overwrite a newer one.
             let version = self.registry.machine_types_versions.get(&key);
-            let mut txn = Txn::only_if(condition.clone());
+            let mut txn = Txn::with_condition(condition.clone());
             txn.put(key, version.copied().unwrap_or(0), value);
             self.call_state_service(
                 StateTag::WriteMachineTypes,
                 StateRequest::Txn(txn),
-                Urgency::Normal,
+                StateRequestPriority::Normal,
                 TXN_TIMEOUT_MS,
             );
         }
@@ -141,7 +143,7 @@
                     && types.types.len() <= 64
                 {
                     self.machine_types = types.types;
-                    self.machine_types_known_at = Some(self.now);
+                    self.machine_types_received_at = Some(self.now);
                     if let Some(cluster) =
                         self.leader_state.as_mut().and_then(|l| l.cluster.as_mut())
                     {
@@ -191,8 +193,8 @@
         let unreported: Vec<(String, String)> = cluster
             .machines
             .iter()
-            .filter(|m| m.last_heartbeat_at.is_none() && m.state != MachineState::Gone)
-            .filter(|m| m.state == MachineState::Up || m.listed_running.is_some())
+            .filter(|m| m.last_heartbeat_at.is_none() && m.state != MachineState::Deleted)
+            .filter(|m| m.state == MachineState::Up || m.listed_running_at.is_some())
             .filter_map(|m| Some((m.name.clone(), m.addr.clone()?)))
             .collect();
         for (name, addr) in unreported {
@@ -253,7 +255,7 @@
             match machine.status {
                 MachineStatus::Booting => {}
                 MachineStatus::Running => {
-                    entry.listed_running.get_or_insert(now);
+                    entry.listed_running_at.get_or_insert(now);
                 }
                 MachineStatus::Failed => entry.listed_failed = true,
             }
@@ -261,7 +263,7 @@
         // A machine stays on the list until it is gone, but a list may be older than the previous one, and
         // even older than the machine.
         for (machine, present) in cluster.machines.iter_mut().zip(present) {
-            let is_established = machine.known_since + millis(4.0 * list_lag_s) <= now;
+            let is_established = machine.added_at + millis(4.0 * list_lag_s) <= now;
             if !present && machine.listed && is_established {
                 machine.missed_listings += 1;
             }
@@ -335,7 +337,9 @@
                             lease,
                             request_name: name.clone(),
                         },
-                        CloudRequest::Rent(instance_request(cluster, &name, &addition)),
+                        CloudRequest::ProvisionMachines(instance_request(
+                            cluster, &name, &addition,
+                        )),
                     ));
                     provisioning.requests_in_flight.push((name, addition));
                 }
@@ -387,7 +391,7 @@
         let offer = request.offer;
         provisioning.planned_at = 0;
         match result {
-            Ok(CloudReply::Rented(names)) => {
+            Ok(CloudReply::Provisioned(names)) => {
                 provisioning.requests_in_flight.swap_remove(position);
                 if (names.len() as u32) < request.count {
                     provisioning.autoscaler.mark_unavailable(offer, now);
@@ -405,7 +409,8 @@
             // The request may have been executed. It is sent again under the same name, which the cloud
             // executes only once.
             Err(CloudError::NoAnswer) => {
-                let retry = CloudRequest::Rent(instance_request(cluster, name, &request));
+                let retry =
+                    CloudRequest::ProvisionMachines(instance_request(cluster, name, &request));
                 self.call_cloud(
                     CloudTag::RequestInstances {
                         lease,
@@ -437,19 +442,23 @@
         for name in names {
             if let Some(&index) = cluster.machines_by_name.get(name) {
                 mark_lost(cluster, index, now);
-                cluster.machines[index.as_usize()].state = MachineState::Gone;
+                cluster.machines[index.as_usize()].state = MachineState::Deleted;
             }
         }
     }
 }
 
-fn instance_request(cluster: &ClusterState, name: &str, request: &InstanceRequest) -> RentRequest {
+fn instance_request(
+    cluster: &ClusterState,
+    name: &str,
+    request: &InstanceRequest,
+) -> ProvisionRequest {
     let Offer {
         machine_type: type_index,
         zone,
         spot,
     } = request.offer;
-    RentRequest {
+    ProvisionRequest {
         name: name.to_owned(),
         type_name: cluster.machine_types[type_index.as_usize()].name.clone(),
         zone: cluster.zone_names[zone.as_usize()].clone(),
@@ -476,12 +485,12 @@
                 .last_heartbeat_at
                 .is_none_or(|at| at + heartbeat_timeout < now);
             match machine.state {
-                MachineState::Gone => false,
+                MachineState::Deleted => false,
                 MachineState::Deleting => true,
                 _ if machine.listed_failed => true,
                 MachineState::Booting => {
                     machine.provisioned_at + millis(max_boot_s) < now
-                        && machine.known_since + 10_000 < now
+                        && machine.added_at + 10_000 < now
                 }
                 MachineState::Lost => {
                     machine.missed_listings > 0 || machine.idle_since + LOST_MACHINE_GRACE_MS < now
--- a/src/coordination/reachability.rs
+++ b/src/coordination/reachability.rs
@@ -6,7 +6,7 @@
 use crate::{
     cluster::MachineState,
     coordination::{Effect, LeaseRevocation, Node, StateTag, write_outcome::TXN_TIMEOUT_MS},
-    protocol::state::{StateRequest, Urgency},
+    protocol::state::{StateRequest, StateRequestPriority},
     time::Millis,
 };
 
@@ -18,7 +18,7 @@
 /// How long a node that has resigned does not try to lead again: its lease is released, and another node
 /// acquires a new one well within this time, whatever the timings of the workers are.
 pub(super) const RESIGNATION_BACKOFF_MS: Millis = 8000;
-/// The members are asked while more than one in this many machines is unresponsive.
+/// Inquiries are sent to the members while more than one in this many machines is unresponsive.
 const UNRESPONSIVE_FLEET_DIVISOR: usize = 4;
 /// The leader resigns if a member receives reports of more machines than it does, by more than the number
 /// of all machines divided by this.
@@ -32,8 +32,8 @@
 pub struct WorkerReachability {
     /// Since when many machines have been unresponsive.
     many_unresponsive_since: Option<Millis>,
-    /// When the members were last asked.
-    asked_at: Millis,
+    /// When inquiries were last sent to the members.
+    last_inquiry_at: Millis,
     /// How many workers recently reported to each member, and when its reply arrived.
     member_reports: HashMap<String, (Millis, usize)>,
 }
@@ -70,7 +70,7 @@
     /// and resigns the leadership if another node should lead.
     pub(super) fn check_reachability(&mut self) {
         let now = self.now;
-        let asked_ms = self.wall_ms;
+        let requested_at_ms = self.wall_ms;
         let just_resumed = self.just_resumed();
         let Some(leader) = &mut self.leader_state else {
             return;
@@ -83,7 +83,7 @@
         let (total, unresponsive) = machines_up.fold((0, 0), |(total, unresponsive), machine| {
             (total + 1, unresponsive + usize::from(machine.unresponsive))
         });
-        let settled = leader.takeover_at + self.timeouts.takeover_settling <= now && !just_resumed;
+        let settled = leader.takeover_at + self.timeouts.takeover_grace <= now && !just_resumed;
         if !settled
             || self.config.members.is_empty()
             || unresponsive * UNRESPONSIVE_FLEET_DIVISOR <= total
@@ -100,10 +100,10 @@
             tracing::warn!(reached, total, members = ?leader.reachability.member_reports, "resigning leadership: too few workers reach this node");
             return self.resign_leadership();
         }
-        if leader.reachability.asked_at + MEMBER_INQUIRY_INTERVAL_MS > now {
+        if leader.reachability.last_inquiry_at + MEMBER_INQUIRY_INTERVAL_MS > now {
             return;
         }
-        leader.reachability.asked_at = now;
+        leader.reachability.last_inquiry_at = now;
         let (lease, term) = (leader.lease, leader.term);
         for member in &self.config.members {
             self.effects.push(Effect::RequestRevocation {
@@ -112,7 +112,7 @@
                 revocation: LeaseRevocation {
                     term,
                     machines: Vec::new(),
-                    asked_at_ms: asked_ms,
+                    requested_at_ms,
                 },
             });
         }
@@ -127,8 +127,8 @@
         self.election.defer_until(self.now + RESIGNATION_BACKOFF_MS);
         self.call_state_service(
             StateTag::ReleaseLeaderLease,
-            StateRequest::Release { lease },
-            Urgency::Vital,
+            StateRequest::ReleaseLease { lease },
+            StateRequestPriority::Vital,
             TXN_TIMEOUT_MS,
         );
     }
--- a/src/coordination/takeover/mod.rs
+++ b/src/coordination/takeover/mod.rs
@@ -14,7 +14,7 @@
     protocol::{
         ids::JobId,
         job::{JobKind, Priority, Submission},
-        state::{StateError, StateReply, StateRequest, Urgency},
+        state::{StateError, StateReply, StateRequest, StateRequestPriority},
     },
     storage::{self, ImagesRecord, JobSummary, RecordedStatus},
     time::Millis,
@@ -39,7 +39,7 @@
                 after,
                 limit: PAGE_ROWS,
             },
-            Urgency::Vital,
+            StateRequestPriority::Vital,
             PAGE_TIMEOUT_MS,
         );
     }
@@ -84,7 +84,7 @@
         };
         let mut cluster = ClusterState::new(&self.config.settings, &self.machine_types);
         cluster.leader_since = self.now;
-        cluster.workers_expected_by = self.now + self.timeouts.takeover_settling;
+        cluster.workers_expected_by = self.now + self.timeouts.takeover_grace;
         cluster.set_time_of_day(self.now, self.wall_ms);
         let dependencies = self.add_live_jobs(&mut cluster, &mut leader);
         let mut recovered = std::mem::take(&mut leader.recovered);
--- a/src/coordination/watch_cache/mod.rs
+++ b/src/coordination/watch_cache/mod.rs
@@ -66,7 +66,7 @@
                     self.on_registry_change(change);
                 }
             }
-            StateReply::TooOld => {
+            StateReply::RevisionCompacted => {
                 tracing::info!("registry is too far behind, loading it again");
                 self.registry_load = RegistryLoad::Needed { after: self.now };
             }
@@ -90,7 +90,9 @@
             RegistryChange::RenewerRegistered(label, version) => {
                 self.on_renewer_registered(label, version)
             }
-            RegistryChange::RenewerGone(label, version) => self.on_renewer_gone(label, version),
+            RegistryChange::RenewerDeregistered(label, version) => {
+                self.on_renewer_deregistered(label, version)
+            }
             RegistryChange::Nothing => {}
         }
     }
--- a/src/coordination/watch_cache/watch.rs
+++ b/src/coordination/watch_cache/watch.rs
@@ -3,13 +3,13 @@
 use super::RETRY_MS;
 use crate::{
     coordination::{Node, StateTag},
-    protocol::state::{StateError, StateReply, StateRequest, Urgency},
+    protocol::state::{StateError, StateReply, StateRequest, StateRequestPriority},
     storage,
     time::Millis,
 };
 
-/// How long the state service holds a watch when there are no changes.
-const WATCH_HOLD_MS: Millis = 10_000;
+/// How long the state service waits for changes before it responds to a watch without any.
+const WATCH_MAX_WAIT_MS: Millis = 10_000;
 /// How long after that the response may take to arrive.
 const WATCH_TIMEOUT_MARGIN_MS: Millis = 3000;
 
@@ -34,10 +34,10 @@
             StateRequest::Changes {
                 prefix: storage::SHARED_PREFIX,
                 after: self.registry.revision,
-                hold_ms: WATCH_HOLD_MS,
+                max_wait_ms: WATCH_MAX_WAIT_MS,
             },
-            Urgency::Prompt,
-            WATCH_HOLD_MS + WATCH_TIMEOUT_MARGIN_MS,
+            StateRequestPriority::Prompt,
+            WATCH_MAX_WAIT_MS + WATCH_TIMEOUT_MARGIN_MS,
         );
     }
 
--- a/src/coordination/workers/reconciliation.rs
+++ b/src/coordination/workers/reconciliation.rs
@@ -7,9 +7,9 @@
     },
     protocol::{
         ids::TaskId,
-        worker::{FailureCause, Report, TaskReport, TaskState},
+        worker::{ExitCause, Report, TaskReport, TaskState},
     },
-    scheduling::fair_share::{FairShareLedger, WorkloadClass},
+    scheduling::fair_share::{FairShareTracker, WorkloadClass},
     time::Millis,
 };
 
@@ -82,7 +82,7 @@
 /// and the cluster state does not have.
 pub(super) fn reconcile_tasks(
     cluster: &mut ClusterState,
-    fair_share: &mut FairShareLedger,
+    fair_share: &mut FairShareTracker,
     index: MachineIndex,
     report: &Report,
     now: Millis,
@@ -132,7 +132,7 @@
 /// Logs and counts the start of an attempt.
 fn record_start(
     cluster: &mut ClusterState,
-    fair_share: &mut FairShareLedger,
+    fair_share: &mut FairShareTracker,
     index: MachineIndex,
     position: usize,
     now: Millis,
@@ -179,7 +179,7 @@
 /// Processes attempts that have ended: completes or requeues their tasks.
 pub(super) fn settle_ended_attempts(
     cluster: &mut ClusterState,
-    fair_share: &mut FairShareLedger,
+    fair_share: &mut FairShareTracker,
     index: MachineIndex,
     now: Millis,
 ) {
@@ -190,7 +190,7 @@
             continue;
         }
         let (job, task, attempt_number) = (attempt.job, attempt.task, attempt.attempt);
-        let cause = attempt.cause.unwrap_or(FailureCause::Other);
+        let cause = attempt.cause.unwrap_or(ExitCause::Other);
         let closed = cluster.job(job).closed;
         let task_state = cluster.job(job).tasks[task as usize];
         // The run time of attempts started under an earlier leader is not known here.
@@ -198,7 +198,7 @@
             .running_since
             .filter(|_| attempt.placed_at > cluster.leader_since)
             .map(|since| now.saturating_sub(since));
-        if cause == FailureCause::Done {
+        if cause == ExitCause::Done {
             let is_current = !closed
                 && task_state.status == TaskStatus::Active(index)
                 && task_state.attempt == attempt_number;
@@ -223,7 +223,7 @@
 /// Processes an attempt that has completed its task. `is_current`: no later attempt has replaced it.
 fn settle_completion(
     cluster: &mut ClusterState,
-    fair_share: &mut FairShareLedger,
+    fair_share: &mut FairShareTracker,
     index: MachineIndex,
     position: usize,
     is_current: bool,
@@ -245,7 +245,7 @@
     machine.recent_failures.clear();
     cluster.on_task_progress(job);
     let Some(ran_ms) = ran_ms else { return };
-    let is_slow = straggler::record_completion(
+    let is_slow = straggler::record_run_time(
         &mut cluster.jobs[job.as_usize()].mean_runtime_s,
         &mut cluster.machines[index.as_usize()].mean_slowdown,
         ran_ms as f64 / 1000.0,
@@ -261,21 +261,21 @@
     cluster: &mut ClusterState,
     index: MachineIndex,
     job_index: JobIndex,
-    cause: FailureCause,
+    cause: ExitCause,
     now: Millis,
 ) {
     let machine = &mut cluster.machines[index.as_usize()];
     let job = &mut cluster.jobs[job_index.as_usize()];
     match cause {
-        FailureCause::Done
-        | FailureCause::Stopped
-        | FailureCause::PeersGone
-        | FailureCause::Alone => {}
-        FailureCause::NoRoom | FailureCause::Busy => {
+        ExitCause::Done
+        | ExitCause::Stopped
+        | ExitCause::GangPeersLost
+        | ExitCause::IncompleteGang => {}
+        ExitCause::InsufficientResources | ExitCause::AttemptExists => {
             machine.avoid_until = now + REJECTION_COOLDOWN_MS
         }
-        FailureCause::Unknown => job.backoff_until = now + REJECTION_COOLDOWN_MS,
-        FailureCause::Error | FailureCause::Other => {
+        ExitCause::Unknown => job.backoff_until = now + REJECTION_COOLDOWN_MS,
+        ExitCause::Error | ExitCause::Other => {
             tracing::debug!(job = %job.id, machine = machine.name, "a task failed");
             cluster.on_task_failed(job_index, index, now);
         }
--- a/src/metrics/admission.rs
+++ b/src/metrics/admission.rs
@@ -5,7 +5,7 @@
     registry::{Registry, Unit},
 };
 
-use crate::{coordination::NodeStatus, scheduling::fair_share::ShareStatus};
+use crate::{coordination::NodeStatus, scheduling::fair_share::FairShareStatus};
 
 use super::labels::{ClassLabels, FloatGauge, IntGauge, OutcomeLabels};
 
@@ -88,7 +88,7 @@
     /// Sets the metrics from the node's status. Only the leader's status has values for classes.
     pub(super) fn record(&self, status: &NodeStatus) {
         self.quota_version.set(status.admission_quotas_seq as i64);
-        self.admission_rate.set(status.admitted_per_s);
+        self.admission_rate.set(status.admission_rate_per_s);
         self.cpu_overload_fraction.set(status.lateness);
         self.record_submissions(status);
         self.clear_classes();
@@ -126,7 +126,7 @@
         self.job_outcomes.clear();
     }
 
-    fn record_class(&self, labels: &ClassLabels, share: &ShareStatus) {
+    fn record_class(&self, labels: &ClassLabels, share: &FairShareStatus) {
         let waiting = share.waiting_tasks as i64;
         self.class_waiting_tasks.get_or_create(labels).set(waiting);
         let oldest_s = share.oldest_wait_ms as f64 / 1000.0;
--- a/src/transport/rate_limiter.rs
+++ b/src/transport/rate_limiter.rs
@@ -4,7 +4,10 @@
 
 use tokio::time::Instant;
 
-use crate::{coordination::admission::load_shedding::reserved_fraction, protocol::state::Urgency};
+use crate::{
+    coordination::admission::load_shedding::reserved_fraction,
+    protocol::state::StateRequestPriority,
+};
 
 /// Minimum capacity of a bucket, in tokens, so that a single call always fits.
 const MIN_CAPACITY: f64 = 1.0;
@@ -45,9 +48,9 @@
 
     /// Waits until `cost` tokens are available, and takes them. Less urgent callers leave a reserve
     /// in the bucket. If the future is dropped before it completes, no tokens are taken.
-    pub async fn acquire(&self, cost: f64, urgency: Urgency) {
+    pub async fn acquire(&self, cost: f64, priority: StateRequestPriority) {
         loop {
-            let acquired = self.inner.borrow_mut().try_acquire(cost, urgency);
+            let acquired = self.inner.borrow_mut().try_acquire(cost, priority);
             let Err(shortfall) = acquired else {
                 return;
             };
@@ -64,10 +67,10 @@
 }
 
 impl BucketState {
-    fn try_acquire(&mut self, cost: f64, urgency: Urgency) -> Result<(), Shortfall> {
+    fn try_acquire(&mut self, cost: f64, priority: StateRequestPriority) -> Result<(), Shortfall> {
         let capacity = self.rate_per_s.max(MIN_CAPACITY);
         self.refill(capacity);
-        let reserve = capacity * reserved_fraction(urgency);
+        let reserve = capacity * reserved_fraction(priority);
         // A call that costs more than the bucket's capacity is allowed once the bucket is full.
         let needed = (cost + reserve).min(capacity);
         if self.tokens >= needed - ROUNDING_TOLERANCE {
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -36,11 +36,11 @@
 };
 use dalelb_emulators::{
     cloud_emulator::{listed_machine, machine_type},
-    state_store::{Store, StoreLimits},
+    state_store::{StateStore, StoreLimits},
     worker_emulator::{EmulatedWorker, TaskEvent, TaskModel, TaskSpec, WorkerIdentity},
 };
 use serde_json::json;
-use wire::{Channel, Sent, Trace};
+use wire::{Channel, MessageDigest, SentMessage};
 
 /// One-way latency between two cells.
 const LINK_LATENCY_MS: u64 = 150;
@@ -109,7 +109,7 @@
     /// Counts the processes of the controller; events for an earlier one are dropped.
     incarnation: u64,
     started_at: u64,
-    store: Store,
+    store: StateStore,
     machines: Vec<EmulatedWorker>,
     /// Pending requests of users (`None`) and of machines (the machine's index).
     pending_requests: HashMap<RequestId, Option<usize>>,
@@ -135,9 +135,9 @@
     /// Number of reports that were delivered between cells.
     delivered_messages: Rc<RefCell<u64>>,
     /// Digest of all messages that the cells sent, in their wire format.
-    sent: Trace,
+    sent: MessageDigest,
     /// Messages between cells, if they are recorded.
-    recorded: Option<Vec<Sent>>,
+    recorded: Option<Vec<SentMessage>>,
 }
 
 /// With `CELL_DIGESTS=FILE`, the digest of the messages that a test's cells sent must be in that file. If
@@ -227,7 +227,7 @@
             loses_quota_write_replies: false,
             quota_writes: 0,
             delivered_messages: Rc::default(),
-            sent: Trace::default(),
+            sent: MessageDigest::default(),
             recorded: None,
         };
         for cell in 0..cells {
@@ -252,7 +252,7 @@
             node: Node::new(config),
             incarnation: 0,
             started_at: 0,
-            store: Store::new(StoreLimits {
+            store: StateStore::new(StoreLimits {
                 txn_ops: 24,
                 value_kb: 16.0,
             }),
@@ -362,8 +362,8 @@
             return self.lose_reply(cell, tag, request, called_at);
         }
         let mut remaining = request.clone();
-        if let StateRequest::Changes { hold_ms, .. } = &mut remaining {
-            *hold_ms = hold_ms.saturating_sub(self.now - called_at);
+        if let StateRequest::Changes { max_wait_ms, .. } = &mut remaining {
+            *max_wait_ms = max_wait_ms.saturating_sub(self.now - called_at);
         }
         match self.cells[cell].store.execute(&remaining, self.now) {
             Some(reply) => {
@@ -423,7 +423,7 @@
 
     #[expect(clippy::too_many_lines, reason = "still to be split")]
     fn execute_effect(&mut self, cell: usize, effect: Effect) {
-        let message = Sent::of(&effect);
+        let message = SentMessage::from_effect(&effect);
         let incarnation = self.cells[cell].incarnation;
         self.sent.add(self.now, cell, incarnation, &message);
         let cell_channels = [Channel::CellStatement, Channel::CellAnswer];
@@ -493,7 +493,7 @@
             CloudRequest::Types => CloudReply::Types(MachineTypes {
                 types: vec![machine_type(CPUS_PER_MACHINE, 64.0, &["a".to_owned()])],
             }),
-            CloudRequest::Rent(_) => CloudReply::NoCapacity,
+            CloudRequest::ProvisionMachines(_) => CloudReply::NoCapacity,
             CloudRequest::Delete(_) => CloudReply::NoCapacity,
             CloudRequest::List { .. } => {
                 let machines = (0..MACHINES_PER_CELL).map(|number| {
@@ -643,7 +643,7 @@
             };
             oldest_ms = oldest_ms.max(quotas.oldest_change_ms);
             let cells = quotas
-                .cells_behind
+                .outdated_teams_by_cell
                 .into_iter()
                 .filter(|(_, teams)| *teams > 0);
             cells_behind.extend(cells.map(|(cell, _)| cell));
--- a/tests/histories/effects.rs
+++ b/tests/histories/effects.rs
@@ -7,8 +7,8 @@
     pub(crate) fn execute_effect(&mut self, node: usize, incarnation: u64, effect: Effect) {
         let send_time = self.now - self.booted_at[node];
         format!("{effect:?}").hash(&mut self.effects_digest);
-        let message = Sent::of(&effect);
-        self.sent_trace.add(self.now, node, incarnation, &message);
+        let message = SentMessage::from_effect(&effect);
+        self.sent_digest.add(self.now, node, incarnation, &message);
         if let Some(messages) = &mut self.recorded_messages {
             messages.push(message);
         }
@@ -351,21 +351,21 @@
         };
         match request {
             CloudRequest::Types => CloudReply::Types(MachineTypes { types: vec![kind] }),
-            CloudRequest::Rent(rent) => {
-                if let Some(names) = self.provisioned_instances.get(&rent.name) {
-                    return CloudReply::Rented(names.clone());
+            CloudRequest::ProvisionMachines(request) => {
+                if let Some(names) = self.provisioned_instances.get(&request.name) {
+                    return CloudReply::Provisioned(names.clone());
                 }
                 let up = self.workers.iter().filter(|w| !w.deleted).count();
-                let count = (10usize.saturating_sub(up)).min(rent.count as usize);
+                let count = (10usize.saturating_sub(up)).min(request.count as usize);
                 if count == 0 {
                     return CloudReply::NoCapacity;
                 }
                 let names: Vec<String> = (0..count)
-                    .map(|_| self.add_worker(&rent.zone, rent.spot))
+                    .map(|_| self.add_worker(&request.zone, request.spot))
                     .collect();
                 self.provisioned_instances
-                    .insert(rent.name.clone(), names.clone());
-                CloudReply::Rented(names)
+                    .insert(request.name.clone(), names.clone());
+                CloudReply::Provisioned(names)
             }
             CloudRequest::Delete(names) => {
                 for worker in &mut self.workers {
