--- a/crates/load-test/src/invariants.rs
+++ b/crates/load-test/src/invariants.rs
@@ -24,7 +24,7 @@
     pub team: String,
     /// CPUs and run time of each task.
     pub spec: TaskSpec,
-    /// Whether the priority is high or production.
+    /// Whether its priority is `Priority::High` or `Priority::Production`.
     pub urgent: bool,
     /// Whether the starts of its tasks are included in the start latencies.
     pub measured: bool,
--- a/crates/load-test/tests/page.rs
+++ b/crates/load-test/tests/page.rs
@@ -47,11 +47,11 @@
     let path = std::env::temp_dir().join(format!("dalelb-page-{}.md", std::process::id()));
     fs::write(&path, changed).expect("a temporary file");
     let mut arguments = page_command();
-    let at = arguments
+    let flag_position = arguments
         .iter()
         .position(|argument| argument == "--page")
         .expect("its page");
-    arguments[at + 1] = path.display().to_string();
+    arguments[flag_position + 1] = path.display().to_string();
     arguments.push("--check".into());
     let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
     assert_eq!(run_load_test(&arguments).status.code(), Some(5));
--- a/crates/service-report/src/log.rs
+++ b/crates/service-report/src/log.rs
@@ -284,8 +284,8 @@
     if let Ok(seconds) = first.parse() {
         return Some(seconds);
     }
-    let at = humantime::parse_rfc3339(first).ok()?;
-    Some(at.duration_since(UNIX_EPOCH).ok()?.as_secs_f64())
+    let timestamp = humantime::parse_rfc3339(first).ok()?;
+    Some(timestamp.duration_since(UNIX_EPOCH).ok()?.as_secs_f64())
 }
 
 #[cfg(test)]
--- a/crates/service-report/src/optimum.rs
+++ b/crates/service-report/src/optimum.rs
@@ -20,7 +20,8 @@
 
 /// The work of one class.
 struct OfferedLoad {
-    /// The work that arrives in each slice, in unit seconds.
+    /// The work that arrives in each slice, in unit seconds: units (GPUs, or CPUs for tasks without GPUs) times
+    /// seconds.
     arrivals_by_slice: Vec<f64>,
 }
 
--- a/src/coordination/admission/load_shedding.rs
+++ b/src/coordination/admission/load_shedding.rs
@@ -12,7 +12,7 @@
 /// The priority of a request; the lowest is refused first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestPriority {
-    /// A poll for an accepted job of which no task runs or is done: its user learns nothing new.
+    /// A poll for an accepted job of which no task runs or is done: the response only says that it is pending.
     IdlePoll,
     /// Any other poll.
     Poll,
--- a/src/coordination/admission/mod.rs
+++ b/src/coordination/admission/mod.rs
@@ -2,8 +2,8 @@
 //! admits more than its share. `docs/admission.md` compares the alternatives.
 //!
 //! `quotas` divides the capacity among nodes and classes, `controller` admits or defers submissions at one node, and
-//! `load_shedding` orders requests by priority. This module connects them to the node: it asks the controller about
-//! each submission, reports the node's demand to the leader, and on the leader stores new quotas.
+//! `load_shedding` orders requests by priority. This module connects them to the node: it passes each submission
+//! to the controller, reports the node's demand to the leader, and on the leader stores new quotas.
 
 mod controller;
 pub mod load_shedding;
@@ -104,8 +104,8 @@
 }
 
 impl Admission {
-    /// Records that a step of the node began `gap_ms` after the one before. After more than `late_after_ms`, the
-    /// processor counts as late for the whole gap, of which at most 1000 ms count.
+    /// Records the time between the starts of two steps of the node. During a gap longer than `late_after_ms` the
+    /// processor counts as late. A gap is included in the mean lateness with a length of at most 1000 ms.
     pub(super) fn record_pass(&mut self, gap_ms: Millis, late_after_ms: Millis) {
         let late_ms = if gap_ms > late_after_ms {
             gap_ms.min(1000) as f64
--- a/src/coordination/admission/quotas.rs
+++ b/src/coordination/admission/quotas.rs
@@ -73,7 +73,7 @@
 
 impl AdmissionQuotas {
     /// Whether the rate of any class on any node, or a node's unassigned rate, differs by more than the fraction
-    /// `worth` of the node's total rate.
+    /// `min_change` of the node's total rate.
     pub fn differs_by(&self, other: &AdmissionQuotas, min_change: f64) -> bool {
         if self.nodes != other.nodes {
             return true;
--- a/src/coordination/admission/quotas/tests.rs
+++ b/src/coordination/admission/quotas/tests.rs
@@ -29,11 +29,11 @@
 }
 
 fn total_rate_of(quotas: &AdmissionQuotas, name: &str) -> f64 {
-    let found = quotas
+    let shares = quotas
         .class_shares
         .iter()
         .find(|(class_name, _)| *class_name == class(name));
-    found.map_or(0.0, |(_, rates)| total_rate(rates))
+    shares.map_or(0.0, |(_, rates)| total_rate(rates))
 }
 
 /// One class has over fifty times the demand of the other, at a single node.
--- a/src/coordination/job_graph.rs
+++ b/src/coordination/job_graph.rs
@@ -82,7 +82,7 @@
         if let Some(leader) = &mut self.leader_state {
             leader.outcomes.write_in_flight = false;
         }
-        // The read barrier brings the jobs' records, as written here or as cancelled by a user in the
+        // The read barrier returns the jobs' records, as written here or as cancelled by a user in the
         // meantime.
         if outcome != WriteOutcome::Rejected {
             self.request_read_barrier();
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -50,7 +50,7 @@
     pub recovered: RecoveredState,
     /// Jobs and machines; `None` until they have been rebuilt after the takeover.
     pub cluster: Option<ClusterState>,
-    /// What each workload class of each team is entitled to, and what it has received.
+    /// The entitlement and the allocation of each workload class of each team.
     pub fair_share: FairShareLedger,
     /// The log and snapshots in the state service.
     pub log: LeaderLog,
--- a/src/coordination/leader_log/append.rs
+++ b/src/coordination/leader_log/append.rs
@@ -302,7 +302,7 @@
         }
         if !write.completed_jobs.is_empty() {
             // The jobs may have been cancelled meanwhile, or their completion may be stored after all:
-            // the read barrier brings their current records.
+            // the read barrier returns their current records.
             self.request_read_barrier();
         }
     }
--- a/src/coordination/leader_log/images.rs
+++ b/src/coordination/leader_log/images.rs
@@ -18,7 +18,7 @@
 #[derive(Default)]
 pub(super) struct ImageWrites {
     written_at: Millis,
-    /// The keys of the image records, numbered from 0.
+    /// Whether each key of the image records can be written, by the key's number, from 0.
     pub(super) slots: Vec<SlotState>,
 }
 
--- a/src/coordination/lease_renewer.rs
+++ b/src/coordination/lease_renewer.rs
@@ -62,11 +62,11 @@
     /// A leader whose announcement has a higher term than the registry: its term, its label, and when the
     /// announcement arrived.
     announced_leader: Option<(u64, String, Millis)>,
-    /// When each worker's lease was last renewed by this node, and for which incarnation.
+    /// When this node last renewed each worker's lease, and the worker's incarnation then.
     renewals: HashMap<String, (Millis, u64)>,
     /// When each worker was last redirected to the leader.
     redirected_at: HashMap<String, Millis>,
-    /// Incarnations whose leases are revoked, and when each was, by machine.
+    /// The incarnation whose lease is revoked and the time of the revocation, by machine.
     accepted_revocations: HashMap<String, (u64, Millis)>,
 }
 
@@ -183,8 +183,8 @@
         }
     }
 
-    /// Handles a lease renewer's key that was written again. A new process under the same label does not know
-    /// the revocations that its predecessor accepted, and has to be asked again.
+    /// Handles a lease renewer's key that was written again. A new process under the same label has no record
+    /// of the revocations that its predecessor accepted, so they have to be requested again.
     pub(super) fn on_renewer_registered(&mut self, label: String, version: u64) {
         if label == self.config.label {
             // A process of an earlier release wrote the key without a condition: it is on another lease now.
@@ -273,9 +273,9 @@
             .copied();
         let redirect_failed = redirected_at.is_some_and(|at| at + max_return_ms > now);
         if leader.is_some() && leader_is_alive && !redirect_failed {
-            // This node does not know how much is left of the worker's lease. After this node had restarted
-            // inside a network partition, a worker that had just found it lost its tasks on the way to
-            // the leader and back. Therefore its lease is renewed first.
+            // This node has no record of how much is left of the worker's lease. After a node had restarted
+            // inside a network partition, workers that it redirected lost their tasks, because their leases
+            // expired while they tried the leader and came back. Therefore the lease is renewed first.
             let is_busy = report.tasks.iter().any(|t| t.state != TaskState::Ended);
             let last_renewal = self.lease_renewer.renewals.get(&report.machine);
             let is_recent =
@@ -286,7 +286,7 @@
             {
                 return self.respond(id, ApiResponse::json(200, &orders));
             }
-            tracing::debug!(machine = report.machine, "redirected to the leader");
+            tracing::debug!(machine = report.machine, "worker redirected to the leader");
             self.lease_renewer
                 .redirected_at
                 .insert(report.machine.clone(), now);
@@ -315,8 +315,8 @@
     }
 
     /// Handles the term and label in a leader's announcement. A leader that can't reach the state service
-    /// learns only from this that it has a successor: without it, it kept answering workers itself for as
-    /// long as it was allowed to renew their leases.
+    /// learns only from this that it has a successor. Without it, a deposed leader kept renewing workers' leases
+    /// itself for as long as it was allowed to.
     pub(super) fn on_leader_announced(&mut self, term: u64, leader: String) {
         if term <= self.registry.term || leader == self.config.label || leader.is_empty() {
             return;
@@ -365,8 +365,8 @@
     }
 
     /// Commands to stop the tasks of cancelled jobs that a worker runs. Each node sends them when it renews a
-    /// lease, also a leader that is still rebuilding the cluster state: tasks of jobs that it knows to be
-    /// cancelled would not stop by themselves, because the renewed lease does not expire.
+    /// lease, also a leader that is still rebuilding the cluster state: tasks of cancelled jobs would not stop
+    /// by themselves, because the renewed lease does not expire.
     pub(super) fn stop_orders_for_cancelled(&self, report: &Report) -> Vec<Order> {
         let is_cancelled = |job| {
             let entry = self.registry.get(job);
@@ -383,7 +383,7 @@
             .collect()
     }
 
-    /// Records that a report was answered with 200. Leaders record this too: a later leader asks for the time
+    /// Records that a report was answered with 200. Leaders record this too: a later leader requests the time
     /// of the last renewal.
     pub(super) fn record_renewal(&mut self, report: &Report) {
         self.lease_renewer
--- a/src/coordination/lease_renewer/tests.rs
+++ b/src/coordination/lease_renewer/tests.rs
@@ -147,8 +147,8 @@
     assert_eq!(reply.renewals[0].age_ms, 3000);
 }
 
-/// An earlier process's write of the key was applied late, after its successor's: the key was then on a lease that
-/// no process renewed.
+/// An earlier process's write of the lease renewer key was applied late, after its successor's write: the key was
+/// then attached to a lease that no process renewed.
 #[test]
 fn renewer_key_write_is_compare_and_swap_on_read_version() {
     for (registered, version) in [(None, 0), (Some(7), 7)] {
@@ -173,7 +173,7 @@
     let mut node = renewer_node(START);
     (node.lease_renewer.lease, node.lease_renewer.key_version) = (Some(3), 9);
     node.on_renewer_registered("n0".into(), 9);
-    assert!(renews_worker(&mut node), "the key is its own");
+    assert!(renews_worker(&mut node), "the node holds its renewer key");
     node.on_renewer_registered("n0".into(), 12);
     assert!(!renews_worker(&mut node));
 }
--- a/src/coordination/provisioning.rs
+++ b/src/coordination/provisioning.rs
@@ -227,7 +227,7 @@
         let Some(cluster) = &mut leader.cluster else {
             return;
         };
-        let mut present = vec![false; cluster.machines.len()];
+        let mut is_listed = vec![false; cluster.machines.len()];
         for machine in listed {
             let Some(type_index) = cluster
                 .type_interner
@@ -238,8 +238,8 @@
             };
             let zone = cluster.intern_zone(&machine.zone);
             let index = cluster.add_machine(&machine.id, type_index, zone, machine.spot, now);
-            present.resize(cluster.machines.len(), false);
-            present[index.as_usize()] = true;
+            is_listed.resize(cluster.machines.len(), false);
+            is_listed[index.as_usize()] = true;
             let entry = &mut cluster.machines[index.as_usize()];
             if !entry.listed {
                 let age_ms = millis(machine.age_s.clamp(0.0, 1e9));
@@ -260,9 +260,9 @@
         }
         // A machine stays on the list until it is gone, but a list may be older than the previous one, and
         // even older than the machine.
-        for (machine, present) in cluster.machines.iter_mut().zip(present) {
+        for (machine, is_listed) in cluster.machines.iter_mut().zip(is_listed) {
             let is_established = machine.known_since + millis(4.0 * list_lag_s) <= now;
-            if !present && machine.listed && is_established {
+            if !is_listed && machine.listed && is_established {
                 machine.missed_listings += 1;
             }
         }
--- a/src/coordination/quota/demand.rs
+++ b/src/coordination/quota/demand.rs
@@ -69,7 +69,7 @@
     teams.map(demand).collect()
 }
 
-/// What the team's first waiting job needs to start: one task, or all tasks of a gang.
+/// The units that the team's first waiting job needs to start: of one task, or of all tasks of a gang.
 fn first_request(cluster: &ClusterState, team: &ClusterTeam) -> Quota {
     let Some(&(.., first_job)) = team.queue.first() else {
         return Quota::ZERO;
--- a/src/coordination/quota/exchange.rs
+++ b/src/coordination/quota/exchange.rs
@@ -10,7 +10,7 @@
 
 /// The interval between reports to another cell.
 const REPORT_INTERVAL_MS: Millis = 400;
-/// How long a response to a report is waited for before the next report is sent.
+/// How long to wait for the response to a report before the next report is sent.
 const REPORT_TIMEOUT_MS: Millis = 3000;
 
 /// The state of the exchange with another cell.
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Takes in another cell's report and returns the grants for the teams that this cell coordinates. `None`: the
+    /// Applies another cell's report and returns the grants for the teams that this cell coordinates. `None`: the
     /// records have not been read yet, or the other cell has a different list of cells.
     pub(super) fn answer_cell_report(
         &mut self,
@@ -122,7 +122,7 @@
         })
     }
 
-    /// Takes in the grants with which another cell, as a coordinator, responds to a report.
+    /// Applies the grants with which another cell, as a coordinator, responds to a report.
     pub(super) fn apply_grants(&mut self, cell: &str, response: CellGrants, now: Millis) {
         if response.from != cell || !self.confirm_cell_list(cell, &response.cells) {
             return;
--- a/src/coordination/quota/mod.rs
+++ b/src/coordination/quota/mod.rs
@@ -122,7 +122,7 @@
 }
 
 impl Node {
-    /// Runs one round of the quotas: reads and writes records, applies the limits, preempts what exceeds them
+    /// Runs one quota cycle: reads and writes records, applies the limits, preempts tasks that exceed them
     /// and reports to other cells.
     pub(super) fn run_quota_cycle(&mut self) {
         let Some(cells) = &self.config.cells else {
--- a/src/coordination/quota/records.rs
+++ b/src/coordination/quota/records.rs
@@ -69,7 +69,7 @@
 }
 
 impl CellQuotas {
-    /// Takes in a record read from the state service. One that can't be parsed is logged and skipped.
+    /// Applies a record read from the state service. One that can't be parsed is logged and skipped.
     pub(super) fn apply_row(&mut self, row: Row, now: Millis) {
         let key = row.key.as_str();
         if key == storage::QUOTA_CELLS_KEY {
@@ -197,7 +197,7 @@
         (item.store_key(), version, value)
     }
 
-    /// Takes over a record that has been stored with this version of its key.
+    /// Applies a record that has been stored with this version of its key.
     pub(super) fn on_record_stored(&mut self, item: QuotaRecordWrite, version: u64, now: Millis) {
         match item {
             QuotaRecordWrite::Membership(record) => {
--- a/src/coordination/quota/status.rs
+++ b/src/coordination/quota/status.rs
@@ -18,9 +18,9 @@
 pub struct TeamQuotaStatus {
     /// The team's name.
     pub team: String,
-    /// What the team may use here: GPUs if any machine type has GPUs, otherwise CPUs.
+    /// The units that the team may use in this cell: GPUs if any machine type has GPUs, otherwise CPUs.
     pub allocated_units: f64,
-    /// What the team uses here: GPUs if any machine type has GPUs, otherwise CPUs.
+    /// The units that the team uses in this cell, of the same kind.
     pub used_units: f64,
     /// The version of its quota that this cell has stored; 0: none.
     pub quota_version: u64,
@@ -36,7 +36,7 @@
     /// For how long, in milliseconds, the oldest change of a team that this cell coordinates has not been in
     /// force in all cells; 0: there is none.
     pub oldest_change_ms: Millis,
-    /// For each cell, the number of those teams whose latest version it has not reported to enforce.
+    /// For each cell, the number of teams coordinated here whose latest version it has not reported to enforce.
     pub cells_behind: Vec<(String, usize)>,
     /// The number of rejected messages from other cells.
     pub rejected_messages: u64,
--- a/src/coordination/reachability.rs
+++ b/src/coordination/reachability.rs
@@ -18,7 +18,8 @@
 /// How long a node that has resigned does not try to lead again: its lease is released, and another node
 /// acquires a new one well within this time, whatever the timings of the workers are.
 pub(super) const RESIGNATION_BACKOFF_MS: Millis = 8000;
-/// The members are asked while more than one in this many machines is unresponsive.
+/// The leader requests the members' counts of reporting workers while more than one in this many machines is
+/// unresponsive.
 const UNRESPONSIVE_FLEET_DIVISOR: usize = 4;
 /// The leader resigns if a member receives reports of more machines than it does, by more than the number
 /// of all machines divided by this.
@@ -32,7 +33,7 @@
 pub struct WorkerReachability {
     /// Since when many machines have been unresponsive.
     many_unresponsive_since: Option<Millis>,
-    /// When the members were last asked.
+    /// When the members' counts were last requested.
     asked_at: Millis,
     /// How many workers recently reported to each member, and when its reply arrived.
     member_reports: HashMap<String, (Millis, usize)>,
@@ -59,15 +60,16 @@
             // count in `total` until their leases have expired. Without this minimum, one leader after the
             // other resigned before those leases had expired.
             Some(best) => best > reached + (total / BETTER_REACH_DIVISOR).max(1),
-            // This node can't reach the members either: a node that can take over is reached by no fewer workers.
+            // No member has replied, so this node can't reach the members either. With so few workers reaching this
+            // node, a node that can take over is reached by no fewer.
             None => reached * MIN_REACHED_RATIO.1 < total * MIN_REACHED_RATIO.0,
         }
     }
 }
 
 impl Node {
-    /// Counts the unresponsive machines. If there are many, asks the members how many workers report to them,
-    /// and resigns the leadership if another node should lead.
+    /// Counts the unresponsive machines. If there are many, requests from the members how many workers report
+    /// to them, and resigns if another node should lead.
     pub(super) fn check_reachability(&mut self) {
         let now = self.now;
         let asked_ms = self.wall_ms;
--- a/src/coordination/registry/mod.rs
+++ b/src/coordination/registry/mod.rs
@@ -59,11 +59,11 @@
     pub lease_renewers: BTreeMap<String, u64>,
 }
 
-/// What a row or an event changed.
+/// The part of the registry that a row or an event changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegistryChange {
-    /// Jobs that were accepted, released or ended: the one whose record changed and those affected by
-    /// it.
+    /// Jobs that were accepted, ended, or released because their dependencies are done: the job whose
+    /// record changed, and the jobs that depend on it and are affected.
     Jobs(Vec<JobId>),
     /// The leader.
     Leader,
--- a/src/coordination/takeover/mod.rs
+++ b/src/coordination/takeover/mod.rs
@@ -107,7 +107,7 @@
         cluster.unlogged_tasks.clear();
         log_rebuild(&cluster, &recovered, leader.term);
         // Nodes that were no longer standby renewers at the takeover have renewed no lease since then;
-        // the present renewers will be asked. The last heartbeat that was answered before the cluster
+        // the present renewers will receive inquiries. The last heartbeat that was answered before the cluster
         // state is rebuilt may be from this moment, so each lease may last for its full duration.
         let lease_until = self.now + self.timeouts.worker_lease;
         for machine in &mut cluster.machines {
--- a/src/coordination/watch_cache/tests.rs
+++ b/src/coordination/watch_cache/tests.rs
@@ -16,7 +16,7 @@
 }
 
 /// A node that gets no response from the state service must relay requests at once. Otherwise, each
-/// user waits for the longest time that a request may take before another member is asked.
+/// user waits for the longest time that a request may take before the request is relayed to another member.
 #[test]
 fn node_without_state_service_responses_relays_requests_at_once() {
     let config = serde_json::from_value(serde_json::json!({
--- a/src/coordination/workers/failure_detection.rs
+++ b/src/coordination/workers/failure_detection.rs
@@ -11,13 +11,13 @@
 };
 
 const RENEWER_INQUIRY_INTERVAL_MS: Millis = 1000;
-/// How long before an unresponsive machine's lease expires the other lease renewers are first asked about
-/// it. Round trips to the members and of a read barrier fit into this time and into
+/// How long before an unresponsive machine's lease expires the first inquiry about it is sent to the other lease
+/// renewers. Round trips to the members and of a read barrier fit into this time and into
 /// [`REVOCATION_LEAD_MS`], whatever the report interval of the workers is.
 const INQUIRY_LEAD_MS: Millis = 3500;
-/// How long before the lease expires renewers are asked to revoke it, if none of them seems to renew it.
+/// How long before the lease expires a revocation is sent to the renewers, if none of them seems to renew it.
 const REVOCATION_LEAD_MS: Millis = 1200;
-/// A reply older than this no longer counts, and the member is asked again.
+/// A reply older than this no longer counts, and the request to the member is repeated.
 pub(in crate::coordination) const REPLY_VALIDITY_MS: Millis = 5000;
 /// Replies older than this are dropped.
 const REPLY_RETENTION_MS: Millis = 60_000;
@@ -52,13 +52,13 @@
     registered_at: HashMap<String, Millis>,
     /// The latest reply of each member about each machine.
     replies: HashMap<(String, String), RevocationReply>,
-    /// When the renewers were last asked.
+    /// When the last request was sent to the renewers.
     asked_at: Millis,
 }
 
 impl RenewerRevocations {
-    /// Handles a renewer's key that was written again: a new process under the same label does not know
-    /// the revocations that its predecessor accepted, and has to be asked again.
+    /// Handles a renewer's key that was written again: a new process under the same label has no
+    /// record of the revocations that its predecessor accepted, so they have to be requested again.
     pub(in crate::coordination) fn on_registered(&mut self, label: String, now: Millis) {
         self.replies.retain(|(member, _), _| *member != label);
         self.registered_at.insert(label, now);
@@ -163,7 +163,7 @@
         self.check_reachability();
     }
 
-    /// Asks the other lease renewers about unresponsive machines shortly before their leases expire. A lease
+    /// Sends inquiries about unresponsive machines to the other lease renewers shortly before the leases expire. A lease
     /// is revoked only when no renewer seems to renew it: after an earlier revocation, a renewer rejected
     /// workers that had lost the leader and reached that renewer only after trying a dead node.
     fn ask_lease_renewers(&mut self, labels: Vec<String>) {
--- a/src/coordination/workers/heartbeat.rs
+++ b/src/coordination/workers/heartbeat.rs
@@ -122,8 +122,8 @@
     }
 }
 
-/// Finds the machine that sent a report, and adds it if it is not known yet. `None`: its type is not
-/// known, the machine has been deleted, or the report is of an earlier incarnation.
+/// Finds the machine that sent a report, and adds it if the cluster state lacks it. `None`: its type is
+/// unknown, the machine has been deleted, or the report is of an earlier incarnation.
 fn reporting_machine(
     cluster: &mut ClusterState,
     report: &Report,
--- a/src/coordination/workers/tests.rs
+++ b/src/coordination/workers/tests.rs
@@ -84,8 +84,8 @@
     }
 }
 
-/// A worker that has forgotten a completed attempt can't report it to the next leader, which would not know
-/// of the completion.
+/// A worker that has forgotten a completed attempt can't report it to the next leader, which would then have no
+/// record of the completion.
 #[test]
 fn forget_order_is_sent_only_after_completion_is_stored() {
     let (mut cluster, job, machine) = cluster_with_machine();
--- a/src/quota/coordinator.rs
+++ b/src/quota/coordinator.rs
@@ -1,4 +1,4 @@
-//! The coordinator's side of a team: its quota, what is granted to each cell, and which version each cell enforces.
+//! The coordinator's side of a team: its quota, the units granted to each cell, and the version that each cell enforces.
 
 use std::collections::BTreeMap;
 
@@ -83,7 +83,7 @@
         &self.stored
     }
 
-    /// Takes in a cell's report.
+    /// Applies a cell's report.
     ///
     /// # Errors
     /// The cell is not one of the cells, or it reports that it returned more than was granted to it.
@@ -125,7 +125,7 @@
         account
     }
 
-    /// What all cells may hold together, as far as they have reported returns.
+    /// The units that all cells may hold together: those granted and not yet reported as returned.
     pub fn outstanding(&self) -> Quota {
         let accounts = self.cells.iter().map(|cell| self.account(cell));
         let outstanding = accounts.map(|account| account.outstanding());
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -99,7 +99,7 @@
 /// A team's quota in the settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TeamQuota {
-    /// What the team can always use when it has work.
+    /// The amount that the team can always use when it has work.
     pub guarantee: Quota,
     /// The most that the team may use.
     pub limit: Quota,
@@ -115,7 +115,7 @@
 }
 
 impl Account {
-    /// What the cell may still hold: granted and not returned.
+    /// The units that the cell may still hold: granted and not returned.
     pub fn outstanding(&self) -> Quota {
         self.granted.saturating_sub(self.returned)
     }
@@ -148,7 +148,7 @@
     pub version: u64,
     /// The cell's part of the guarantee.
     pub guarantee: Quota,
-    /// What the cell should keep: it returns unused units above this and starts no new work above it.
+    /// The units that the cell should keep: it returns unused units above this and starts no new work above it.
     pub target: Quota,
     /// The totals granted to the cell and returned by it.
     pub account: Account,
@@ -161,13 +161,13 @@
     pub version: u64,
     /// The participant's account, as stored.
     pub account: Account,
-    /// What the team's tasks that may be running reserve.
+    /// The units reserved by the team's tasks that may be running.
     pub used: Quota,
     /// The use, the waiting work, and a margin for work to come.
     pub wanted: Quota,
-    /// What the first waiting job needs to start: one task, or all tasks of a gang together.
+    /// The units that the first waiting job needs to start: of one task, or of all tasks of a gang together.
     pub first_request: Quota,
-    /// What the largest running task reserves: the step in which the use can be reduced.
+    /// The units that the largest running task reserves: the step in which the use can be reduced.
     pub largest_task: Quota,
 }
 
@@ -181,9 +181,9 @@
     pub guarantee: Quota,
     /// The total granted to the cell.
     pub granted: Quota,
-    /// What the cell should keep.
+    /// The units that the cell should keep.
     pub target: Quota,
-    /// The limit was lowered below what all cells hold: tasks above the target have to be preempted. Otherwise they may
+    /// The limit was lowered below the units that all cells hold together: tasks above the target have to be preempted. Otherwise they may
     /// keep running, and only unused units are reclaimed.
     pub limit_lowered: bool,
 }
--- a/src/quota/participant.rs
+++ b/src/quota/participant.rs
@@ -1,17 +1,17 @@
-//! A participant's side of a team: what the cell holds, may use, and returns.
+//! A participant's side of a team: the units that the cell holds, may use, and returns.
 
 use crate::quota::{Account, Grant, ParticipantRecord, ParticipantReport, Quota, QuotaError};
 
 /// A team's use and demand in this cell, by the cluster state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TeamDemand {
-    /// What the team's tasks that may be running reserve.
+    /// The units reserved by the team's tasks that may be running.
     pub used: Quota,
-    /// What the waiting tasks request.
+    /// The units that the waiting tasks request.
     pub waiting: Quota,
-    /// What the first waiting job needs to start: one task, or all tasks of a gang together.
+    /// The units that the first waiting job needs to start: of one task, or of all tasks of a gang together.
     pub first_request: Quota,
-    /// What the largest running task reserves.
+    /// The units that the largest running task reserves.
     pub largest_task: Quota,
 }
 
@@ -50,7 +50,7 @@
         &self.stored
     }
 
-    /// Takes in a grant. Its units can be used once the next record is stored.
+    /// Applies a grant. Its units can be used once the next record is stored.
     ///
     /// # Errors
     /// The team has another coordinator.
@@ -74,7 +74,8 @@
         Ok(())
     }
 
-    /// The most that the team may use here: what is granted and stored, less what is returned or about to be.
+    /// The most that the team may use in this cell: the units granted by stored grants, less those returned or about
+    /// to be.
     pub fn usable_quota(&self) -> Quota {
         let account = Account {
             granted: self.stored.account.granted,
@@ -93,7 +94,7 @@
         self.pending.guarantee
     }
 
-    /// What has to be preempted because the limit was lowered: the use above [`Participant::new_work_ceiling`].
+    /// The units to preempt because the limit was lowered: the use above [`Participant::new_work_ceiling`].
     pub fn excess(&self, used: Quota) -> Quota {
         if self.limit_lowered {
             used.saturating_sub(self.new_work_ceiling())
--- a/src/quota/plan.rs
+++ b/src/quota/plan.rs
@@ -15,18 +15,18 @@
 /// Spare units are granted only to a cell that lacks more than its share divided by this.
 const SPARE_GRANT_DIVISOR: Units = 8;
 
-/// What one cell holds, uses and wants of a team's limit.
+/// The units of a team's limit that one cell holds, uses and requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CellShare {
-    /// What the cell may hold: granted and not returned.
+    /// The units that the cell may hold: granted and not returned.
     pub outstanding: Units,
-    /// What the team's tasks that may be running reserve.
+    /// The units reserved by the team's tasks that may be running.
     pub used: Units,
     /// The use, the waiting work, and a margin for work to come.
     pub wanted: Units,
-    /// What the first waiting job needs to start: one task, or all tasks of a gang together.
+    /// The units that the first waiting job needs to start: of one task, or of all tasks of a gang together.
     pub first_request: Units,
-    /// What the largest running task reserves.
+    /// The units that the largest running task reserves.
     pub largest_task: Units,
 }
 
@@ -35,7 +35,7 @@
 pub struct Transfer {
     /// Units to grant to the cell now.
     pub grant: Units,
-    /// What the cell should keep, including the grant; it returns unused units above this.
+    /// The units that the cell should keep, including the grant; it returns unused units above this.
     pub target: Units,
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// What each cell keeps when the use exceeds the limit: equal parts, rounded to whole tasks, so that no more tasks have
+/// The units that each cell keeps when the use exceeds the limit: equal parts, rounded to whole tasks, so that no more tasks have
 /// to be preempted than the limit requires.
 fn divide_among_running(limit: Units, shares: &[CellShare]) -> Vec<Units> {
     let used: Vec<Units> = shares.iter().map(|share| share.used).collect();
--- a/src/scheduling/cycle.rs
+++ b/src/scheduling/cycle.rs
@@ -178,7 +178,8 @@
         self.heap.push(Reverse(key));
     }
 
-    /// The first job of the team's queue that has not been skipped and may fit.
+    /// The first job of the team's queue that has not been skipped, may fit, and whose tasks would not
+    /// be preempted at the next preemption check.
     fn next_job(&mut self, team: TeamIndex) -> Option<QueueKey> {
         let after = self.last_skipped[team.as_usize()].map_or(Bound::Unbounded, Bound::Excluded);
         let (cluster, fair_share, now) = (&*self.cluster, &*self.fair_share, self.now);
--- a/src/scheduling/fair_share.rs
+++ b/src/scheduling/fair_share.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// What one class of one team runs and has waiting at the moment, in units.
+/// The running and waiting work of one class of one team at the moment, in units.
 #[derive(Clone, Copy, Debug, Default)]
 struct ClassUsage {
     /// The units of all attempts that are placed or run, and of all waiting tasks.
@@ -70,7 +70,7 @@
     /// The units of the attempts that run and are not being stopped.
     allocated: f64,
     waiting_tasks: usize,
-    /// How long this node has known its oldest waiting job, in milliseconds.
+    /// How long its oldest waiting job has been in this node's cluster state, in milliseconds.
     oldest_wait_ms: Millis,
 }
 
@@ -86,7 +86,7 @@
     pub entitled: f64,
     /// The units of its running attempts, as a moving average.
     pub allocated: f64,
-    /// How long this node has known its oldest waiting job, in milliseconds.
+    /// How long its oldest waiting job has been in this node's cluster state, in milliseconds.
     pub oldest_wait_ms: Millis,
     /// At this moment, not on average, it has at least half of its entitlement.
     currently_served: bool,
@@ -324,7 +324,7 @@
     }
 }
 
-/// What each class runs and has waiting now.
+/// The running and waiting work of each class now.
 fn class_usages(cluster: &ClusterState, now: Millis) -> BTreeMap<WorkloadClass, ClassUsage> {
     let mut usages: BTreeMap<WorkloadClass, ClassUsage> = BTreeMap::new();
     for attempt in cluster
@@ -362,9 +362,11 @@
     usages
 }
 
-/// Computes what each class is entitled to now: an equal split of its team's deserved share, capped
-/// by the class's demand. Where guarantees exceed the capacity, all teams get less in the same
-/// proportion, and a team that they leave nothing still gets a part.
+/// Computes what each class is entitled to now: an equal split of its team's share, capped by the
+/// class's demand. A team's share is its deserved share; where guarantees exceed the capacity, the
+/// shares of all teams are reduced in the same proportion. No share is below a minimum:
+/// [`STARVED_SHARE_FRACTION`] of the capacity, divided by the number of teams whose reduced share is
+/// below both that fraction and their demand.
 fn compute_entitlements(
     cluster: &ClusterState,
     usages: &BTreeMap<WorkloadClass, ClassUsage>,
--- a/src/scheduling/trial_fit.rs
+++ b/src/scheduling/trial_fit.rs
@@ -30,9 +30,9 @@
 pub(super) struct TrialFleet {
     /// The free capacity of each machine.
     free_by_machine: Vec<Resources>,
-    /// The excess of each team, in units: what it has beyond its deserved share.
+    /// The excess of each team: the units that it has reserved beyond its deserved share.
     excess_by_team: Vec<f64>,
-    /// What each team has beyond its guarantee, in units.
+    /// The units that each team has reserved beyond its guarantee.
     beyond_guarantee_by_team: Vec<f64>,
     chosen_victims: HashSet<(MachineIndex, usize)>,
 }
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -12,7 +12,7 @@
     Live {
         /// When it was submitted, in milliseconds of the time of day.
         at_ms: u64,
-        /// What was submitted.
+        /// The submission.
         spec: Box<Submission>,
     },
     /// The job has not ended, and its submission is too long for one value. The submission's JSON is
@@ -100,8 +100,8 @@
     }
 }
 
-/// What a new leader needs to call a machine and to count the resources of tasks on it before the
-/// machine's first heartbeat.
+/// The data of a machine with which a new leader can call it and count the resources of its tasks
+/// before its first heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineRecord {
     /// Its unique name.
--- a/src/transport/client/mod.rs
+++ b/src/transport/client/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP clients for what a node calls: the state service, the cloud and the workers.
+//! HTTP clients of the state service, the cloud and the workers.
 //!
 //! The file of each client encodes its requests and decodes its responses; all of them use
 //! [`HttpClient`] for their connections.
--- a/src/transport/connection_limiter/tests.rs
+++ b/src/transport/connection_limiter/tests.rs
@@ -20,8 +20,8 @@
     assert!(!limiter.should_shed(ShedConnection::AfterPoll));
     assert!(limiter.try_acquire().is_some());
     let text = limiter.metrics.render();
-    for what in ["refused", "reports", "polls"] {
-        let line = format!("dalelb_shed_total{{what=\"{what}\"}} 1");
+    for label in ["refused", "reports", "polls"] {
+        let line = format!("dalelb_shed_total{{what=\"{label}\"}} 1");
         assert!(text.contains(&line), "{text}");
     }
 }
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -893,8 +893,8 @@
     assert!(simulation.cells[0].node.status().quotas.is_none());
 }
 
-/// A coordinator's new leader must restore all grants that its predecessor sent. A grant that was sent but not
-/// stored would make it reject the reports of the cells that hold it.
+/// A coordinator's new leader must restore all grants that its predecessor sent. If a grant had been sent
+/// but not stored, the new leader would reject the reports of the cells that hold it.
 #[test]
 fn coordinator_successor_recovers_from_participant_reports() {
     let mut simulation = SimulatedCells::new(3, 600.0);
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -198,7 +198,7 @@
         submit(0, job("j-000001", "array", "red"), 201)
     })
     .await;
-    wait_until("the second node knows the job", || {
+    wait_until("the second node has read the job", || {
         submit(1, job("j-000001", "array", "red"), 200)
     })
     .await;
--- a/tests/histories/combined_faults.rs
+++ b/tests/histories/combined_faults.rs
@@ -171,8 +171,8 @@
 }
 
 /// Guards against writes that are taken for failed because their response was lost. For one kind of
-/// transaction after the other, each is applied and its response lost, while users check at all
-/// nodes what it wrote, and the leader ends halfway. No response, start or release of resources may
+/// transaction after the other, each is applied and its response lost, while users check its result at
+/// all nodes, and the leader ends halfway. No response, start or release of resources may
 /// rest on the assumption that the write failed, and all jobs must end.
 #[expect(clippy::too_many_lines, reason = "still to be split")]
 #[test]
--- a/tests/histories/failover.rs
+++ b/tests/histories/failover.rs
@@ -44,7 +44,7 @@
     }
     cluster.run_until(52_000);
     let poll_requests = cluster.requests - poll_requests;
-    // One more request if an admission quota table is marked as in force within this second.
+    // One more request if admission quotas are marked as settled within this second.
     assert!(
         poll_requests <= idle_requests + 3 * NODE_COUNT + 1,
         "{poll_requests} requests with polls, {idle_requests} without"
--- a/tests/histories/golden.rs
+++ b/tests/histories/golden.rs
@@ -65,9 +65,9 @@
     let mut count: BTreeMap<String, usize> = BTreeMap::new();
     let mut lines = BTreeSet::new();
     for sent in sent_messages.iter().filter(|sent| !sent.body.is_empty()) {
-        let seen = count.entry(message_kind(sent)).or_default();
-        *seen += 1;
-        if *seen <= MESSAGES_PER_KIND {
+        let kind_count = count.entry(message_kind(sent)).or_default();
+        *kind_count += 1;
+        if *kind_count <= MESSAGES_PER_KIND {
             let (channel, head) = (sent.channel.name(), &sent.head);
             lines.insert(format!("{channel}\t{head}\t{}\n", hex(&sent.body)));
         }
@@ -187,10 +187,10 @@
         write_files();
     }
     let expected = std::fs::read_to_string(golden_file("takeover.txt")).expect("takeover.txt");
-    let found = recovered_state();
-    for (expected, found) in expected.lines().zip(found.lines()) {
-        assert_eq!(expected, found);
+    let recovered = recovered_state();
+    for (expected, recovered) in expected.lines().zip(recovered.lines()) {
+        assert_eq!(expected, recovered);
     }
-    assert_eq!(expected, found);
+    assert_eq!(expected, recovered);
     assert!(expected.contains("dalelb_machines{state=\"up\"}"));
 }
--- a/tests/histories/main.rs
+++ b/tests/histories/main.rs
@@ -175,13 +175,13 @@
     /// The heartbeat in flight: its number and when it times out.
     report_in_flight: Option<(u64, u64)>,
     unreachable_until: u64,
-    /// Until then its heartbeats arrive, and responses and commands to it are lost.
+    /// Until this time its heartbeats arrive, but responses and commands to it are lost.
     drops_inbound_until: u64,
     /// Starts that were lost: task and attempt.
     lost_starts: BTreeSet<(TaskId, u64)>,
-    /// Until then it reaches no controller, while direct commands reach it.
+    /// Until this time its heartbeats reach no controller, but direct commands reach it.
     drops_outbound_until: u64,
-    /// Until then it is hung; it resumes within its lease with the messages that have arrived.
+    /// Until this time it is hung; it resumes within its lease with the messages that have arrived.
     hung_until: u64,
     booted_at: u64,
     /// Time of its deletion, if `deleted`.
@@ -258,7 +258,7 @@
     last_status: Option<JobStatus>,
 }
 
-/// What the user knew of a job when sending a request.
+/// The state of a job that its user had received when sending a request.
 #[derive(Clone, Copy)]
 struct ViewAtRequest {
     accepted: bool,
@@ -273,7 +273,7 @@
 
 /// A request that a node has not responded to.
 enum PendingRequest {
-    /// The job, whether the request cancels it, and what its user knew.
+    /// The job, whether the request cancels it, and the state that its user had received.
     User(JobId, bool, ViewAtRequest),
     /// A heartbeat: the worker, its incarnation, and the number of the heartbeat.
     Report(usize, u64, u64),
@@ -356,8 +356,8 @@
     start_delay_ms: u64,
     /// Until when each node is frozen, while its clocks advance.
     frozen_until: Vec<u64>,
-    /// Until then the node whose effects are being executed is frozen: nothing of them is sent
-    /// before.
+    /// Until this time the node whose effects are being executed is frozen: none of the effects is
+    /// sent before.
     effects_held_until: u64,
     /// Freezes of a node that led.
     leader_freezes: usize,
--- a/tests/histories/random_faults.rs
+++ b/tests/histories/random_faults.rs
@@ -9,17 +9,17 @@
         return;
     };
     let format_line = |(seed, digest): (&u64, &u64)| format!("{seed} {digest:016x}\n");
-    let found: Vec<String> = digests.iter().map(format_line).collect();
+    let lines: Vec<String> = digests.iter().map(format_line).collect();
     match std::fs::read_to_string(&file) {
         Ok(expected) => {
             let differing = |line: &&String| !expected.contains(line.as_str());
-            let differing: Vec<&String> = found.iter().filter(differing).collect();
+            let differing: Vec<&String> = lines.iter().filter(differing).collect();
             assert!(
                 differing.is_empty(),
                 "digests differ from those in {file}: {differing:?}"
             );
         }
-        Err(_) => std::fs::write(&file, found.concat()).expect("the digest file is writable"),
+        Err(_) => std::fs::write(&file, lines.concat()).expect("the digest file is writable"),
     }
 }
 
@@ -50,7 +50,7 @@
             for (seed, handle) in seeds.iter().zip(handles) {
                 match handle.join() {
                     Ok(result) => {
-                        (0..17).for_each(|each| fault_counts[each] += result.fault_counts[each]);
+                        (0..17).for_each(|index| fault_counts[index] += result.fault_counts[index]);
                         digests.insert(*seed, result.sent_digest);
                     }
                     Err(_) => failed_seeds.push(*seed),
--- a/tests/histories/users.rs
+++ b/tests/histories/users.rs
@@ -163,17 +163,17 @@
 
     /// Returns a job and all its dependencies, direct and transitive.
     pub(crate) fn dependencies(&self, id: JobId) -> impl Iterator<Item = JobId> {
-        let mut all = vec![id];
+        let mut job_ids = vec![id];
         let mut next = 0;
-        while let Some(id) = all.get(next) {
+        while let Some(id) = job_ids.get(next) {
             next += 1;
             for dependency in &self.jobs[id].0.dependencies {
-                if !all.contains(dependency) {
-                    all.push(*dependency);
+                if !job_ids.contains(dependency) {
+                    job_ids.push(*dependency);
                 }
             }
         }
-        all.into_iter()
+        job_ids.into_iter()
     }
 
     pub(crate) fn send_request(&mut self, id: JobId, request: ApiRequest) {
--- a/tests/quota_escrow.rs
+++ b/tests/quota_escrow.rs
@@ -491,7 +491,7 @@
 /// Guards against generated sequences in which too little happens for the other tests to prove anything.
 #[test]
 fn generated_sequences_cover_transfers_and_limit_changes() {
-    let mut seen: BTreeMap<&str, u32> = BTreeMap::new();
+    let mut occurrences: BTreeMap<&str, u32> = BTreeMap::new();
     let mut runner = test_runner(1);
     for _ in 0..60 {
         let events = prop::collection::vec(any_event(), 200..300);
@@ -505,7 +505,7 @@
                 .iter()
                 .any(|cell| cell.key.value.account.returned.cpus > 0);
             let used = simulation.cells.iter().any(|cell| cell.used > 0);
-            for (what, seen_now) in [
+            for (condition, holds) in [
                 ("versions", record.version > 2),
                 ("returns", returned),
                 ("use", used),
@@ -514,12 +514,12 @@
                     simulation.coordinator_key.outcome_unknown,
                 ),
             ] {
-                *seen.entry(what).or_default() += u32::from(seen_now);
+                *occurrences.entry(condition).or_default() += u32::from(holds);
             }
         }
     }
-    for what in ["versions", "returns", "use", "unknown outcomes"] {
-        assert!(seen[what] > 100, "{what}: {seen:?}");
+    for condition in ["versions", "returns", "use", "unknown outcomes"] {
+        assert!(occurrences[condition] > 100, "{condition}: {occurrences:?}");
     }
 }
 
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -258,7 +258,10 @@
     assert_eq!(count, 2, "half of a spread job in each zone");
     assert!(rentals.iter().all(|rental| !rental.offer.spot));
     let (further_rentals, _) = autoscaler.plan_scaling(&cluster, &rentals, 0, 0);
-    assert!(further_rentals.is_empty(), "pending rentals are counted");
+    assert!(
+        further_rentals.is_empty(),
+        "provisioning requests in flight are counted"
+    );
     for rental in &rentals {
         autoscaler.mark_unavailable(rental.offer, 0);
     }
@@ -297,12 +300,12 @@
     // Arrivals during 15 s of booting, with a margin of half as much.
     let expected_tasks = |arrivals_per_second: usize| arrivals_per_second * 15 * 3 / 2;
     for arrivals_per_second in [1, 4, 8, 16] {
-        let got = headroom_tasks(0, arrivals_per_second);
+        let headroom = headroom_tasks(0, arrivals_per_second);
         let lower = expected_tasks(arrivals_per_second) * 3 / 4;
         let upper = expected_tasks(arrivals_per_second) * 5 / 4 + 16;
         assert!(
-            (lower..=upper).contains(&got),
-            "headroom of {got} at {arrivals_per_second} arrivals per second"
+            (lower..=upper).contains(&headroom),
+            "headroom of {headroom} at {arrivals_per_second} arrivals per second"
         );
     }
     assert_eq!(headroom_tasks(2000, 0), 64, "a single burst");
@@ -324,7 +327,7 @@
     let (rentals, _) = Autoscaler::default().plan_scaling(&cluster, &[], 0, 0);
     let rented: u32 = rentals.iter().map(|rental| rental.count).sum();
     assert!(rentals.iter().all(|rental| rental.offer.zone != zone));
-    assert_eq!(rented, 50, "as many as one request may ask for");
+    assert_eq!(rented, 50, "the most machines that one request may have");
     // Half of the machines in the zone respond: the zone is not partitioned.
     for machine in cluster.machines.iter_mut().step_by(4) {
         machine.unresponsive = false;
