--- a/crates/emulators/src/worker_emulator.rs
+++ b/crates/emulators/src/worker_emulator.rs
@@ -36,7 +36,7 @@
     fn on_task_event(&self, machine: &str, task: TaskId, event: TaskEvent);
 }
 
-/// What each heartbeat states about the worker itself.
+/// The fields of each heartbeat that describe the worker itself.
 #[derive(Clone, Debug)]
 pub struct WorkerIdentity {
     /// Name of the machine in the cloud.
--- a/crates/load-test/src/invariants.rs
+++ b/crates/load-test/src/invariants.rs
@@ -1,5 +1,5 @@
-//! The jobs of all regions: what workers look up, when tasks started, and whether an invariant of the protocol was
-//! violated.
+//! The jobs of all regions: the task properties that workers look up, when tasks started, and whether an invariant of
+//! the protocol was violated.
 
 use std::{
     collections::{BTreeMap, HashMap},
--- a/crates/load-test/src/report_page.rs
+++ b/crates/load-test/src/report_page.rs
@@ -42,7 +42,7 @@
     name: &'static str,
     unit: &'static str,
     extract: fn(&Point) -> Option<f64>,
-    /// What determines the figure.
+    /// The quantity that determines the figure.
     driver: &'static str,
 }
 
--- a/crates/load-test/src/settings.rs
+++ b/crates/load-test/src/settings.rs
@@ -10,7 +10,7 @@
 pub const MAX_PROCESSES: usize = 300;
 
 /// Estimated memory of a controller in bytes: idle, for each worker, each running task and each finished job.
-/// `WORKER_BYTES` includes what the tool itself holds for a worker.
+/// `WORKER_BYTES` includes the memory of the tool itself for a worker.
 const CONTROLLER_BYTES: u64 = 24 << 20;
 const WORKER_BYTES: u64 = 96 << 10;
 const TASK_BYTES: u64 = 2 << 10;
--- a/crates/service-report/src/log.rs
+++ b/crates/service-report/src/log.rs
@@ -162,10 +162,10 @@
     /// Adds the lines of a log. Lines without a timestamp are skipped.
     pub fn parse(&mut self, text: &str) {
         for line in text.lines() {
-            let Some(at) = timestamp_s(line) else {
+            let Some(logged_at) = timestamp_s(line) else {
                 continue;
             };
-            self.latest_line_at = self.latest_line_at.max(at);
+            self.latest_line_at = self.latest_line_at.max(logged_at);
             let fields = || -> HashMap<&str, &str> {
                 let pairs = FIELD_PATTERN.captures_iter(line).map(|captures| {
                     let value = captures
@@ -185,18 +185,18 @@
                     started.insert(task.to_owned());
                 }
             } else if line.contains(": accepted job=") {
-                self.record_accepted(&fields(), at);
+                self.record_accepted(&fields(), logged_at);
             } else if line.contains(": done job=") {
-                self.record_ended(&fields(), at, true);
+                self.record_ended(&fields(), logged_at, true);
             } else if line.contains(": cancelled job=") || line.contains(": cancelled with a job") {
-                self.record_ended(&fields(), at, false);
+                self.record_ended(&fields(), logged_at, false);
             } else if line.contains(": served team=") {
                 self.record_served(&fields());
             }
         }
     }
 
-    fn record_accepted(&mut self, fields: &HashMap<&str, &str>, at: f64) {
+    fn record_accepted(&mut self, fields: &HashMap<&str, &str>, logged_at: f64) {
         let text = |name| fields.get(name).map(|value: &&str| value.to_string());
         let number = |name| fields.get(name).and_then(|value| value.parse::<f64>().ok());
         let (Some(id), Some(team), Some(class)) = (text("job"), text("team"), text("class")) else {
@@ -213,7 +213,7 @@
                 number("cpus").unwrap_or(0.0)
             },
             estimate_s: number("estimate_s").unwrap_or(0.0),
-            accepted_at: at,
+            accepted_at: logged_at,
             ended_at: None,
             done: false,
             cancelled: false,
@@ -221,9 +221,9 @@
         self.jobs.entry(id).or_insert(job);
     }
 
-    fn record_ended(&mut self, fields: &HashMap<&str, &str>, at: f64, done: bool) {
+    fn record_ended(&mut self, fields: &HashMap<&str, &str>, logged_at: f64, done: bool) {
         if let Some(job) = fields.get("job").and_then(|id| self.jobs.get_mut(*id)) {
-            job.ended_at.get_or_insert(at);
+            job.ended_at.get_or_insert(logged_at);
             job.done |= done;
             job.cancelled |= !done;
         }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -76,7 +76,7 @@
     Parse {
         /// The file.
         path: String,
-        /// What is wrong, and where.
+        /// The error, with its position in the file.
         source: serde_json::Error,
     },
     /// Values are out of range or contradict each other.
--- a/src/coordination/admission/controller.rs
+++ b/src/coordination/admission/controller.rs
@@ -348,7 +348,7 @@
     pub fn on_accepted(&mut self, job: JobId, by_this_node: bool, now: Millis) {
         self.remove_reservation(job);
         // A job that this node stores is often read from the state service before the response to its write
-        // arrives: that response is what counts it.
+        // arrives: the job is counted when that response arrives.
         let is_admitted = self
             .pending
             .get(&job)
--- a/src/coordination/leader/election/tests.rs
+++ b/src/coordination/leader/election/tests.rs
@@ -70,9 +70,9 @@
     );
 }
 
-/// A lease renewer promised not to renew an unresponsive machine, then restarted. The new process under
-/// the same label had no record of the promise and renewed the machine's lease, while the leader started
-/// the machine's tasks elsewhere.
+/// A lease renewer accepted the revocation of an unresponsive machine's lease, then restarted. The new
+/// process under the same label had no record of the revocation and renewed the machine's lease, while the
+/// leader started the machine's tasks elsewhere.
 #[test]
 fn revocation_promise_is_void_after_renewer_restart() {
     let mut node = node(true);
--- a/src/coordination/leader/fencing.rs
+++ b/src/coordination/leader/fencing.rs
@@ -1,5 +1,5 @@
 //! Fencing: the term is the fencing token of commands to workers. Raising it invalidates commands that
-//! are still on their way.
+//! have not arrived yet.
 
 use crate::{
     coordination::{
--- a/src/coordination/leader/lease.rs
+++ b/src/coordination/leader/lease.rs
@@ -1,4 +1,4 @@
-//! The leader's lease: its renewal, and what the node may do while it is confirmed.
+//! The leader's lease: its renewal, and the actions that the node may take while it is confirmed.
 
 use crate::{
     coordination::{Node, StateTag},
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -42,7 +42,7 @@
     pub term: u64,
     /// The term at the takeover. A worker that has reported it rejects commands of earlier leaders.
     pub first_term: u64,
-    /// Raises the term to invalidate commands that may still be on their way.
+    /// Raises the term to invalidate commands that may not have arrived yet.
     pub fence: Fence,
     /// When this node became the leader.
     pub takeover_at: Millis,
--- a/src/coordination/quota/mod.rs
+++ b/src/coordination/quota/mod.rs
@@ -1,11 +1,11 @@
 //! Quotas that cells share: the leader of each cell acts as a participant for all teams, and as the
 //! coordinator for some of them.
 //!
-//! This is off unless this cell is named on the command line (`--cell`). Then a team may use only what
-//! this cell's records, read from the state service, say that it holds, and what its coordinator grants
-//! from then on. [`crate::quota`] explains why no team exceeds its limit. This module reads and writes
-//! the records and exchanges reports with other cells a few times a second. Each write is conditional on
-//! the leader's key and on the version of the record that it replaces.
+//! This is off unless this cell is named on the command line (`--cell`). Then a team may use only the
+//! units that it holds by this cell's records, which are read from the state service, and those that its
+//! coordinator grants from then on. [`crate::quota`] explains why no team exceeds its limit. This module
+//! reads and writes the records and exchanges reports with other cells a few times a second. Each write
+//! is conditional on the leader's key and on the version of the record that it replaces.
 
 mod demand;
 mod exchange;
--- a/src/coordination/rate_limit_shares.rs
+++ b/src/coordination/rate_limit_shares.rs
@@ -19,8 +19,8 @@
     pub cloud: f64,
 }
 
-/// The shares of the leader, or of a follower, among `node_count` nodes. Followers share equally what the
-/// leader leaves.
+/// The shares of the leader, or of a follower, among `node_count` nodes. Followers share the rest
+/// equally.
 pub fn shares_for(node_count: f64, is_leader: bool) -> RateLimitShares {
     let followers = (node_count - 1.0).max(1.0);
     let share = |leader_share: f64| {
--- a/src/coordination/registry/mod.rs
+++ b/src/coordination/registry/mod.rs
@@ -1,7 +1,7 @@
 //! The registry: every node's copy of the keys under `shared/`, with jobs, leader, term, machine types,
 //! admission quotas and standby renewers.
 //!
-//! It does no I/O: rows and events are put in, and each returns what it changed. The module
+//! It does no I/O: its caller passes in rows and events, and each call returns the changed part. The module
 //! [`watch_cache`](super::watch_cache) keeps it up to date.
 
 mod dependencies;
--- a/src/coordination/takeover/tests.rs
+++ b/src/coordination/takeover/tests.rs
@@ -259,7 +259,7 @@
 
 /// Another node accepts a job just before the takeover and the previous leader places it. The new
 /// leader has read the log, but its registry lacks the job: it would treat the job as finished and
-/// stop its running tasks for good.
+/// stop its running tasks permanently.
 #[test]
 fn rebuild_waits_for_a_read_barrier_sent_after_takeover() {
     let mut node = new_leader();
--- a/src/coordination/workers/failure_detection.rs
+++ b/src/coordination/workers/failure_detection.rs
@@ -42,8 +42,8 @@
     pub(super) is_binding: bool,
 }
 
-/// The leader's view of the other lease renewers: when their keys were written or deleted, and what they
-/// replied about unresponsive machines.
+/// The leader's view of the other lease renewers: when their keys were written or deleted, and their
+/// replies about unresponsive machines.
 #[derive(Default)]
 pub struct RenewerRevocations {
     /// When the keys of former renewers were seen to be deleted, since the takeover.
--- a/src/daemon/effects.rs
+++ b/src/daemon/effects.rs
@@ -48,7 +48,7 @@
     member_status: watch::Sender<MemberStatus>,
 }
 
-/// What all calls share: the clients, the rate limits and the queue for results.
+/// The resources that all calls share: the clients, the rate limits and the queue for results.
 struct Outbound {
     clock: Clock,
     commands: mpsc::UnboundedSender<Command>,
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -28,7 +28,7 @@
     Invalid {
         /// The field's name on the wire.
         field: &'static str,
-        /// What is wrong with it.
+        /// Why the value is not allowed.
         reason: &'static str,
     },
 }
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -8,7 +8,7 @@
 //! before it reports it. Both are running totals that only rise. Messages may therefore be lost, delayed, repeated or
 //! reordered without harm: of two totals, the larger is the later one. At any moment a participant holds at most the
 //! total granted to it less the total reported to the coordinator as returned, and the coordinator grants only
-//! what is free under the limit by that count. None of this depends on clocks.
+//! units that are free under the limit by that count. None of this depends on clocks.
 //!
 //! * [`plan`]: how the units of a limit are divided among cells.
 //! * [`coordinator`]: the coordinator's side of a team.
@@ -105,7 +105,7 @@
     pub limit: Quota,
 }
 
-/// Running totals of what was granted to a cell and of what it returned.
+/// Running totals of the units that were granted to a cell and that it returned.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Account {
     /// The total granted.
--- a/src/quota/plan.rs
+++ b/src/quota/plan.rs
@@ -1,8 +1,8 @@
 //! How the units of a limit are divided among cells.
 //!
-//! Running tasks come first, then what the first waiting job of each cell needs to start (so that two gangs that hold
-//! half of what they need don't wait for each other), then other waiting work, in equal parts up to each cell's demand.
-//! The rest is divided equally, ahead of demand, so that new work need not wait for a round trip.
+//! Running tasks come first, then the units that the first waiting job of each cell needs to start (so that two gangs
+//! that hold half of the units that they need don't wait for each other), then other waiting work, in equal parts up to
+//! each cell's demand. The rest is divided equally, ahead of demand, so that new work need not wait for a round trip.
 //!
 //! Units are reclaimed from a cell only while another cell is short of its demand and the limit has not enough free
 //! units, or when the limit was lowered. Only unused units are reclaimed, unless the use itself exceeds the limit.
@@ -30,7 +30,7 @@
     pub largest_task: Units,
 }
 
-/// The planned change of what a cell holds.
+/// The planned change of the units that a cell holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Transfer {
     /// Units to grant to the cell now.
--- a/src/scheduling/deserved_shares.rs
+++ b/src/scheduling/deserved_shares.rs
@@ -21,7 +21,7 @@
 }
 
 /// Computes each team's deserved share, in units: its guarantee and an equal split of the remaining
-/// capacity, capped by its demand and its limit. What a cap leaves over is split again. `capacity`
+/// capacity, capped by its demand and its limit. The remainder that a cap leaves is split again. `capacity`
 /// is the units of all schedulable machines.
 pub fn compute_deserved_shares(cluster: &ClusterState, capacity: f64) -> Vec<f64> {
     let caps: Vec<f64> = cluster
--- a/src/scheduling/fair_share.rs
+++ b/src/scheduling/fair_share.rs
@@ -1,5 +1,5 @@
-//! The fair share of each class of each team: what it is entitled to, what it gets, and which
-//! classes are starved.
+//! The fair share of each class of each team: its entitlement, its allocation, and which classes are
+//! starved.
 //!
 //! The scheduling cycle's heap divides capacity among teams, and priorities decide within a team
 //! and about preemption. Neither considers a class over time: small tasks of a team without a
@@ -24,7 +24,7 @@
 pub const STARVED_SHARE_FRACTION: f64 = 0.125;
 /// How often entitlements are computed.
 const FAIR_SHARE_UPDATE_INTERVAL_MS: Millis = 1000;
-/// The time constant, in seconds, of the moving averages of what classes are entitled to and get.
+/// The time constant, in seconds, of the moving averages of the entitlement and allocation of classes.
 const FAIR_SHARE_WINDOW_S: f64 = 20.0;
 /// A class that gets less than this fraction of its entitlement can become starved.
 const STARVED_BELOW_FRACTION: f64 = 0.5;
@@ -35,7 +35,7 @@
 const CAUGHT_UP_FRACTION: f64 = 1.0;
 /// How long arrays that fitted on no machine are assumed to still need capacity.
 const BLOCKED_ARRAYS_TTL_MS: Millis = 1500;
-/// How often a job whose tasks would be preempted is tried all the same: the blocked arrays may be
+/// How often a job whose tasks would be preempted is nevertheless tried: the blocked arrays may be
 /// unable to use the capacity that is free, and an occasional start that is preempted costs little.
 const BLOCKED_RETRY_INTERVAL_MS: Millis = 40_000;
 /// How long such a job is tried each time.
@@ -194,8 +194,8 @@
     }
 
     /// Whether the job's tasks would be preempted at the next preemption check for arrays that
-    /// fitted on no machine. When such tasks were started all the same, three of four starts were
-    /// in vain.
+    /// fitted on no machine. When such tasks were started nevertheless, three of four starts were
+    /// wasted.
     pub fn would_be_preempted(&self, job: &Job, now: Millis) -> bool {
         let blocked = self.blocked_arrays.filter(|(_, until)| now < *until);
         let waited = now.saturating_sub(job.first_seen_at);
@@ -208,7 +208,7 @@
     }
 }
 
-/// Splits `total` equally, each part capped; what a cap leaves over is split again.
+/// Splits `total` equally, each part capped; the remainder that a cap leaves is split again.
 pub fn split_with_caps(total: f64, caps: &[f64]) -> Vec<f64> {
     let mut parts = vec![0.0; caps.len()];
     let mut order: Vec<usize> = (0..caps.len()).collect();
@@ -362,7 +362,7 @@
     usages
 }
 
-/// Computes what each class is entitled to now: an equal split of its team's share, capped by the
+/// Computes the current entitlement of each class: an equal split of its team's share, capped by the
 /// class's demand. A team's share is its deserved share; where guarantees exceed the capacity, the
 /// shares of all teams are reduced in the same proportion. No share is below a minimum:
 /// [`STARVED_SHARE_FRACTION`] of the capacity, divided by the number of teams whose reduced share is
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -4,7 +4,7 @@
 //! The design follows "Fair Scheduling for Deep Learning Workloads in Kubernetes" (Run:ai, 21 June
 //! 2021): a heap of teams by reserved units, each team with its waiting tasks by priority, then
 //! age; a trial fit before anything is preempted; and preemption for starved teams of no more than
-//! the excess of over-share teams. `docs/design.md` says what was kept and what was changed.
+//! the excess of over-share teams. `docs/design.md` lists the parts that were kept and changed.
 
 mod candidates;
 mod cycle;
--- a/src/scheduling/preemption.rs
+++ b/src/scheduling/preemption.rs
@@ -145,7 +145,7 @@
     /// How many more units the team may reserve within both its deserved share and its guarantee;
     /// negative if it exceeds one of them.
     remaining_entitled_units: f64,
-    /// What the team will have reserved, including the tasks for which victims were selected.
+    /// The resources that the team will have reserved, including those of tasks for which victims were selected.
     reserved: Resources,
     failed_trials: Vec<FailedTrial>,
 }
--- a/src/scheduling/scoring.rs
+++ b/src/scheduling/scoring.rs
@@ -38,7 +38,7 @@
 }
 
 /// The score of a machine for a task of the job; lower is better. It is in seconds: terms that are
-/// not times are weighted by what they are worth in seconds.
+/// not times are weighted by their equivalent in seconds.
 pub(super) fn placement_score(
     cluster: &ClusterState,
     job: &Job,
--- a/src/scheduling/trial_fit.rs
+++ b/src/scheduling/trial_fit.rs
@@ -115,8 +115,8 @@
     pub(super) now: Millis,
 }
 
-/// A machine on which a task would fit, and what that would cost in milliseconds; the lowest cost
-/// comes first in a heap.
+/// A machine on which a task would fit, and the cost of that in milliseconds; the lowest cost comes
+/// first in a heap.
 type CandidateMachine = Reverse<(u64, MachineIndex)>;
 
 /// An attempt that may be stopped for a task.
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -11,8 +11,8 @@
 //!   fills up, snapshots are written for tasks whose state only the oldest log records hold.
 //! * `books/images/<part>`: which machines hold which images, so that a new leader can place tasks
 //!   near their images. It is only a hint: correctness does not depend on it.
-//! * `quota/cells`, `quota/home/<team>`, `quota/hold/<team>`: which cells share quotas, what a team's
-//!   coordinator has granted to each cell, and what this cell holds. Only if cells are configured.
+//! * `quota/cells`, `quota/home/<team>`, `quota/hold/<team>`: which cells share quotas, the units
+//!   that a team's coordinator has granted to each cell, and those that this cell holds. Only if cells are configured.
 //!
 //! Records of one task are ordered by attempt, then by status ([`RecordedStatus::precedence`]).
 //! A new leader can therefore read them in any order and more than once.
@@ -32,7 +32,7 @@
     submission_parts::{join_submission_parts, live_job_record},
 };
 
-/// Bytes of a value that are left free for what the length calculation does not count.
+/// Bytes of a value that are left free for the parts that the length calculation does not count.
 const VALUE_HEADROOM_BYTES: usize = 64;
 /// The longest task record together with a machine record that only it uses, as JSON.
 const MAX_TASK_RECORD_BYTES: f64 = 160.0;
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -768,19 +768,19 @@
         dalelb::quota::coordinator_of("red", &(0..3).map(cell_name).collect::<Vec<_>>())
             .map(str::to_owned)
             .unwrap();
-    let far = (0..3).find(|cell| cell_name(*cell) != coordinator).unwrap();
-    let running_before = simulation.running_tasks(far);
-    simulation.is_partitioned[far] = true;
+    let participant = (0..3).find(|cell| cell_name(*cell) != coordinator).unwrap();
+    let running_before = simulation.running_tasks(participant);
+    simulation.is_partitioned[participant] = true;
     simulation.run_for(1000);
     simulation.set_team_settings(&[team_settings(30.0)]);
     simulation.run_for(120_000);
     assert_eq!(
-        simulation.running_tasks(far),
+        simulation.running_tasks(participant),
         running_before,
         "a partitioned cell keeps its allocation"
     );
     let running_elsewhere: usize = (0..3)
-        .filter(|cell| *cell != far)
+        .filter(|cell| *cell != participant)
         .map(|cell| simulation.running_tasks(cell))
         .sum();
     assert_eq!(
@@ -789,18 +789,18 @@
     );
     let (oldest_ms, cells_behind) = simulation.pending_quota_changes();
     assert!(oldest_ms > 100_000, "{oldest_ms}");
-    assert_eq!(cells_behind, [cell_name(far)]);
+    assert_eq!(cells_behind, [cell_name(participant)]);
     simulation.set_team_settings(&[team_settings(90.0)]);
     simulation.set_asserted_limit(90.0);
     simulation.run_for(60_000);
     assert_eq!(
-        simulation.running_tasks(far),
+        simulation.running_tasks(participant),
         running_before,
         "a partitioned cell gets no further units"
     );
     simulation.set_team_settings(&[team_settings(30.0)]);
     simulation.run_for(5000);
-    simulation.is_partitioned[far] = false;
+    simulation.is_partitioned[participant] = false;
     simulation.run_until_propagated(MAX_PROPAGATION_MS + 2000);
     simulation.set_asserted_limit(30.0);
     simulation.run_for(10_000);
--- a/tests/histories/combined_faults.rs
+++ b/tests/histories/combined_faults.rs
@@ -866,7 +866,7 @@
 
 /// Returns whether a start is in flight to a worker.
 fn has_starts_in_flight(cluster: &SimulatedCluster) -> bool {
-    let start = |event: &SimulationEvent| matches!(event, SimulationEvent::DeliverOrders(.., packet) if !packet.0.starts.is_empty());
+    let start = |event: &SimulationEvent| matches!(event, SimulationEvent::DeliverOrders(.., tagged_orders) if !tagged_orders.0.starts.is_empty());
     cluster.events.values().any(start)
 }
 
--- a/tests/histories/effects.rs
+++ b/tests/histories/effects.rs
@@ -25,7 +25,7 @@
                     let is_spaced = last.is_none_or(|at| at + 5000 <= self.now);
                     assert!(
                         is_spaced,
-                        "admission quotas were written twice within 5 s, before the first table has taken effect"
+                        "admission quotas were written twice within 5 s, before the first ones have settled"
                     );
                 }
                 if let StateRequest::Txn(txn) = &request {
@@ -102,13 +102,13 @@
                         self.lost_reply_tickets.insert(ticket);
                     }
                     let sent_and_ticket = send_time << 32 | ticket;
-                    let packet = Box::new((tag, request));
+                    let tagged_request = Box::new((tag, request));
                     if let Some(time) = self.duplicate_arrival() {
                         let duplicate = SimulationEvent::StateRequestArrives(
                             node,
                             DUPLICATE_TICKET,
                             sent_and_ticket,
-                            packet.clone(),
+                            tagged_request.clone(),
                         );
                         self.schedule(time, duplicate);
                     }
@@ -118,7 +118,7 @@
                             node,
                             incarnation,
                             sent_and_ticket,
-                            packet,
+                            tagged_request,
                         ),
                     );
                 }
@@ -176,9 +176,9 @@
                     .message_arrival(link_down_until)
                     .map(|time| time + extra_delay)
                 {
-                    let packet = Box::new((tag, orders));
+                    let tagged_orders = Box::new((tag, orders));
                     let duplicate_at =
-                        self.duplicate_start_delay_ms > 0 && !packet.0.starts.is_empty();
+                        self.duplicate_start_delay_ms > 0 && !tagged_orders.0.starts.is_empty();
                     let duplicate_at = duplicate_at.then_some(time + self.duplicate_start_delay_ms);
                     if let Some(time) = duplicate_at.or_else(|| self.duplicate_arrival()) {
                         let duplicate = SimulationEvent::DeliverOrders(
@@ -186,7 +186,7 @@
                             DUPLICATE_TICKET,
                             ticket,
                             worker_index,
-                            packet.clone(),
+                            tagged_orders.clone(),
                         );
                         self.schedule(time, duplicate);
                     }
@@ -197,7 +197,7 @@
                             incarnation,
                             ticket,
                             worker_index,
-                            packet,
+                            tagged_orders,
                         ),
                     );
                 }
--- a/tests/histories/events.rs
+++ b/tests/histories/events.rs
@@ -38,9 +38,14 @@
                     self.step(node, incarnation, *command);
                 }
             }
-            SimulationEvent::StateRequestArrives(node, incarnation, sent_and_ticket, packet) => {
+            SimulationEvent::StateRequestArrives(
+                node,
+                incarnation,
+                sent_and_ticket,
+                tagged_request,
+            ) => {
                 let (sent_at, ticket) = (sent_and_ticket >> 32, sent_and_ticket & 0xffff_ffff);
-                let (tag, request) = *packet;
+                let (tag, request) = *tagged_request;
                 // A late request that was sent within the old limits and exceeds the new ones is
                 // dropped.
                 let is_late = sent_at + self.booted_at[node] + 2000 < self.now;
@@ -155,8 +160,14 @@
                 let time = self.workers[worker_index].hung_until + self.rng.random_range(0..20);
                 self.schedule(time, event);
             }
-            SimulationEvent::DeliverOrders(node, incarnation, ticket, worker_index, packet) => {
-                let (tag, orders) = *packet;
+            SimulationEvent::DeliverOrders(
+                node,
+                incarnation,
+                ticket,
+                worker_index,
+                tagged_orders,
+            ) => {
+                let (tag, orders) = *tagged_orders;
                 self.advance_worker(worker_index);
                 if self.workers[worker_index].deleted {
                     return;
--- a/tests/histories/main.rs
+++ b/tests/histories/main.rs
@@ -116,8 +116,8 @@
     value_kb: 16.0,
 };
 
-/// Returns the settings of a node. `limits` are the present limits of the state service, `next` the
-/// future ones if the node is configured for them.
+/// Returns the settings of a node. `limits` are the present limits of the state service,
+/// `next_limits` the future ones if the node is configured for them.
 fn config(
     node: usize,
     timings: WorkerTimings,
--- a/tests/quota_escrow.rs
+++ b/tests/quota_escrow.rs
@@ -626,7 +626,7 @@
     }
 }
 
-/// The coordinator is unreachable for good: cells keep the units that they hold and get no more.
+/// The coordinator is permanently unreachable: cells keep the units that they hold and get no more.
 #[test]
 fn participant_keeps_quota_while_coordinator_is_unreachable() {
     let mut simulation = Simulation::new();
