--- a/crates/load-test/src/invariants.rs
+++ b/crates/load-test/src/invariants.rs
@@ -1,5 +1,5 @@
-//! The jobs of all regions: what workers look up, when tasks started, and whether an invariant of the protocol was
-//! violated.
+//! The jobs of all regions: the task properties that workers look up, when tasks started, and whether an invariant of
+//! the protocol was violated.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -24,7 +24,7 @@
     pub team: String,
     /// CPUs and run time of each task.
     pub spec: TaskSpec,
-    /// Whether the priority is high or production.
+    /// Whether its priority is `Priority::High` or `Priority::Production`.
     pub urgent: bool,
     /// Whether the starts of its tasks are included in the start latencies.
     pub measured: bool,
--- a/src/coordination/quota/mod.rs
+++ b/src/coordination/quota/mod.rs
@@ -1,11 +1,11 @@
 //! Quotas that cells share: the leader of each cell acts as a participant for all teams, and as the
 //! coordinator for some of them.
 //!
-//! This is off unless this cell is named on the command line (`--cell`). Then a team may use only what
-//! this cell's records, read from the state service, say that it holds, and what its coordinator grants
-//! from then on. [`crate::quota`] explains why no team exceeds its limit. This module reads and writes
-//! the records and exchanges reports with other cells a few times a second. Each write is conditional on
-//! the leader's key and on the version of the record that it replaces.
+//! This is off unless this cell is named on the command line (`--cell`). Then a team may use only the
+//! units that it holds by this cell's records, which are read from the state service, and those that its
+//! coordinator grants from then on. [`crate::quota`] explains why no team exceeds its limit. This module
+//! reads and writes the records and exchanges reports with other cells a few times a second. Each write
+//! is conditional on the leader's key and on the version of the record that it replaces.
 
 mod demand;
 mod exchange;
@@ -122,7 +122,7 @@
 }
 
 impl Node {
-    /// Runs one round of the quotas: reads and writes records, applies the limits, preempts what exceeds them
+    /// Runs one quota cycle: reads and writes records, applies the limits, preempts tasks that exceed them
     /// and reports to other cells.
     pub(super) fn run_quota_cycle(&mut self) {
         let Some(cells) = &self.config.cells else {
--- a/src/quota/plan.rs
+++ b/src/quota/plan.rs
@@ -1,8 +1,8 @@
 //! How the units of a limit are divided among cells.
 //!
-//! Running tasks come first, then what the first waiting job of each cell needs to start (so that two gangs that hold
-//! half of what they need don't wait for each other), then other waiting work, in equal parts up to each cell's demand.
-//! The rest is divided equally, ahead of demand, so that new work need not wait for a round trip.
+//! Running tasks come first, then the units that the first waiting job of each cell needs to start (so that two gangs
+//! that hold half of the units that they need don't wait for each other), then other waiting work, in equal parts up to
+//! each cell's demand. The rest is divided equally, ahead of demand, so that new work need not wait for a round trip.
 //!
 //! Units are reclaimed from a cell only while another cell is short of its demand and the limit has not enough free
 //! units, or when the limit was lowered. Only unused units are reclaimed, unless the use itself exceeds the limit.
@@ -15,27 +15,27 @@
 /// Spare units are granted only to a cell that lacks more than its share divided by this.
 const SPARE_GRANT_DIVISOR: Units = 8;
 
-/// How much of a team's limit one cell holds, uses and demands.
+/// The units of a team's limit that one cell holds, uses and requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CellShare {
-    /// What the cell may hold: granted and not returned.
+    /// The units that the cell may hold: granted and not returned.
     pub outstanding: Units,
-    /// What the team's tasks that may be running reserve.
+    /// The units reserved by the team's tasks that may be running.
     pub used: Units,
     /// The use, the waiting work, and a margin for work to come.
     pub wanted: Units,
-    /// What the first waiting job needs to start: one task, or all tasks of a gang together.
+    /// The units that the first waiting job needs to start: of one task, or of all tasks of a gang together.
     pub first_request: Units,
-    /// What the largest running task reserves.
+    /// The units that the largest running task reserves.
     pub largest_task: Units,
 }
 
-/// The planned change of what a cell holds.
+/// The planned change of the units that a cell holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Transfer {
     /// Units to grant to the cell now.
     pub grant: Units,
-    /// What the cell should keep, including the grant; it returns unused units above this.
+    /// The units that the cell should keep, including the grant; it returns unused units above this.
     pub target: Units,
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// What each cell keeps when the use exceeds the limit: equal parts, rounded to whole tasks, so that no more tasks have
+/// The units that each cell keeps when the use exceeds the limit: equal parts, rounded to whole tasks, so that no more tasks have
 /// to be preempted than the limit requires.
 fn divide_among_running(limit: Units, shares: &[CellShare]) -> Vec<Units> {
     let used: Vec<Units> = shares.iter().map(|share| share.used).collect();
--- a/src/scheduling/fair_share.rs
+++ b/src/scheduling/fair_share.rs
@@ -1,5 +1,5 @@
-//! The fair share of each class of each team: what it is entitled to, what it gets, and which
-//! classes are starved.
+//! The fair share of each class of each team: its entitlement, its allocation, and which classes are
+//! starved.
 //!
 //! The scheduling cycle's heap divides capacity among teams, and priorities decide within a team
 //! and about preemption. Neither considers a class over time: small tasks of a team without a
@@ -24,7 +24,7 @@
 pub const STARVED_SHARE_FRACTION: f64 = 0.125;
 /// How often entitlements are computed.
 const FAIR_SHARE_UPDATE_INTERVAL_MS: Millis = 1000;
-/// The time constant, in seconds, of the moving averages of what classes are entitled to and get.
+/// The time constant, in seconds, of the moving averages of the entitlement and allocation of classes.
 const FAIR_SHARE_WINDOW_S: f64 = 20.0;
 /// A class that gets less than this fraction of its entitlement can become starved.
 const STARVED_BELOW_FRACTION: f64 = 0.5;
@@ -35,7 +35,7 @@
 const CAUGHT_UP_FRACTION: f64 = 1.0;
 /// How long arrays that fitted on no machine are assumed to still need capacity.
 const BLOCKED_ARRAYS_TTL_MS: Millis = 1500;
-/// How often a job whose tasks would be preempted is tried all the same: the blocked arrays may be
+/// How often a job whose tasks would be preempted is nevertheless tried: the blocked arrays may be
 /// unable to use the capacity that is free, and an occasional start that is preempted costs little.
 const BLOCKED_RETRY_INTERVAL_MS: Millis = 40_000;
 /// How long such a job is tried each time.
@@ -62,7 +62,7 @@
     }
 }
 
-/// What one class of one team runs and has waiting at the moment, in units.
+/// The running and waiting work of one class of one team at the moment, in units.
 #[derive(Clone, Copy, Debug, Default)]
 struct ClassUsage {
     /// The units of all attempts that are placed or run, and of all waiting tasks.
@@ -70,7 +70,7 @@
     /// The units of the attempts that run and are not being stopped.
     allocated: f64,
     waiting_tasks: usize,
-    /// How long ago its oldest waiting job was added to this node's cluster state, in milliseconds.
+    /// How long its oldest waiting job has been in this node's cluster state, in milliseconds.
     oldest_wait_ms: Millis,
 }
 
@@ -86,7 +86,7 @@
     pub entitled: f64,
     /// The units of its running attempts, as a moving average.
     pub allocated: f64,
-    /// How long ago its oldest waiting job was added to this node's cluster state, in milliseconds.
+    /// How long its oldest waiting job has been in this node's cluster state, in milliseconds.
     pub oldest_wait_ms: Millis,
     /// At this moment, not on average, it has at least half of its entitlement.
     currently_served: bool,
@@ -194,8 +194,8 @@
     }
 
     /// Whether the job's tasks would be preempted at the next preemption check for arrays that
-    /// fitted on no machine. When such tasks were started all the same, three of four starts were
-    /// in vain.
+    /// fitted on no machine. When such tasks were started nevertheless, three of four starts were
+    /// wasted.
     pub fn would_be_preempted(&self, job: &Job, now: Millis) -> bool {
         let blocked = self.blocked_arrays.filter(|(_, until)| now < *until);
         let waited = now.saturating_sub(job.first_seen_at);
@@ -208,7 +208,7 @@
     }
 }
 
-/// Splits `total` equally, each part capped; what a cap leaves over is split again.
+/// Splits `total` equally, each part capped; the remainder that a cap leaves is split again.
 pub fn split_with_caps(total: f64, caps: &[f64]) -> Vec<f64> {
     let mut parts = vec![0.0; caps.len()];
     let mut order: Vec<usize> = (0..caps.len()).collect();
@@ -324,7 +324,7 @@
     }
 }
 
-/// What each class runs and has waiting now.
+/// The running and waiting work of each class now.
 fn class_usages(cluster: &ClusterState, now: Millis) -> BTreeMap<WorkloadClass, ClassUsage> {
     let mut usages: BTreeMap<WorkloadClass, ClassUsage> = BTreeMap::new();
     for attempt in cluster
@@ -362,9 +362,11 @@
     usages
 }
 
-/// Computes what each class is entitled to now: an equal split of its team's deserved share, capped
-/// by the class's demand. Where guarantees exceed the capacity, all teams get less in the same
-/// proportion, and a team that they leave nothing still gets a part.
+/// Computes the current entitlement of each class: an equal split of its team's share, capped by the
+/// class's demand. A team's share is its deserved share; where guarantees exceed the capacity, the
+/// shares of all teams are reduced in the same proportion. No share is below a minimum:
+/// [`STARVED_SHARE_FRACTION`] of the capacity, divided by the number of teams whose reduced share is
+/// below both that fraction and their demand.
 fn compute_entitlements(
     cluster: &ClusterState,
     usages: &BTreeMap<WorkloadClass, ClassUsage>,
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -297,12 +297,12 @@
     // Arrivals during 15 s of booting, with a margin of half as much.
     let expected_tasks = |arrivals_per_second: usize| arrivals_per_second * 15 * 3 / 2;
     for arrivals_per_second in [1, 4, 8, 16] {
-        let got = headroom_tasks(0, arrivals_per_second);
+        let headroom = headroom_tasks(0, arrivals_per_second);
         let lower = expected_tasks(arrivals_per_second) * 3 / 4;
         let upper = expected_tasks(arrivals_per_second) * 5 / 4 + 16;
         assert!(
-            (lower..=upper).contains(&got),
-            "headroom of {got} at {arrivals_per_second} arrivals per second"
+            (lower..=upper).contains(&headroom),
+            "headroom of {headroom} at {arrivals_per_second} arrivals per second"
         );
     }
     assert_eq!(headroom_tasks(2000, 0), 64, "a single burst");
