--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -6,7 +6,7 @@
 //! * [`worker_emulator`]: the state of one worker and how it executes orders.
 //! * [`worker_fleet`]: any number of emulated workers in one process.
 //! * [`http_connection`]: a persistent HTTP client connection whose bytes are counted.
-//! * [`link_emulator`]: a network link between controllers that adds latency, counts bytes and can be cut.
+//! * [`link_emulator`]: a network link between controllers that adds latency, counts bytes and can be partitioned.
 //!
 //! Tests and the load test share them, so that both run against the same behaviour.
 
--- a/crates/emulators/src/link_emulator.rs
+++ b/crates/emulators/src/link_emulator.rs
@@ -1,4 +1,4 @@
-//! Network link between controllers: a TCP relay that adds latency, counts bytes and can be cut.
+//! Network link between controllers: a TCP relay that adds latency, counts bytes and can be partitioned.
 
 use std::{
     net::SocketAddr,
@@ -29,7 +29,7 @@
 
 /// A running relay.
 pub struct EmulatedLink {
-    is_cut: watch::Sender<bool>,
+    is_partitioned: watch::Sender<bool>,
     traffic: Arc<Traffic>,
     is_open: Arc<AtomicBool>,
 }
@@ -37,11 +37,11 @@
 impl EmulatedLink {
     /// Relays connections from `listener` to `to` with a latency of `delay` in each direction.
     pub fn start(listener: TcpListener, to: SocketAddr, delay: Duration) -> Self {
-        let (cut_sender, cut_receiver) = watch::channel(false);
+        let (partitioned_sender, partitioned_receiver) = watch::channel(false);
         let traffic = Arc::new(Traffic::default());
         let open = Arc::new(AtomicBool::new(true));
         let link = EmulatedLink {
-            is_cut: cut_sender,
+            is_partitioned: partitioned_sender,
             traffic: traffic.clone(),
             is_open: open.clone(),
         };
@@ -51,16 +51,18 @@
                     tokio::time::sleep(Duration::from_millis(50)).await;
                     continue;
                 };
-                let (traffic, cut_receiver) = (traffic.clone(), cut_receiver.clone());
-                tokio::spawn(connect(stream, to, delay, traffic, cut_receiver));
+                let (traffic, partitioned_receiver) =
+                    (traffic.clone(), partitioned_receiver.clone());
+                tokio::spawn(connect(stream, to, delay, traffic, partitioned_receiver));
             }
         });
         link
     }
 
-    /// Cuts or restores the link. Cutting it closes all connections; new ones are closed until the link is restored.
-    pub fn set_cut(&self, cut: bool) {
-        self.is_cut.send_replace(cut);
+    /// Partitions or restores the link. A partition closes all connections; new ones are closed until the link is
+    /// restored.
+    pub fn set_partitioned(&self, partitioned: bool) {
+        self.is_partitioned.send_replace(partitioned);
     }
 
     /// Number of connections opened and of bytes relayed.
@@ -72,7 +74,7 @@
 impl Drop for EmulatedLink {
     fn drop(&mut self) {
         self.is_open.store(false, Ordering::Relaxed);
-        self.is_cut.send_replace(true);
+        self.is_partitioned.send_replace(true);
     }
 }
 
@@ -81,10 +83,10 @@
     to: SocketAddr,
     delay: Duration,
     traffic: Arc<Traffic>,
-    mut cut: watch::Receiver<bool>,
+    mut partitioned: watch::Receiver<bool>,
 ) {
     traffic.count_request();
-    if *cut.borrow_and_update() {
+    if *partitioned.borrow_and_update() {
         return;
     }
     let Ok(server) = TcpStream::connect(to).await else {
@@ -97,7 +99,7 @@
     tokio::select! {
         () = forward(client_read, server_write, delay, &traffic) => {}
         () = forward(server_read, client_write, delay, &traffic) => {}
-        _ = cut.wait_for(|cut| *cut) => {}
+        _ = partitioned.wait_for(|partitioned| *partitioned) => {}
     }
 }
 
--- a/crates/emulators/src/link_emulator/tests.rs
+++ b/crates/emulators/src/link_emulator/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[tokio::test]
-async fn link_delays_bytes_and_drops_all_while_cut() {
+async fn link_delays_bytes_and_drops_all_while_partitioned() {
     const DELAY: Duration = Duration::from_millis(40);
     let (listener, addr) = bind_any_port();
     let link = EmulatedLink::start(listener, echo().await, DELAY);
@@ -27,7 +27,7 @@
     assert_eq!(&received, b"hello");
     assert!(sent_at.elapsed() >= 2 * DELAY, "{:?}", sent_at.elapsed());
     assert_eq!(link.connections_and_bytes(), (1, 10));
-    link.set_cut(true);
+    link.set_partitioned(true);
     assert_eq!(
         stream.read(&mut received).await.unwrap_or(0),
         0,
@@ -40,7 +40,7 @@
         0,
         "connection closed"
     );
-    link.set_cut(false);
+    link.set_partitioned(false);
     let mut restored = TcpStream::connect(addr).await.unwrap();
     restored.write_all(b"again").await.unwrap();
     restored.read_exact(&mut received).await.unwrap();
--- a/crates/load-test/src/drill.rs
+++ b/crates/load-test/src/drill.rs
@@ -341,12 +341,12 @@
     })
 }
 
-/// Starts or ends the partition of a region by cutting or restoring all its inter-region links.
+/// Starts or ends the partition of a region by partitioning or restoring all its inter-region links.
 fn set_partitioned(run: &Run, region: usize, partitioned: bool) {
     for other in &run.regions {
         for (to, link) in &other.inter_region_links {
             if other.index == region || *to == region {
-                link.set_cut(partitioned);
+                link.set_partitioned(partitioned);
             }
         }
     }
--- a/src/coordination/admission/controller.rs
+++ b/src/coordination/admission/controller.rs
@@ -7,7 +7,7 @@
 //!
 //! A submission that finds no token gets a reservation: the time at which, at the rate of its class, its place in
 //! the queue comes up. Users retry for 60 s in all, so there are no reservations beyond that; a user who can't get
-//! one receives an answer that says so at once. A user who retries at the reserved time is admitted before new
+//! one is deferred immediately, without a reservation. A user who retries at the reserved time is admitted before new
 //! submissions of the same class, at any node: each node reports its reservations to the leader, which announces
 //! those of all nodes to the members.
 
--- a/src/coordination/admission/controller/tests.rs
+++ b/src/coordination/admission/controller/tests.rs
@@ -126,7 +126,7 @@
     }
     let calm = controller.decide(&class("calm"), JobId(9000), 1000);
     assert_eq!(calm, AdmissionDecision::Admitted { within_share: true });
-    // A submission that can get no reservation within its 60 s of retries is deferred without one at once.
+    // A submission that can get no reservation within its 60 s of retries is deferred immediately, without one.
     let last_decision = controller.decide(&class("flood"), JobId(9001), 1000);
     assert!(
         matches!(
--- a/src/coordination/admission/quotas.rs
+++ b/src/coordination/admission/quotas.rs
@@ -1,7 +1,7 @@
 //! Admission quotas: how many submissions a second each node may admit, for each class of each team.
 //!
 //! The leader divides the capacity of all nodes by the demand that they report, max-min fair over classes, and
-//! stores the result under its term. A node that reads new quotas applies a decrease of its share at once, and an
+//! stores the result under its term. A node that reads new quotas applies a decrease of its share immediately, and an
 //! increase only [`QUOTAS_SETTLE_MS`] later. Quotas are stored at least that far apart. A node that has had no
 //! response from the state service for almost as long ([`QUOTAS_LAPSE_MS`]) has fallen back to its floor, the rate
 //! that all quotas leave to it. So at any moment no node exceeds its share of one and the same quotas, the sum over
@@ -59,13 +59,13 @@
     pub unassigned: Vec<f64>,
     /// The total rate of each node in the previous quotas, or its default rate if there were none. The previous
     /// quotas have settled, as quotas are stored further apart than that takes: a process that has just started
-    /// may use the lesser of its previous and its new total at once. Empty if an earlier version stored the quotas.
+    /// may use the lesser of its previous and its new total immediately. Empty if an earlier version stored the quotas.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "before")]
     pub previous_totals: Vec<f64>,
     /// The leader states that these quotas were stored at least [`QUOTAS_SETTLE_MS`] ago: every node that has had
     /// a response from the state service since then has read them. A process that has just started may use its
-    /// share at once.
+    /// share immediately.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     #[serde(rename = "settled")]
     pub is_settled: bool,
@@ -311,7 +311,7 @@
     /// the rates that the node applies now; for a process that has just started that is only its floor.
     ///
     /// The settling time counts from `now`, not from when the quotas were written, as the write may have been
-    /// applied late. Quotas that are marked as settled apply in full at once. Older quotas are ignored.
+    /// applied late. Quotas that are marked as settled apply in full immediately. Older quotas are ignored.
     pub fn adopt(
         &mut self,
         node: &str,
--- a/src/coordination/admission/tests.rs
+++ b/src/coordination/admission/tests.rs
@@ -86,7 +86,7 @@
     (stored_count, responses.collect())
 }
 
-/// A node that gets a flood of submissions admits its share, and answers the others at once with a retry delay.
+/// A node that gets a flood of submissions admits its share, and immediately answers the others with a retry delay.
 #[test]
 fn node_admits_its_share_and_defers_the_rest_with_retry_after() {
     let mut node = node();
--- a/src/coordination/leader/election/tests.rs
+++ b/src/coordination/leader/election/tests.rs
@@ -74,7 +74,7 @@
 /// process under the same label had no record of the revocation and renewed the machine's lease, while the
 /// leader started the machine's tasks elsewhere.
 #[test]
-fn revocation_promise_is_void_after_renewer_restart() {
+fn accepted_revocation_is_void_after_renewer_restart() {
     let mut node = node(true);
     node.now = 50_000;
     node.election.step = ElectionStep::AcquiringLeadership {
--- a/src/coordination/lease_renewer.rs
+++ b/src/coordination/lease_renewer.rs
@@ -6,7 +6,7 @@
 //! recent that a cancellation accepted by another node can still be carried out in time. In return, the
 //! leader counts the tasks of an unresponsive machine as gone only when no node can have renewed the
 //! machine's lease: each node that holds such a key has replied that it did not renew it and has agreed not
-//! to renew this incarnation, and each former holder lost its key at least one whole lease ago.
+//! to renew this incarnation, and each former holder lost its key at least one full lease duration ago.
 
 use std::collections::{HashMap, HashSet};
 
--- a/src/coordination/lease_renewer/tests.rs
+++ b/src/coordination/lease_renewer/tests.rs
@@ -78,7 +78,7 @@
 /// thirteen machines again, but this node accepted the revocations as current, and the machines' leases expired
 /// when they could reach only this node.
 #[test]
-fn revocation_promise_binds_until_it_expires_and_stale_revocations_are_ignored() {
+fn accepted_revocation_holds_until_it_expires_and_stale_revocations_are_ignored() {
     let mut node = renewer_node(START);
     assert_eq!(revoke_and_count_renewals(&mut node, START, true), 1);
     assert!(renews_worker(&mut node), "an inquiry revokes nothing");
--- a/src/coordination/watch_cache/read_barrier.rs
+++ b/src/coordination/watch_cache/read_barrier.rs
@@ -30,7 +30,7 @@
     /// Whether another barrier should start soon.
     pub is_requested: bool,
     /// Whether the last barrier got no response, not even a refusal. Requests that arrive meanwhile are
-    /// relayed to another member at once. Otherwise, each user on this node's side of a network
+    /// relayed to another member immediately. Otherwise, each user on this node's side of a network
     /// partition would wait for 2 s before a member is tried.
     pub is_unanswered: bool,
 }
--- a/src/coordination/watch_cache/tests.rs
+++ b/src/coordination/watch_cache/tests.rs
@@ -15,10 +15,10 @@
     serde_json::from_value(spec).expect("a submission")
 }
 
-/// A node that gets no response from the state service must relay requests at once. Otherwise, each
+/// A node that gets no response from the state service must relay requests immediately. Otherwise, each
 /// user waits for the longest time that a request may take before the request is relayed to another member.
 #[test]
-fn node_without_state_service_responses_relays_requests_at_once() {
+fn node_without_state_service_responses_relays_requests_immediately() {
     let config = serde_json::from_value(serde_json::json!({
         "label": "n0", "domain": "a", "listen": "127.0.0.1:1", "mesh_addr": "127.0.0.1:2",
         "members": [{"label": "n1", "domain": "b", "address": "127.0.0.1:5"}],
--- a/src/coordination/workers/heartbeat.rs
+++ b/src/coordination/workers/heartbeat.rs
@@ -230,7 +230,7 @@
                 }
             }
             (Phase::Placed, Some(_)) => {}
-            // It is already saving; a second stop would cut that short.
+            // The task is already saving its state; a second stop would interrupt that.
             (Phase::Saving, Some(grace_s)) if grace_s > 0.0 => {}
             (Phase::Ended, _) => {
                 if cluster.is_acknowledged(entry)
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -593,7 +593,7 @@
 /// gave it back to the preempted team, and the next preemption check freed it again: 26,000 tasks were stopped
 /// in seven minutes while the urgent work kept waiting.
 #[test]
-fn room_freed_by_preemption_is_reserved_for_the_preemptor() {
+fn capacity_freed_by_preemption_is_reserved_for_the_preemptor() {
     let mut cluster = cluster((16.0, 0.0), (0.0, 0.0), 4);
     let mut fair_share = FairShareTracker::default();
     let without_guarantee = Submission {
